--- a/crates/fleet/src/adaptive_timeout.rs
+++ b/crates/fleet/src/adaptive_timeout.rs
@@ -1,65 +1,68 @@
-//! For how long a run of a stream is waited for before it is given up.
+//! How long to wait for a run of a stream before it is abandoned.
 //!
-//! A run that stands still is either on a chain with a part that is gone, or behind other work. The
-//! first must end at once, as another chain may still be on time; the second is best waited for, as
-//! giving it up throws away what was done for it and does it once more elsewhere. Silence alone does
-//! not tell them apart. So the parts of a chain are asked whether they live after a silence that is
-//! unusual, and the run is given up without such news only when the caller would soon leave.
+//! A run that stalls is either on a chain with a lost stage, or queued behind other work. In the
+//! first case it must end at once, as another chain may still be on time. In the second it is
+//! better to wait, as abandoning the run discards its progress and repeats the work elsewhere.
+//! Silence alone does not distinguish the two. So the stages of a chain are probed after an unusual
+//! silence, and a run whose stages are not known to be lost is abandoned only shortly before its
+//! caller would leave.
 
 use std::time::Duration;
 
-/// How many times as long as expected the first event may take before the chain is probed.
+/// The chain is probed when the first event takes this many times as long as expected.
 const UNEXPECTED: f64 = 2.0;
-/// The part of the first event's target after which the chain is probed at the earliest: a host
-/// may be busy for some tens of ms.
+/// The share of the first event's target before which the chain is not probed: a host may be busy
+/// for some tens of ms.
 const LEAST_TARGETS: f64 = 0.2;
-/// The part of the longest pause on time after which the chain is probed: one stream pauses for
-/// longer under load, all streams of a chain at once do not.
+/// The share of the longest inter-event gap on time after which the chain is probed: under load one
+/// stream pauses for longer, but not all streams of a chain at once.
 const UNUSUAL_GAPS: f64 = 0.4;
-/// How long after a probe that found nothing the next one follows.
+/// The time between a probe that found nothing and the next one.
 const AGAIN: Duration = Duration::from_millis(250);
 
-/// How many times as long as expected the first event may take while the request may be sent once
-/// more, and the bounds of that in parts of its target: another chain can still be on time then.
+/// While the request may be retried, the first event may take this many times as long as expected,
+/// within bounds in multiples of its target: another chain can still be on time then.
 const FIRST_UNEXPECTED: f64 = 4.0;
 const LEAST_FIRST_TARGETS: f64 = 0.6;
 const MOST_FIRST_TARGETS: f64 = 2.4;
-/// How many times its target the caller waits at most for the next event, the first or a later one:
-/// callers leave then, so that a last run may take as long.
+/// How many times the first event's target the caller waits at most for the next event, the first
+/// or a later one: callers leave then, so a last run may take as long.
 const LAST_FIRST_TARGETS: f64 = 4.0;
-/// How many times the longest pause on time a pause may last while the stream may go on elsewhere.
+/// How many times the longest inter-event gap on time a gap may last while the stream may continue
+/// elsewhere.
 const PAUSE_GAPS: f64 = 3.5;
 
-/// A run of a stream that is waited for.
+/// The timing of a run of a stream that is waited for.
 #[derive(Debug, Clone, Copy)]
 pub struct Run {
     /// Whether an event of it has come.
     pub began: bool,
     /// Whether another run may follow.
     pub more: bool,
-    /// The first event's target.
+    /// The target for the time to the first event.
     pub target: Duration,
-    /// The longest pause between events that is on time.
+    /// The longest inter-event gap that is on time.
     pub gap: Duration,
-    /// When the first event was expected, from the sending on.
+    /// The expected time from the dispatch to the first event.
     pub expected_first: Duration,
-    /// How long the caller had waited when the run was sent: since its request, or the last event.
+    /// How long the caller had waited when the run was dispatched: since its request, or since the
+    /// last event.
     pub before: Duration,
 }
 
-/// What is to be done about a run that stands still.
+/// What is to be done about a stalled run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing for so long.
+    /// Wait for this long.
     Wait(Duration),
-    /// Its chain is probed.
+    /// Probe its chain.
     Probe,
-    /// It is given up.
+    /// Abandon it.
     GiveUp,
 }
 
 impl Run {
-    /// The next step after a silence; `probed` is how long ago the chain's parts were asked.
+    /// The next step after a silence; `probed` is how long ago the stages of the chain were probed.
     pub fn step(&self, silent: Duration, probed: Option<Duration>) -> Step {
         let most = self.most();
         if silent >= most {
@@ -76,7 +79,7 @@
         }
     }
 
-    /// The silence from which on the chain is probed.
+    /// The silence after which the chain is probed.
     pub fn unusual(&self) -> Duration {
         match self.began {
             true => self.gap.mul_f64(UNUSUAL_GAPS),
@@ -87,15 +90,16 @@
         }
     }
 
-    /// Whether another run may be better than this one, once a part of its chain is known to be lost.
+    /// Whether another run may be better than this one, once a stage of its chain is known to be
+    /// lost.
     ///
-    /// An answer that has begun and can't go on elsewhere is not cut: its caller leaves when it likes,
-    /// and an endpoint that is leaving may still finish it.
+    /// An answer that has started and can't continue elsewhere is not abandoned: its caller decides
+    /// when to leave, and a draining endpoint may still finish it.
     pub fn may_end(&self) -> bool {
         self.more || !self.began
     }
 
-    /// The longest silence.
+    /// The longest silence before the run is abandoned.
     pub fn most(&self) -> Duration {
         match (self.began, self.more) {
             (true, true) => self.gap.mul_f64(PAUSE_GAPS),
--- a/crates/fleet/src/leader_lease.rs
+++ b/crates/fleet/src/leader_lease.rs
@@ -1,46 +1,49 @@
-//! A leader lease: what one host does for all, while a row of the platform's store names it.
+//! A leader lease: a task that one host does for all, as long as a row of the platform's store
+//! names it.
 //!
-//! The lease is one row. Its holder renews it by writing it again, under the condition that it is
-//! as the holder left it; any other host takes it over once the row has not changed for a whole
-//! term. No clock is compared between hosts: each measures on its own monotonic clock how long the
-//! row has stood still. The holder counts its term from the *sending* of its last write that
-//! succeeded and stops before the term ends, so that two hosts never both act. A holder that ends
-//! says so in the row, so that another one need not wait for the term.
+//! The lease is one row. Its holder renews it with a conditional write that requires the version of
+//! its last write. Any other host takes the lease over once the row has not changed for a whole
+//! term. Clocks of hosts are not compared: each host measures on its own monotonic clock how long
+//! the row has been unchanged. The holder counts its term from the *sending* of its last successful
+//! write and stops acting before the term ends, so that two hosts never act at the same time. A
+//! holder that shuts down releases the lease in the row, so that no other host has to wait for the
+//! term.
 
 use std::time::Duration;
 
-/// The part of the term for which the holder acts, the rest is for slow clocks and late orders.
+/// The share of the term for which the holder acts; the rest allows for slow clocks and late
+/// orders.
 const HELD_PART: f64 = 0.8;
-/// The part of the term after which the holder renews.
+/// The share of the term after which the holder renews the lease.
 const RENEW_PART: f64 = 0.35;
 
-/// What stands in the row, in place of a holder, after one has given the lease up.
+/// The holder in the row after the lease was released.
 pub const NOBODY: &str = "";
 
-/// The row as it was seen.
+/// The row as it was last read or written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Seen {
-    /// Who wrote it: a host and its incarnation; or [`NOBODY`].
+    /// Who wrote it: a host and its incarnation, or [`NO_HOLDER`].
     pub holder: String,
-    /// The row's version.
+    /// The version of the row.
     pub version: u64,
 }
 
-/// What is to be done now.
+/// What the host has to do now.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Nothing.
+    /// Nothing is due.
     Wait,
-    /// Read the row, and tell of it by [`LeaderLease::read`].
+    /// Read the row, and pass it to [`LeaderLease::record_read`].
     Read,
-    /// Write the row if it still has that version, 0 if there is none; tell of the outcome by
-    /// [`LeaderLease::wrote`].
+    /// Write the row if it still has the expected version, and pass the outcome to
+    /// [`LeaderLease::record_write`].
     Write {
-        /// The version that it must have.
+        /// The version that it must have; 0 if there is no row.
         expected: u64,
     },
-    /// Write into the row that [`NOBODY`] holds the lease, if it still has that version; tell of the
-    /// outcome by [`LeaderLease::wrote`].
+    /// Write [`NO_HOLDER`] into the row if it still has the expected version, and pass the outcome
+    /// to [`LeaderLease::record_write`].
     Release {
         /// The version that it must have.
         expected: u64,
@@ -50,11 +53,11 @@
 /// How a write ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Wrote {
-    /// The row has that version now.
+    /// The row has this version now.
     Done(u64),
-    /// The row is another one.
+    /// The row has another version or does not exist; the row as it is.
     Conflict(Option<Seen>),
-    /// Perhaps; or perhaps later.
+    /// The row may have been written, or may be written later.
     Unknown,
 }
 
@@ -63,22 +66,22 @@
 pub struct LeaderLease {
     me: String,
     term: Duration,
-    /// How often a host that does not hold it reads the row.
+    /// The interval between two reads of the row by a host that does not hold the lease.
     look: Duration,
     seen: Option<Seen>,
-    /// When the row was first seen as it is now; `None` before the first read.
+    /// When the row was first seen with its current content; `None` before the first read.
     changed_at: Option<Duration>,
     read_at: Option<Duration>,
-    /// When the last write that succeeded was sent.
+    /// When the last successful write was sent.
     renewed_at: Option<Duration>,
-    /// A write may or may not have happened; only a read can tell.
+    /// The last write may or may not have happened; only a read can tell.
     in_doubt: bool,
-    /// This host ends: it never holds the lease again.
+    /// This host shuts down: it never holds the lease again.
     leaving: bool,
 }
 
 impl LeaderLease {
-    /// A lease of which nothing is known. `me` names this host and its incarnation.
+    /// Creates a lease whose row is unknown. `own_name` names this host and its incarnation.
     pub fn new(me: String, term: Duration, look: Duration) -> Self {
         Self {
             me,
@@ -93,7 +96,7 @@
         }
     }
 
-    /// This host ends: it no longer acts on the lease, and is to give it up.
+    /// Shuts the lease down: this host no longer acts on it, and is to release it.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
@@ -103,13 +106,14 @@
         self.held_until().is_some_and(|until| now < until)
     }
 
-    /// Until when this host may act on the lease unless it renews it, if it may at all.
+    /// The time until which this host may act on the lease unless it renews it; `None` if it may
+    /// not act.
     pub fn held_until(&self) -> Option<Duration> {
         let renewed_at = self.renewed_at.filter(|_| !self.leaving)?;
         Some(renewed_at + self.term.mul_f64(HELD_PART))
     }
 
-    /// What is due.
+    /// The step that is due now.
     pub fn step(&self, now: Duration) -> Step {
         if self.leaving {
             return self.step_of_leaving();
@@ -148,14 +152,14 @@
         }
     }
 
-    /// The row was read.
+    /// Records the row that was read.
     pub fn read(&mut self, now: Duration, row: Option<Seen>) {
         self.read_at = Some(now);
         self.in_doubt = false;
         self.see(now, row);
     }
 
-    /// A write that was sent at `sent_at` has ended.
+    /// Records the outcome of a write that was sent at `sent_at`.
     pub fn wrote(&mut self, sent_at: Duration, now: Duration, outcome: Wrote) {
         match outcome {
             Wrote::Done(version) => {
@@ -174,12 +178,12 @@
         }
     }
 
-    /// Who holds the lease, as far as is known.
+    /// The last known holder of the lease.
     pub fn holder(&self) -> Option<&str> {
         self.seen.as_ref().map(|s| &*s.holder)
     }
 
-    /// Whether the row names this host, as far as is known.
+    /// Whether the last known row names this host.
     pub fn mine(&self) -> bool {
         self.holder() == Some(&self.me)
     }
--- a/crates/fleet/src/placement/cells.rs
+++ b/crates/fleet/src/placement/cells.rs
@@ -1,8 +1,9 @@
 //! Splits the engines of a large data centre into cells, each of which is planned by itself.
 //!
-//! What a plan costs grows with more than the square of the engines that it weighs against each other, and a
-//! cell of [`MOST`] already has covers of every kind. An engine stays in its cell, so that a plan has to be made
-//! only for cells in which something has changed; a chain stays whole when its cell is divided.
+//! The cost of a plan grows faster than the square of the number of engines that are compared with
+//! each other, and a cell of [`MAX_CELL_ENGINES`] already has covers of every kind. An engine stays
+//! in its cell, so that only cells in which something has changed are planned again. A chain is not
+//! split when its cell is divided.
 
 use std::rc::Rc;
 
@@ -11,15 +12,17 @@
 use super::{Candidate, value::Remaining};
 use crate::{catalogue::Engine, chains::Holding};
 
-/// The most engines of a cell that is made.
+/// The maximum number of engines in a new cell.
 pub const MOST: usize = 48;
-/// A cell that has grown beyond this is divided.
+/// A cell with more engines than this is divided.
 const DIVIDED_BEYOND: usize = MOST + MOST / 2;
-/// Fewer engines that are new make no cell of their own where there are several. Among engines that hold layers the
-/// layers of each are weighed by themselves, which costs far more than a layout of all of them anew.
+/// The minimum number of new engines for a cell of their own in a data centre that would otherwise
+/// exceed [`DIVIDE_ABOVE_ENGINES`]; fewer join the smallest cell. The layers of each engine that
+/// joins loaded ones are evaluated one by one, which costs far more than a new layout of all of
+/// them.
 const OWN_CELL: usize = MOST / 3;
 
-/// A cell of one data centre.
+/// Identifies a cell of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct CellKey {
     pub(super) data_centre: Rc<str>,
@@ -33,17 +36,17 @@
     pub(super) candidates: Vec<&'a Candidate>,
 }
 
-/// Which engine is in which cell.
+/// Assigns engines to cells, and keeps the assignment from one plan to the next.
 #[derive(Debug, Default)]
 pub struct Cells {
     number_of: FxHashMap<Rc<str>, usize>,
 }
 
-/// A chain, or an engine that is part of none.
+/// The engines of a chain or of a cell, or a single engine that is in no chain.
 type Group<'a> = Vec<&'a Candidate>;
 
 impl Cells {
-    /// The cells of all data centres, in order.
+    /// Returns the cells of all data centres, ordered by data centre and cell number.
     pub(super) fn split<'a>(
         &mut self,
         engine: &Engine,
@@ -106,8 +109,8 @@
     }
 }
 
-/// Divides engines into the fewest cells of at most so many, about alike in size: one gets the rest of a chain
-/// that began in it.
+/// Divides engines into the minimum number of cells for `max_engines` engines each. The cells are
+/// of similar size; a cell may exceed the bound by the rest of a chain that was assigned to it.
 fn divide<'a>(engine: &Engine, candidates: Group<'a>, most: usize) -> Vec<Group<'a>> {
     let number = candidates.len().div_ceil(most);
     if number <= 1 {
@@ -122,7 +125,8 @@
     cells
 }
 
-/// Engines in groups that stay together: those of a chain, and each other one by itself.
+/// Groups engines that stay together: the engines of a chain form one group, each other engine a
+/// group by itself.
 fn whole_chains<'a>(engine: &Engine, candidates: Group<'a>) -> Vec<Group<'a>> {
     let mut in_chain = vec![false; candidates.len()];
     let mut groups = Vec::new();
--- a/crates/fleet/src/placement/covers.rs
+++ b/crates/fleet/src/placement/covers.rs
@@ -1,4 +1,4 @@
-//! Covers of a data centre whose endpoints hold nothing yet.
+//! Lays out covers for a data centre whose endpoints hold no layers yet.
 
 use super::{Placement, Slot, most_layers, moves, request_tokens};
 use crate::{
@@ -7,18 +7,19 @@
     layers::LayerRange,
 };
 
-/// Requests for which each endpoint of a cover keeps memory at least.
+/// The minimum number of concurrent requests for which each endpoint of a cover keeps memory.
 pub(super) const FEWEST_REQUESTS: f64 = 12.0;
-/// Steps in which room for more requests is tried, and how many: up to what a fast chain can run at
-/// once before its steps get long.
+/// The step between the request capacities that are tried, and the number of steps: up to what a
+/// fast chain can run at once before its steps get long.
 const ROOM_STEP: f64 = 4.0;
 const ROOM_STEPS: u32 = 30;
-/// Covers that are searched for together: each further one makes that some thirty times longer.
+/// The maximum number of covers that are searched for together; each further one makes the search
+/// about thirty times longer.
 const MOST_COVERS: usize = 2;
-/// What a request served after the loss of an endpoint is worth beside one served before.
+/// The weight of a request served after the loss of an endpoint, relative to one served before it.
 const LOSS_WEIGHT: f64 = 0.5;
 
-/// The most layers of each endpoint while there is room for `requests` on each of them.
+/// The maximum number of layers of each endpoint that leaves free capacity for `requests`.
 fn sizes(engine: &Engine, slots: &[Slot<'_>], requests: f64) -> Vec<u32> {
     let tokens = requests * request_tokens(engine);
     let size = |s: &Slot<'_>| most_layers(engine, s.accelerator, tokens);
@@ -28,13 +29,14 @@
 /// Endpoints that hold all layers between them.
 #[derive(Debug, Clone)]
 struct Cover {
-    /// Places among the slots, with the layers of each.
+    /// Indices of slots, with the layers of each.
     members: Vec<(usize, LayerRange)>,
-    /// Requests that it serves in a second.
+    /// Requests per second that it serves.
     rate: f64,
 }
 
-/// Places covers on endpoints of which none holds anything.
+/// Places covers on endpoints none of which holds layers, then assigns layers to the endpoints that
+/// are in no cover.
 pub(super) fn cover_anew(engine: &Engine, slots: &[Slot<'_>], out: &mut Vec<Placement>) {
     for (i, layers) in laid_out(engine, slots) {
         out.push(Placement {
@@ -45,7 +47,7 @@
     moves::fill_gaps(engine, slots, out);
 }
 
-/// The layers of the endpoints that are part of a cover, as if none of them held anything.
+/// The layers of the endpoints that are in a cover, computed as if no endpoint held any.
 pub(super) fn laid_out(engine: &Engine, slots: &[Slot<'_>]) -> Vec<(usize, LayerRange)> {
     let free: Vec<usize> = (0..slots.len()).collect();
     let mut plans: Vec<Vec<Cover>> = rooms()
@@ -60,13 +62,13 @@
     covers.into_iter().flat_map(|c| c.members).collect()
 }
 
-/// The amounts of room that are tried, in requests, the least first.
+/// The request capacities that are tried, in ascending order.
 fn rooms() -> impl Iterator<Item = f64> {
     (0..ROOM_STEPS).map(|step| FEWEST_REQUESTS + f64::from(step) * ROOM_STEP)
 }
 
-/// As many covers as there are, with room for `most` requests while that lasts, and then with less
-/// and less.
+/// As many covers as the endpoints allow, with free capacity for `max_requests` as long as
+/// possible, and then with less and less, down to [`MIN_REQUESTS`].
 fn many_covers(engine: &Engine, slots: &[Slot<'_>], most: f64) -> Vec<Cover> {
     let mut free: Vec<usize> = (0..slots.len()).collect();
     let mut covers = Vec::new();
@@ -87,10 +89,10 @@
     covers
 }
 
-/// The covers of the free endpoints that are worth most.
+/// The covers of the free endpoints that have the highest score.
 ///
-/// For the first cover each amount of room for requests is tried, and for each the best of what is
-/// left over is found in the same way.
+/// Tries each request capacity for the first cover, and for each of these finds the best covers of
+/// the remaining endpoints in the same way.
 fn best_covers(engine: &Engine, slots: &[Slot<'_>], free: &[usize], most: usize) -> Vec<Cover> {
     if most == 0 {
         return Vec::new();
@@ -100,7 +102,8 @@
     for requests in rooms() {
         let sizes = sizes(engine, slots, requests);
         let Some(members) = cover(engine.layers, &sizes, free) else {
-            // Endpoints hold less and less from here on.
+            // The number of layers for each endpoint falls as the capacity rises, so no later one
+            // fits.
             break;
         };
         let members = lay_out(engine.layers, &sizes, &members);
@@ -129,15 +132,15 @@
     best.1
 }
 
-/// What covers are worth: the requests that they serve in a second, and those that they still
-/// serve, on average, when any one of the endpoints is lost.
+/// The score of covers: the requests per second that they serve, plus, with [`LOSS_WEIGHT`], those
+/// that they still serve on average after the loss of any one endpoint.
 fn worth(covers: &[Cover], endpoints: usize) -> f64 {
     let kept = |c: &Cover| c.rate * (1.0 - c.members.len() as f64 / endpoints as f64);
     let whole: f64 = covers.iter().map(|c| c.rate).sum();
     whole + LOSS_WEIGHT * covers.iter().map(kept).sum::<f64>()
 }
 
-/// Requests that a cover serves in a second.
+/// Requests per second that a cover serves.
 fn rate(engine: &Engine, slots: &[Slot<'_>], members: &[(usize, LayerRange)]) -> f64 {
     let held = |(i, layers): &(usize, LayerRange)| Holding::new(slots[*i].accelerator, *layers);
     let holdings: Vec<Holding> = members.iter().map(held).collect();
@@ -145,8 +148,8 @@
     Figures::new(engine, parts).rate(engine)
 }
 
-/// One cover out of the endpoints that are free: the fastest that fit, and for what is missing then
-/// the one that wastes least.
+/// Selects one cover from the free endpoints: the fastest that fit, and for the remaining layers
+/// the endpoint that wastes least memory. `None` if no free endpoints hold all layers.
 fn cover(layers: u32, sizes: &[u32], free: &[usize]) -> Option<Vec<usize>> {
     let mut members = Vec::new();
     let mut missing = layers;
@@ -165,9 +168,9 @@
     Some(members)
 }
 
-/// Gives the members of one cover ranges one after the other.
+/// Assigns consecutive ranges to the members of one cover.
 ///
-/// What they could hold beyond the layers is left for requests, on all of them alike.
+/// Memory beyond what the layers need is left for requests, in proportion on all members.
 fn lay_out(layers: u32, sizes: &[u32], members: &[usize]) -> Vec<(usize, LayerRange)> {
     let held: u32 = members.iter().map(|i| sizes[*i]).sum();
     let mut first = 0;
--- a/crates/fleet/src/placement/knowledge.rs
+++ b/crates/fleet/src/placement/knowledge.rs
@@ -1,10 +1,10 @@
 //! What the host that places layers knows of engines beyond their entries, and which orders that
 //! allows.
 //!
-//! Entries are old, and an order may be carried out seconds after it was given, or by an engine that
-//! an earlier holder of the lease ordered. So an engine is asked before it gets an order, the order
-//! goes only to the start that was asked, and one without an answer is left alone until the order can
-//! no longer be carried out.
+//! Entries are old, and an order may be carried out seconds after it was given, or by an engine
+//! that an earlier holder of the lease ordered. So an engine is polled before it gets an order, the
+//! order goes only to the incarnation that was polled, and an engine that did not answer an order
+//! gets no other until the first can no longer be carried out.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -16,72 +16,72 @@
     layers::LayerRange,
 };
 
-/// How long an order that got no answer may still be carried out.
+/// How long after it was sent an order without an answer may still be carried out.
 const LATE_ORDER: Duration = Duration::from_secs(12);
-/// How long an engine that was ordered to load may go without being listed with its layers.
+/// How long an engine that accepted an order may go without being listed with its layers.
 const LOADING: Duration = Duration::from_secs(20);
-/// How long an engine is left alone after it refused an order or gave no report.
+/// How long an engine gets no order after it refused one or gave no report.
 const REFUSED: Duration = Duration::from_millis(1500);
 
-/// The most engines that are asked before those that hold nothing are planned for.
+/// The maximum number of empty engines that are polled before a plan.
 const MOST_ASKED: usize = 128;
 
-/// What an engine says of itself when it is asked.
+/// What an engine reports when it is polled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Told {
     /// The layers that it holds.
     pub layers: Option<LayerRange>,
-    /// An order is being carried out.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// Orders that it has begun since it started.
+    /// The number of orders that it has started since its incarnation started.
     pub orders: u64,
 }
 
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It has begun, or was so already.
+    /// The engine has started it, or already holds the layers.
     Taken,
-    /// It was refused, or was not sent.
+    /// The engine refused it, or it was not sent.
     Refused,
     /// There was no answer: it may be carried out later.
     Unknown,
 }
 
-/// An order to an engine.
+/// An order to an engine to load layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Order {
     /// The engine.
     pub endpoint: Rc<Endpoint>,
-    /// The layers that it is to hold.
+    /// The layers to load.
     pub layers: LayerRange,
-    /// How many orders it must have begun: as many as when it was asked.
+    /// The number of orders that the engine must have started: the number that it last reported.
     pub begun: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Known {
-    /// It was asked and is as listed; how many orders it had begun.
+    /// It was polled and is as listed; the number of orders that it had started.
     Asked(u64),
-    /// It holds these layers or loads them, until then at the latest.
+    /// It holds these layers or loads them, until that time at the latest.
     Loading(LayerRange, Duration),
-    /// Nothing can be said before then.
+    /// Its state is unknown until that time.
     Unsure(Duration),
 }
 
-/// What is known of engines, by the ids of their starts.
+/// What is known of engines beyond their entries, by the ids of their incarnations.
 #[derive(Debug, Default)]
 pub struct Knowledge {
     known: FxHashMap<Rc<str>, Known>,
 }
 
 impl Knowledge {
-    /// Another host may give orders now: what was known is no longer so.
+    /// Discards all states: another host may give orders now, so they may be outdated.
     pub fn clear(&mut self) {
         self.known.clear();
     }
 
-    /// Forgets starts that are no longer listed.
+    /// Removes incarnations that are no longer listed.
     pub fn keep_listed(&mut self, directory: &Directory) {
         self.known.retain(|id, _| directory.get(id).is_some());
     }
@@ -91,8 +91,9 @@
         self.known.contains_key(id)
     }
 
-    /// Engines that are listed as empty and of which nothing is known any more: they are asked now. Of many
-    /// some data centres come first, so that the first are ordered before the last have been asked.
+    /// Engines that are listed as empty and of which nothing else is known (any more); these are to
+    /// be polled. If there are more than [`MAX_POLLED_ENGINES`], only those of the first data
+    /// centres are returned, so that these get orders before the last are polled.
     pub fn empty_ones(&mut self, endpoints: &[Rc<Endpoint>], now: Duration) -> Vec<Rc<Endpoint>> {
         self.forget_outdated(endpoints, now);
         let unknown = |e: &&Rc<Endpoint>| e.layers.is_none() && !self.knows(&e.id);
@@ -128,13 +129,13 @@
         }
     }
 
-    /// Whether an engine was asked and holds nothing.
+    /// Whether an engine was polled and holds no layers.
     pub fn is_empty(&self, endpoint: &Endpoint) -> bool {
         let known = self.known.get(&endpoint.id);
         endpoint.layers.is_none() && matches!(known, Some(Known::Asked(_)))
     }
 
-    /// What an engine that is listed as empty has told; `None` if it did not answer.
+    /// Records the report of an engine that is listed as empty; `None` if it did not answer.
     pub fn empty_told(&mut self, id: &Rc<str>, told: Option<Told>, now: Duration) {
         let known = match told {
             Some(Told {
@@ -148,7 +149,7 @@
         self.known.insert(id.clone(), known);
     }
 
-    /// The loaded engines that are to move and of which nothing is known: they are asked.
+    /// The loaded engines that are to move and of which nothing is known; these are to be polled.
     pub fn movers(
         &self,
         endpoints: &[Rc<Endpoint>],
@@ -161,8 +162,8 @@
         endpoints.iter().filter(moves).cloned().collect()
     }
 
-    /// What a loaded engine that is to move has told. One that does not answer, or is not as it is
-    /// listed, stays as it is.
+    /// Records the report of a loaded engine that is to move; `None` if it did not answer. An
+    /// engine that did not answer, or is not as it is listed, is not moved.
     pub fn mover_told(&mut self, endpoint: &Endpoint, told: Option<Told>, now: Duration) {
         let known = match told {
             Some(told) if !told.busy && told.layers == endpoint.layers => Known::Asked(told.orders),
@@ -171,8 +172,9 @@
         self.known.insert(endpoint.id.clone(), known);
     }
 
-    /// The orders for what is planned: to engines that were asked, and that have not started again
-    /// since. One that has counts its orders anew, and may be at the same count by chance.
+    /// The orders for what is planned: only to engines that were polled and have not restarted
+    /// since. A restarted engine counts its orders from zero and may reach the same count by
+    /// chance.
     pub fn orders(&self, directory: &Directory, placements: &[Placement]) -> Vec<Order> {
         let order = |placement: &Placement| {
             let Some(Known::Asked(begun)) = self.known.get(&placement.id) else {
@@ -187,7 +189,7 @@
         placements.iter().filter_map(order).collect()
     }
 
-    /// An order has ended.
+    /// Records how an order ended.
     pub fn ordered(&mut self, order: &Order, outcome: Outcome, now: Duration) {
         let known = match outcome {
             Outcome::Taken => Known::Loading(order.layers, now + LOADING),
@@ -197,7 +199,7 @@
         self.known.insert(order.endpoint.id.clone(), known);
     }
 
-    /// What is believed of an engine for plans.
+    /// The state of an engine that plans assume.
     pub fn belief(&self, directory: &Directory, id: &str) -> Belief {
         match self.known.get(id) {
             _ if directory.is_lost(id) => Belief::Lost,
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -1,19 +1,19 @@
 //! Decides which endpoint holds which layers.
 //!
-//! A plain function from what is known to the ranges that should be loaded. Each data centre gets
-//! covers of its own, since it may be cut off from the others. Layers and requests share an
-//! endpoint's memory: the more layers it holds, the fewer requests it can carry. So the fast
-//! accelerators make the first cover with room for many requests, and the slow ones a second
-//! cover, which carries on when an endpoint of the first is lost.
+//! A pure function from what is known to the ranges that should be loaded. Each data centre gets
+//! covers of its own, since it may be partitioned from the others. Layers and requests share an
+//! endpoint's memory: the more layers it holds, the fewer requests it can run. So the fast
+//! accelerators form the first cover with free capacity for many requests, and the slow ones a
+//! second cover, which continues when an endpoint of the first is lost.
 //!
-//! What is loaded mostly stays where it is: endpoints that hold nothing are given the layers that
-//! help their data centre most, and a loaded one moves only if that is worth far more than it
-//! costs. An engine that joins where nothing is missing mostly stands for one that is about to
-//! leave, and takes its layers.
+//! Loaded layers mostly stay where they are: empty endpoints get the layers that help their data
+//! centre most, and a loaded one moves only if the gain is much higher than the cost. An engine
+//! that joins a data centre where nothing is missing is usually the replacement of one that is
+//! about to drain, and takes its layers.
 //!
 //! A data centre of many engines is planned in [`cells`].
 //!
-//! [`planner`] is the whole of it for one service, [`plan`] the part without memory.
+//! [`planner`] does all of this for one service; [`plan`] is the part that keeps no state.
 
 pub mod cells;
 mod covers;
@@ -37,36 +37,38 @@
 /// An endpoint that may hold layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub id: Rc<str>,
-    /// Where it is.
+    /// The data centre of the endpoint.
     pub data_centre: Rc<str>,
-    /// Its accelerator's name.
+    /// The name of its accelerator.
     pub accelerator: Rc<str>,
-    /// The layers that it holds, or is loading.
+    /// The layers that it holds or is loading.
     pub holds: Option<LayerRange>,
-    /// It is loading, or may be: it is given nothing. Without layers it is not known what.
+    /// Whether it is loading, or may be: it gets no layers. If `held_layers` is `None` it is
+    /// unknown which.
     pub loading: bool,
 }
 
-/// What is believed of an engine beyond its entry.
+/// The state of an engine that plans assume, beyond its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Belief {
-    /// It is as it is listed.
+    /// As its entry says.
     Listed,
     /// It holds these layers or loads them.
     Loading(LayerRange),
     /// It may be carrying out an order.
     Unsure,
-    /// It does not answer, or says that it is not as it is listed.
+    /// It does not answer, or reports that it is not as it is listed.
     Lost,
 }
 
 impl Candidate {
-    /// What is planned with; `None` for an endpoint that holds no layers of a model.
+    /// The candidate for an endpoint in an assumed state; `None` for an endpoint without an
+    /// accelerator.
     ///
-    /// An engine that is lost is planned without: it may have started again, and an empty one should
-    /// rather take its layers than others.
+    /// An unresponsive engine is left out as well: it may have restarted, and an empty engine
+    /// should rather take its layers than others.
     pub fn of(endpoint: &Endpoint, belief: Belief) -> Option<Self> {
         let holds = match belief {
             Belief::Listed | Belief::Unsure => endpoint.layers,
@@ -86,9 +88,9 @@
 /// Layers that an endpoint should load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub id: Rc<str>,
-    /// The layers.
+    /// The layers to load.
     pub layers: LayerRange,
 }
 
@@ -97,9 +99,9 @@
     accelerator: &'a Accelerator,
 }
 
-/// What endpoints should load: all that hold nothing, and loaded ones that are worth moving.
+/// What endpoints should load: all empty ones, and loaded ones that are worth moving.
 ///
-/// Nothing loaded moves in data centres that are `unsettled`.
+/// No loaded layers move in data centres that are `unsettled`.
 pub fn plan(
     engine: &Engine,
     candidates: &[Candidate],
@@ -108,7 +110,7 @@
     plan_in(engine, &mut Cells::default(), candidates, unsettled)
 }
 
-/// The same, where cells are known from the plan before.
+/// Like [`plan`], with the cells of the previous plan.
 pub fn plan_in(
     engine: &Engine,
     cells: &mut Cells,
@@ -151,13 +153,13 @@
     })
 }
 
-/// The most layers that leave room for `tokens` of requests on each of them.
+/// The maximum number of layers that leaves memory for the requests' `tokens` on each of them.
 fn most_layers(engine: &Engine, accelerator: &Accelerator, tokens: f64) -> u32 {
     let per_layer = engine.layer_mb + tokens * engine.token_layer_mb;
     ((accelerator.memory_mb / per_layer) as u32).clamp(1, engine.most_layers(accelerator).max(1))
 }
 
-/// Tokens of one request, prompt and answer.
+/// The tokens of a typical request, prompt and answer.
 fn request_tokens(engine: &Engine) -> f64 {
     (engine.usual_prompt + engine.usual_answer).max(1.0)
 }
--- a/crates/fleet/src/placement/moves.rs
+++ b/crates/fleet/src/placement/moves.rs
@@ -1,12 +1,13 @@
-//! What endpoints load that hold nothing, and which loaded ones move.
+//! Which layers empty endpoints load, and which loaded endpoints move.
 //!
-//! A choice is judged by the requests that its data centre serves until [`HORIZON_S`] from now: with
-//! what the endpoint keeps while it loads, and with the whole range from then on. So a gap is closed
-//! by the neighbour that has the fewest layers to load, where a far better range would take seconds
-//! in which there is no chain.
+//! A choice is evaluated by the requests that its data centre serves until [`HORIZON_S`] from now:
+//! with the layers that the endpoint keeps while it loads, and with the whole range after that. So
+//! a gap is closed by the neighbour that has the fewest layers to load, where a far better range
+//! would take seconds without a chain.
 //!
-//! Beside single choices there is the layout that the data centre would have if it were placed anew:
-//! where that serves much more, endpoints move towards it, one after the other while there is a chain.
+//! Beside single choices there is the layout that the data centre would have if it were placed
+//! anew. Where that serves much more, endpoints move towards it, one after the other while there is
+//! a chain.
 
 use super::{
     Placement, Slot,
@@ -17,29 +18,30 @@
 };
 use crate::{catalogue::Engine, layers::LayerRange};
 
-/// How long a placement is expected to last, in seconds: on bad days endpoints come and go every ten
-/// seconds or so, and what is placed serves on until its own endpoints go.
+/// How long a placement is expected to last, in seconds: in the worst case endpoints come and go
+/// about every ten seconds, and a placement serves until its own endpoints go.
 const HORIZON_S: f64 = 15.0;
-/// Requests for which an endpoint that joins keeps memory.
+/// The number of requests for which an endpoint that joins keeps memory.
 const USUAL_REQUESTS: f64 = 32.0;
-/// How many times more a data centre must serve for layers to be chosen by that.
+/// The minimum ratio of requests served, with to without a load, for which layers are chosen by it.
 const WORTH_A_LOAD: f64 = 1.02;
-/// How many times more a data centre must serve for a loaded endpoint to move: what is expected of
-/// chains is not what they serve to the last request.
+/// The minimum ratio of requests served, with to without a move, for which a loaded endpoint moves.
+/// It leaves a margin, as the expected rate of chains is only an estimate of what they serve.
 const WORTH_A_MOVE: f64 = 1.25;
-/// The most moves at once where no chain is left.
+/// The maximum number of moves at once where no chain is left.
 const MOST_MOVES: usize = 6;
-/// The part of what is served now that must still be served during a step towards a better layout.
+/// The minimum share of what is served now that must still be served during a step towards a better
+/// layout.
 const STEP_KEEPS: f64 = 0.9;
 
-/// A range for an endpoint, and the requests that its data centre serves with it.
+/// A range for an endpoint, and the requests that its data centre serves with it until the horizon.
 #[derive(Debug, Clone, Copy)]
 struct Choice {
     range: LayerRange,
     served: f64,
 }
 
-/// The endpoints of a data centre and what each holds, loads or is to load.
+/// The endpoints of a data centre (or one cell of it) and what each holds, loads or is to load.
 struct Centre<'a> {
     engine: &'a Engine,
     slots: &'a [Slot<'a>],
@@ -47,7 +49,7 @@
 }
 
 impl<'a> Centre<'a> {
-    /// What each slot holds, or was given before in `out`.
+    /// Starts with the layers that each slot holds, or was assigned before in `out`.
     fn new(engine: &'a Engine, slots: &'a [Slot<'a>], out: &[Placement]) -> Self {
         let placed = |s: &Slot<'_>| {
             out.iter()
@@ -65,12 +67,12 @@
         }
     }
 
-    /// What is served in a second as things are.
+    /// The value of the current layers, in requests per second.
     fn value(&self) -> f64 {
         value(self.engine, self.slots, &self.held)
     }
 
-    /// What is served in a second if a slot holds other layers.
+    /// The value if a slot holds other layers, in requests per second.
     fn value_with(&mut self, slot: usize, range: Option<LayerRange>) -> f64 {
         let before = std::mem::replace(&mut self.held[slot], range);
         let value = self.value();
@@ -78,19 +80,19 @@
         value
     }
 
-    /// How long a slot takes to load what it does not hold of a range, in seconds.
+    /// How long a slot takes to load the layers of a range that it does not hold, in seconds.
     fn load_s(&self, slot: usize, range: LayerRange) -> f64 {
         let new_layers = new_layers(self.held[slot], range);
         self.engine.load_s * f64::from(new_layers) / f64::from(self.engine.layers)
     }
 
-    /// What is served until the horizon if a slot loads a range from now on; `None` if that can't
-    /// be more than `least`.
+    /// The requests served until the horizon if a slot loads a range from now on; `None` if that
+    /// can't exceed `min_served`.
     fn served(&mut self, slot: usize, range: LayerRange, now: f64, least: f64) -> Option<f64> {
         let kept = self.held[slot].and_then(|held| held.intersection(range));
         let load_s = self.load_s(slot, range).min(HORIZON_S);
         let after = self.value_with(slot, Some(range)) * (HORIZON_S - load_s);
-        // While it loads, no more is served than before.
+        // During the load no more is served than before it.
         if after + now * load_s <= least {
             return None;
         }
@@ -101,7 +103,7 @@
         Some(after + during * load_s)
     }
 
-    /// The range for a slot with which most is served, if that is more than `least`.
+    /// The range for a slot that serves most, if that is more than `min_served`.
     fn best(&mut self, slot: usize, now: f64, least: f64, requests: f64) -> Option<Choice> {
         let mut best: Option<Choice> = None;
         for range in self.ranges(slot, requests) {
@@ -115,8 +117,8 @@
         best
     }
 
-    /// The ranges that a slot may hold: they begin and end where other holders' do, or are as large
-    /// as the memory allows.
+    /// The ranges that a slot may hold: their ends are those of other holders' ranges, or they are
+    /// as large as the memory allows.
     fn ranges(&self, slot: usize, requests: f64) -> Vec<LayerRange> {
         let tokens = requests * request_tokens(self.engine);
         let accelerator = self.slots[slot].accelerator;
@@ -135,7 +137,7 @@
                 match end - first <= most {
                     true => ranges.extend(LayerRange::new(first, end)),
                     false => {
-                        // A part of a longer stretch, from either side.
+                        // As many layers of a longer stretch as fit, from either end of it.
                         ranges.extend(LayerRange::new(first, first + most));
                         ranges.extend(LayerRange::new(end - most, end));
                         break;
@@ -147,7 +149,8 @@
         ranges
     }
 
-    /// The layout as if placed anew, and what is served until the horizon on the way to it.
+    /// The layout as if placed anew, and the requests served until the horizon during and after the
+    /// change to it.
     fn target(&self, now: f64) -> Target {
         let layout = target::layout(self.engine, self.slots, &self.held);
         let differing = |i: &usize| layout[*i] != self.held[*i];
@@ -156,7 +159,7 @@
             .iter()
             .filter_map(|&i| Some(self.load_s(i, layout[i]?)));
         let load_s = match has_chain(self.engine, now) {
-            // One after the other, or all at once.
+            // Moves are made one after the other while there is a chain, otherwise all at once.
             true => loads.sum::<f64>(),
             false => {
                 let crowd = steps.len() as f64 / self.engine.loads_at_once;
@@ -184,9 +187,9 @@
     served: f64,
 }
 
-/// Gives endpoints that hold nothing layers: those of the layout as if placed anew if that serves
-/// most, those that let the data centre serve most by themselves, or else those in which it is
-/// weakest.
+/// Assigns layers to empty endpoints: those of the layout as if placed anew if that serves most,
+/// those with which the data centre serves most if this endpoint alone is changed, or else those in
+/// which it is weakest.
 pub(super) fn fill_gaps(engine: &Engine, slots: &[Slot<'_>], out: &mut Vec<Placement>) {
     let mut centre = Centre::new(engine, slots, out);
     for (i, slot) in slots.iter().enumerate() {
@@ -210,7 +213,8 @@
     }
 }
 
-/// The layers in which a data centre is weakest, as many as leave the usual room for requests.
+/// The layers in which a data centre is weakest, as many as leave capacity for
+/// [`TYPICAL_REQUESTS`].
 fn by_weakness(centre: &Centre<'_>, slot: usize) -> LayerRange {
     let engine = centre.engine;
     let accelerator = centre.slots[slot].accelerator;
@@ -221,10 +225,10 @@
     weakest(&speeds, size.min(engine.layers))
 }
 
-/// Moves of loaded endpoints with which a data centre serves much more.
+/// Moves loaded endpoints where a data centre then serves much more.
 ///
-/// Where no chain is left several endpoints may move at once, as there is nothing to lose; else
-/// one at a time, and only when nothing loads any more.
+/// Where no chain is left several endpoints may move at once, as there is nothing to lose.
+/// Otherwise one moves at a time, and only when no endpoint is loading.
 pub(super) fn moves(engine: &Engine, slots: &[Slot<'_>], out: &mut Vec<Placement>) {
     let mut centre = Centre::new(engine, slots, out);
     let loading = slots.iter().any(|s| s.candidate.loading);
@@ -249,8 +253,8 @@
     }
 }
 
-/// What a data centre that has a chain moves: one endpoint towards the layout as if placed anew, or
-/// none.
+/// The move of a data centre that has a chain: at most one endpoint, towards the layout as if
+/// placed anew.
 fn improve(centre: &mut Centre<'_>, now: f64) -> Vec<(usize, LayerRange)> {
     let target = centre.target(now);
     if target.served <= now * HORIZON_S * WORTH_A_MOVE {
@@ -272,8 +276,8 @@
     best.map(|(i, c)| (i, c.range)).into_iter().collect()
 }
 
-/// What a data centre without a chain moves: one endpoint that brings it back or nearer to it, or
-/// all that differ from the layout as if placed anew.
+/// The moves of a data centre without a chain: one endpoint that restores a chain or comes nearer
+/// to one, or all that differ from the layout as if placed anew.
 fn repair(centre: &mut Centre<'_>, now: f64) -> Vec<(usize, LayerRange)> {
     let least = now * HORIZON_S;
     let alone = best_move(centre, now, least, USUAL_REQUESTS);
@@ -288,7 +292,7 @@
         .collect()
 }
 
-/// The move with which most is served, if that is more than `least`.
+/// The move that serves most, if that is more than `min_served`.
 fn best_move(
     centre: &mut Centre<'_>,
     now: f64,
--- a/crates/fleet/src/placement/planner.rs
+++ b/crates/fleet/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! What one service's engines should load, from one look at the list to the next.
+//! What the engines of one service should load, with the state that is kept between two plans.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,19 +20,19 @@
 /// The engines of one service, as they are listed and known.
 #[derive(Debug, Clone, Copy)]
 pub struct Engines<'a> {
-    /// Those that stay.
+    /// Engines that are not draining.
     pub staying: &'a [Rc<Endpoint>],
-    /// Those that have said that they are leaving.
+    /// Engines that have announced that they drain.
     pub leaving: &'a [Rc<Endpoint>],
-    /// What they have told.
+    /// What they have reported.
     pub known: &'a Knowledge,
-    /// What this host has seen of them.
+    /// The endpoints as this host sees them.
     pub directory: &'a Directory,
 }
 
 impl<'a> Engines<'a> {
-    /// Those that stay, with what is planned with of each. One that is listed as empty is left out until it
-    /// was asked.
+    /// The staying engines with their candidates. An engine that is listed as empty is left out
+    /// until it was polled.
     pub(super) fn candidates(&self) -> impl Iterator<Item = (&'a Rc<Endpoint>, Candidate)> {
         let Self {
             known, directory, ..
@@ -48,15 +48,16 @@
     }
 }
 
-/// What is planned for.
+/// The input of a plan.
 #[derive(Debug, PartialEq)]
 struct Situation {
     succession: Succession,
-    /// Data centres in which nothing loaded may move, as their list returns or an engine waits.
+    /// Data centres in which no loaded layers may move, as their list is coming back or an engine
+    /// waits for one to drain.
     unsettled: Vec<Rc<str>>,
 }
 
-/// A cell for which there was nothing to order.
+/// A cell whose last plan had no orders.
 #[derive(Debug, PartialEq)]
 struct PlannedCell {
     candidates: Vec<Candidate>,
@@ -75,39 +76,40 @@
     settling: Settling,
     successions: Successions,
     cells: Cells,
-    /// The state for which there was nothing to order.
+    /// The last input, if its plan had no orders.
     planned_for: Option<Situation>,
-    /// The same for single cells.
+    /// The cells whose last plan had no orders.
     planned_cells: FxHashMap<CellKey, PlannedCell>,
     waiting: Vec<Rc<str>>,
 }
 
-/// What follows from one look at the engines.
+/// The result of one planning round.
 #[derive(Debug, Default)]
 pub struct Plan {
     /// What engines should load.
     pub placements: Vec<Placement>,
-    /// Engines that begin to wait for one of their kind to leave.
+    /// Engines that start to wait for one of the same kind to drain.
     pub begin_to_wait: Vec<Rc<str>>,
 }
 
 impl Planner {
-    /// Watches the list while another host gives the orders.
+    /// Observes the list while another host gives the orders.
     pub fn watch(&mut self, engines: &Engines<'_>, now: Duration) {
         self.settling.unsettled(engines, now);
         self.successions.watch(engines, now);
     }
 
-    /// Whether the list has stood still for long enough; `asked` says that requests wait for it.
+    /// Whether the list of engines has been unchanged for long enough to plan with;
+    /// `requests_waiting` says that requests wait for a plan.
     pub fn settled(&mut self, engines: &Engines<'_>, asked: bool, now: Duration) -> bool {
         self.settling.settled(engines, asked, now)
     }
 
-    /// What engines should load now. Those that hold nothing have been asked.
+    /// What engines should load now. The empty ones must have been polled.
     pub fn plan(&mut self, engine: &Engine, engines: &Engines<'_>, now: Duration) -> Plan {
         let succession = self.successions.plan(engine.layers, engines, now);
         let mut unsettled = self.settling.unsettled(engines, now);
-        // An engine that waits may be what a move would make up for.
+        // A waiting engine may fill the gap that a move would fill.
         let waiting = engines.staying.iter();
         let waiting = waiting.filter(|e| succession.waiting.contains(&e.id));
         unsettled.extend(waiting.map(|e| e.data_centre.clone()));
@@ -135,7 +137,8 @@
         }
     }
 
-    /// What engines should load in the cells in which anything has changed since there was nothing to order.
+    /// What engines should load in the cells that have changed since their last plan without
+    /// orders.
     fn plan_cells(
         &mut self,
         engine: &Engine,
--- a/crates/fleet/src/placement/settling.rs
+++ b/crates/fleet/src/placement/settling.rs
@@ -1,8 +1,8 @@
-//! Whether the list of engines has stood still for long enough to plan with.
+//! Whether the list of engines has been unchanged for long enough to plan with.
 //!
-//! At a start engines are listed one after the other. And when engines that hold layers come back to
-//! the list, more will: a data centre that was cut off is listed again one engine after the other.
-//! Nothing moves there until its list stands still.
+//! At a start engines are listed one after the other. And when engines that hold layers come back
+//! to the list, more will follow: a partitioned data centre is listed again one engine after the
+//! other. No loaded layers move there until its list is stable.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,33 +10,34 @@
 
 use super::planner::Engines;
 
-/// How long the list of engines must stand still before the first plan of a start: a little over the
-/// pause between two entries of one engine, so that all that have started are listed.
+/// How long the list of engines must be unchanged before the first plan of a start: a little over
+/// the time between two entries of one engine, so that all that have started are listed.
 const SETTLE: Duration = Duration::from_millis(1500);
-/// The longest that the first plan waits for that, and while requests wait for it.
+/// The maximum time that the first plan waits for a stable list, without and with requests that
+/// wait for it.
 const MOST_SETTLE: Duration = Duration::from_millis(5500);
 const MOST_SETTLE_ASKED: Duration = Duration::from_millis(1000);
 
-/// How the list of one service's engines has changed.
+/// The changes of the list of one service's engines.
 #[derive(Debug, Default)]
 pub(super) struct Settling {
-    /// How many engines are listed, and since when.
+    /// The number of listed engines, and since when it is that.
     listed: (usize, Duration),
     first_seen: Option<Duration>,
-    /// The engines that held layers when the list was last looked at.
+    /// The engines that held layers when the list was last observed.
     holders: FxHashSet<Rc<str>>,
-    /// When an engine that holds layers last came to the list of a data centre.
+    /// When an engine that holds layers was last added to the list of a data centre.
     came_at: FxHashMap<Rc<str>, Duration>,
 }
 
 impl Settling {
-    /// Whether the list can be planned with; `asked` says that requests wait for it.
+    /// Whether the list can be planned with; `requests_waiting` says that requests wait for a plan.
     pub(super) fn settled(&mut self, engines: &Engines<'_>, asked: bool, now: Duration) -> bool {
         let listed = engines.staying.len();
         if listed == 0 {
             return false;
         }
-        // Later plans change little, and what is missing then is missed by requests.
+        // Later plans change little, and requests fail as long as layers are missing.
         if engines.staying.iter().any(|e| e.layers.is_some()) {
             return true;
         }
@@ -51,8 +52,9 @@
         self.listed.1 + SETTLE <= now || first + most <= now
     }
 
-    /// The data centres to whose list engines that hold layers have come a short time ago, or in which
-    /// one does not answer: it may be back in a moment, and is taken from the list if it is not.
+    /// The data centres to whose list engines that hold layers were added less than [`SETTLE`] ago,
+    /// or in which an engine is unresponsive: it may answer again soon, and is removed from the
+    /// list otherwise.
     pub(super) fn unsettled(&mut self, engines: &Engines<'_>, now: Duration) -> Vec<Rc<str>> {
         let mut holders = FxHashSet::default();
         for endpoint in engines.staying.iter().filter(|e| e.layers.is_some()) {
--- a/crates/fleet/src/placement/succession.rs
+++ b/crates/fleet/src/placement/succession.rs
@@ -1,11 +1,13 @@
-//! Which engine takes the layers of one that leaves.
+//! Which joining engine takes the layers of a draining one.
 //!
-//! When engines are replaced one by one, the new one starts first, and the one that it stands for says
-//! that it is leaving a second later. Given the layers that help most when it joins, the new one holds
-//! something twice, a gap opens, and engines that serve have to move to close it, which first wait for
-//! all that passes through them. So a new engine in a data centre that lacks nothing is given nothing
-//! for a moment, and then exactly what one of its kind gives up. One that joins after a loss does not
-//! wait. While one waits nothing loaded moves in its data centre: what it is given decides that.
+//! When engines are replaced one by one, the new one starts first, and the one that it replaces
+//! announces a second later that it drains. If the new one got the layers that help most when it
+//! joins, these would be held twice, a gap would open when the old one goes, and engines that serve
+//! would have to move to close it, which first wait until their running requests are done. So a new
+//! engine in a data centre that lacks no layers gets none for a moment, and then exactly those of a
+//! draining engine of the same kind. An engine that joins after a loss does not wait. While one
+//! waits no loaded layers move in its data centre, since the layers that it gets decide which moves
+//! are needed.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,51 +19,53 @@
     layers::{self, LayerRange},
 };
 
-/// How long a new engine waits for one of its kind to leave. Whoever replaces engines one by one
-/// starts the new one, sees it listed, and stops the old one: it is
-/// listed as leaving one to two seconds after the new one. An engine that was meant to be one more serves so
-/// much later; loading takes it 2 s and more.
+/// How long a new engine waits for one of the same kind to drain. A rolling replacement starts the
+/// new engine, sees it listed, and stops the old one, which is listed as draining one to two
+/// seconds after the new one. An engine that was started as an additional one serves later by this
+/// time; loading takes it 2 s and more.
 const WAIT: Duration = Duration::from_millis(1800);
 
-/// How long an engine that is lost is missed: what starts in its place does so within seconds, and
-/// what joins later joins for another reason.
+/// How long a vanished engine can be replaced by one that joins: its replacement starts within
+/// seconds, and an engine that joins later joins for another reason.
 const MISSED: Duration = Duration::from_secs(30);
 
-/// What follows for the engines that hold nothing.
+/// What is planned for the empty engines, and the candidates for all other plans.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Succession {
-    /// These take the layers of engines that leave.
+    /// Empty engines that take the layers of draining ones.
     pub successors: Vec<Placement>,
-    /// These wait for one of their kind to leave.
+    /// Empty engines that wait for one of the same kind to drain.
     pub waiting: Vec<Rc<str>>,
-    /// What else is planned with: successors count as loading, and those that wait are left out.
+    /// The candidates for all other plans: replacements count as loading, and those that wait are
+    /// left out.
     pub candidates: Vec<Candidate>,
 }
 
-/// An engine that serves, and what it holds or loads.
+/// An engine that serves, and the layers that it holds or loads.
 type Serving<'a> = (&'a Rc<Endpoint>, LayerRange);
 
-/// What is remembered from one plan to the next, of the engines of one service.
+/// The state that is kept between two plans, for the engines of one service.
 #[derive(Debug, Default)]
 pub struct Successions {
-    /// Until when each engine that holds nothing waits at the longest.
+    /// When each empty engine stops waiting at the latest.
     waits_until: FxHashMap<Rc<str>, Duration>,
-    /// The engine that has taken over from each that leaves or has left.
+    /// The replacement of each engine that drains or has drained.
     successor_of: FxHashMap<Rc<str>, Rc<str>>,
-    /// The engines that stayed and held layers when the list was last looked at.
+    /// The staying engines that held layers when the list was last observed.
     held: Vec<Rc<Endpoint>>,
-    /// Engines that are lost, since when: what joins stands for them first.
+    /// Engines that vanished without draining, and when: an engine that joins first replaces one of
+    /// these.
     missed: Vec<(Rc<Endpoint>, Duration)>,
 }
 
 impl Successions {
-    /// Notes what is lost while another host gives the orders.
+    /// Records vanished engines while another host gives the orders.
     pub fn watch(&mut self, engines: &Engines<'_>, now: Duration) {
         let candidates: Vec<_> = engines.candidates().collect();
         self.miss(&serving(&candidates), engines.leaving, now);
     }
 
-    /// What follows for the engines that hold nothing and were asked.
+    /// Plans for the empty engines that were polled.
     pub fn plan(&mut self, layers: u32, engines: &Engines<'_>, now: Duration) -> Succession {
         let empty = engines.staying.iter();
         let empty: Vec<&Rc<Endpoint>> = empty.filter(|e| engines.known.is_empty(e)).collect();
@@ -112,12 +116,13 @@
             until.or_insert(now + WAIT);
         }
         let stays = ids(engines.staying);
-        // Also of what has gone: its entry may have been on its way for long, and list it once more.
+        // Engines that are gone are kept too: a delayed entry may list one of them once more.
         self.successor_of.retain(|_, to| stays.contains(to));
         self.miss(serving, engines.leaving, now);
     }
 
-    /// The layers of one of its kind and data centre that leaves and has no other successor.
+    /// The layers of a draining engine of the same kind and data centre that has no other
+    /// replacement.
     fn takes_over(&mut self, successor: &Endpoint, leaving: &[Rc<Endpoint>]) -> Option<LayerRange> {
         let fits = |from: &&Rc<Endpoint>| {
             let taken = self.successor_of.get(&from.id);
@@ -133,7 +138,7 @@
         from.layers
     }
 
-    /// Notes the engines that went without having said so, and forgets those that are back.
+    /// Records the engines that went without draining, and removes those that are back.
     fn miss(&mut self, serving: &[Serving<'_>], leaving: &[Rc<Endpoint>], now: Duration) {
         let there = ids(serving.iter().map(|(e, _)| *e).chain(leaving));
         let lost = self.held.iter().filter(|e| !there.contains(&e.id));
@@ -144,7 +149,8 @@
         self.held = held.map(|(e, _)| Rc::clone(e)).collect();
     }
 
-    /// Whether an engine of its data centre is missed, best one of its kind, for which it then stands.
+    /// Whether an engine of its data centre has vanished; it then replaces that one, preferably one
+    /// of its kind.
     fn stands_for_missed(&mut self, endpoint: &Endpoint) -> bool {
         let near = |e: &Endpoint| e.data_centre == endpoint.data_centre;
         let mut missed = self.missed.iter();
@@ -153,8 +159,8 @@
         stands.map(|at| self.missed.remove(at)).is_some()
     }
 
-    /// Whether it may be meant for one that will leave: its data centre has all layers without it, and
-    /// one of its kind that may go.
+    /// Whether it may be the replacement of an engine that will drain: its data centre has all
+    /// layers without it, and an engine of its kind.
     fn waits(
         &self,
         layers: u32,
@@ -178,12 +184,12 @@
     serving.collect()
 }
 
-/// The ids of engines, to look many of them up: each host does so with each look at the list.
+/// The ids of engines as a set, as each host looks many of them up in each round.
 fn ids<'a>(engines: impl IntoIterator<Item = &'a Rc<Endpoint>>) -> FxHashSet<&'a Rc<str>> {
     engines.into_iter().map(|e| &e.id).collect()
 }
 
-/// Whether one engine can stand for another.
+/// Whether one engine can replace another.
 fn alike(one: &Endpoint, other: &Endpoint) -> bool {
     one.data_centre == other.data_centre && one.accelerator == other.accelerator
 }
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -1,18 +1,18 @@
-//! The layout that a data centre would have if it were placed anew, with as little as possible to
-//! load.
+//! The layout that a data centre would have if it were placed anew, with the minimum number of
+//! layers to load.
 
 use pathfinding::{kuhn_munkres::kuhn_munkres_min, matrix::Matrix};
 
 use super::{Slot, covers};
 use crate::{catalogue::Engine, layers::LayerRange};
 
-/// How many of a range's layers an endpoint would have to load.
+/// The number of layers of a range that an endpoint would have to load.
 pub(super) fn new_layers(held: Option<LayerRange>, range: LayerRange) -> u32 {
     let kept = held.and_then(|held| held.intersection(range));
     range.count() - kept.map_or(0, |k| k.count())
 }
 
-/// What each slot would hold. Those that no cover needs stay as they are.
+/// The layers that each slot would hold. Slots that are in no cover keep theirs.
 pub(super) fn layout(
     engine: &Engine,
     slots: &[Slot<'_>],
@@ -32,7 +32,7 @@
     layout
 }
 
-/// Ranges given to endpoints that are alike, so that the fewest layers are loaded.
+/// Assigns ranges to endpoints of the same kind such that the number of layers to load is minimal.
 fn assigned(
     places: &[usize],
     ranges: &[LayerRange],
--- a/crates/fleet/src/placement/value.rs
+++ b/crates/fleet/src/placement/value.rs
@@ -1,4 +1,4 @@
-//! What the endpoints of a data centre serve, by the layers that each holds.
+//! The rate of requests that the endpoints of a data centre serve, by the layers that each holds.
 
 use super::Slot;
 use crate::{
@@ -7,21 +7,22 @@
     layers::LayerRange,
 };
 
-/// What a covered layer is worth where there is no chain, in requests a second: next to nothing.
+/// The value of a covered layer where there is no chain, in requests per second: next to nothing.
 const COVERED_WEIGHT: f64 = 0.001;
-/// A layer that nobody holds weighs as much as this many that only a slow endpoint holds.
+/// The gain of a further holder for a layer without any, in units of the slowdown factor of a
+/// single holder.
 const UNHELD: f64 = 1000.0;
 
-/// A holder's part of a chain.
+/// One stage of a chain, run by a holder.
 pub(super) struct ChainPart {
-    /// Names the holder.
+    /// Identifies the holder.
     pub(super) place: usize,
     pub(super) holding: Holding,
     /// The layers that it runs.
     pub(super) layers: LayerRange,
 }
 
-/// Holders that are part of no chain yet, of chains that share no holder.
+/// The holders that are in no chain yet; no two chains share a holder.
 pub(super) struct Remaining {
     places: Vec<usize>,
     holdings: Vec<Holding>,
@@ -33,7 +34,8 @@
         Self { places, holdings }
     }
 
-    /// The fastest chain of those that remain, without which the rest remains.
+    /// Removes the holders of the fastest remaining chain and returns it; `None` if there is no
+    /// chain left.
     pub(super) fn take_chain(&mut self, engine: &Engine) -> Option<Vec<ChainPart>> {
         let path = chains::cheapest(engine, &self.holdings)?;
         let part = |(i, layers): &(usize, LayerRange)| ChainPart {
@@ -57,7 +59,7 @@
     value > COVERED_WEIGHT * f64::from(engine.layers) + 1e-6
 }
 
-/// The speed at which each layer is held, over all its holders.
+/// The speed of each layer, summed over all its holders.
 pub(super) fn speeds(engine: &Engine, slots: &[Slot<'_>], held: &[Option<LayerRange>]) -> Vec<f64> {
     let mut speeds = vec![0.0; engine.layers as usize];
     for (slot, range) in slots.iter().zip(held) {
@@ -68,8 +70,9 @@
     speeds
 }
 
-/// What a data centre serves in a second with such holdings, by chains that share no endpoint;
-/// where there is none, the more the nearer it is to having one.
+/// The requests per second that a data centre serves with these layers, by chains that share no
+/// endpoint. Each covered layer adds [`COVERED_LAYER_VALUE`], so that without a chain the value
+/// rises the nearer the data centre is to having one.
 pub(super) fn value(engine: &Engine, slots: &[Slot<'_>], held: &[Option<LayerRange>]) -> f64 {
     let holding = |(place, (slot, range)): (usize, (&Slot<'_>, &Option<LayerRange>))| {
         Some((place, Holding::new(slot.accelerator, (*range)?)))
@@ -88,7 +91,7 @@
     rate + COVERED_WEIGHT * covered as f64
 }
 
-/// The range of `size` layers that gains most from another holder.
+/// The range of `size` layers that gains most from a further holder.
 pub(super) fn weakest(speed: &[f64], size: u32) -> LayerRange {
     let gain: Vec<f64> = speed
         .iter()
--- a/crates/fleet/src/probing.rs
+++ b/crates/fleet/src/probing.rs
@@ -1,8 +1,8 @@
-//! When the parts of a chain are asked how they are, and which of them.
+//! When the stages of a suspected chain are probed, and which of them.
 //!
-//! Asking costs a call to each part of a chain from each host, so that it is done only where nothing
-//! else tells: not over chains that run, not again at once, more seldom the more often it found
-//! nothing, and within a bound over all hosts.
+//! A probe costs one call to each stage of a chain from each host, so that it is made only where no
+//! other signal tells: not over chains that run, not again at once, at growing intervals while
+//! probes find nothing, and within a bound over all hosts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,77 +10,78 @@
 
 use crate::chains::Chain;
 
-/// How long the news of a probe are as good as those of another one: chains of a data centre
-/// share parts, and stand still together when one of these is lost.
+/// How long the result of a probe is as good as that of a new one: chains of a data centre share
+/// stages, and stall together when one of these is lost.
 const FRESH: Duration = Duration::from_millis(100);
-/// How often that doubles for a chain that is probed again and again: it is slow, and not lost.
+/// The maximum number of doublings of that time for a chain that is probed repeatedly: it is slow,
+/// and not lost.
 const MOST_DOUBLED: u32 = 4;
-/// How long after a probe the next one of the same chain has nothing to do with it.
+/// How long after a probe the next one of the same chain counts as unrelated to it.
 const FORGOTTEN: Duration = Duration::from_secs(4);
-/// How long after an event of any stream a chain counts as running: twice the usual pause of one
+/// How long after an event of any stream a chain counts as running: twice the typical pause of one
 /// stream on a slow chain.
 const RUNS: Duration = Duration::from_millis(80);
-/// Probes that all hosts together make in a second in the long run: a stream by itself
-/// pauses often, and many hosts have one or two streams a chain.
+/// The rate of probes of all hosts together, per second, in the long run: a single stream pauses
+/// often, and many hosts have one or two streams per chain.
 const ALL_PER_S: f64 = 8.0;
-/// Probes that a host may make at once: after the loss of a part two to four chains of a data
-/// centre stand still.
+/// The maximum burst of probes of one host: after the loss of a stage two to four chains of a data
+/// centre stall.
 const AT_ONCE: f64 = 4.0;
-/// Chains that are remembered as running before those that don't are forgotten.
+/// The number of chains above which those that no longer run are removed.
 const MOST_REMEMBERED: usize = 64;
 
-/// Why a chain is in doubt.
+/// Why a chain is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Doubt {
-    /// Nothing comes over it: a part may be lost. Parts of chains that run are not.
+    /// No events come over it: a stage may be lost. Stages of chains that run are not.
     Still,
-    /// A first event comes late: a part may be slow, whether the chain runs or not.
+    /// A first event is late: a stage may be slow, whether the chain runs or not.
     Late,
 }
 
-/// What is done about a chain in doubt.
+/// What is to be done about a suspected chain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
-    /// Nothing: other streams go on over it, it was probed a moment ago, or there have been too many
-    /// probes.
+    /// Nothing: other streams still run over it, it was probed a moment ago, or the bound of probes
+    /// is reached.
     Nothing,
-    /// These parts of it are asked, by their ids.
+    /// Probe these stages, by their endpoint ids.
     Ask(Vec<Rc<str>>),
 }
 
 /// A chain over which events come.
 #[derive(Debug)]
 struct Running {
-    /// When the last one came.
     at: Duration,
     parts: Vec<Rc<str>>,
 }
 
-/// A chain that was probed.
+/// The last probe of a chain.
 #[derive(Debug, Clone, Copy)]
 struct Probed {
     at: Duration,
-    /// Probes before it, one soon after the other.
+    /// The number of probes in a row before it.
     before: u32,
 }
 
 impl Probed {
-    /// Whether another one would bring no other news.
+    /// Whether its result still holds, so that a new probe would not tell more.
     fn stands(&self, now: Duration) -> bool {
         self.at + FRESH * 2u32.pow(self.before.min(MOST_DOUBLED)) > now
     }
 }
 
-/// What a host knows of the chains that it uses by what comes over them, and of its probes.
+/// The state of the chains that a host uses, from the events that come over them and from its
+/// probes.
 #[derive(Debug)]
 pub struct ProbeSchedule {
-    /// By the chain's key.
+    /// By the key of the chain.
     running: FxHashMap<u64, Running>,
-    /// By the chain's key.
+    /// By the key of the chain.
     probed: FxHashMap<u64, Probed>,
-    /// When a part last answered, by its id.
+    /// When a stage last answered, by its endpoint id.
     answered: FxHashMap<Rc<str>, Duration>,
-    /// Probes that may still be made, and when that was so.
+    /// The probes that may still be made, and when that number was computed.
     left: (f64, Duration),
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl ProbeSchedule {
-    /// An event has come over a chain.
+    /// Records an event of a stream on a chain.
     pub fn event(&mut self, chain: &Chain, now: Duration) {
         if let Some(running) = self.running.get_mut(&chain.key) {
             running.at = now;
@@ -109,19 +110,19 @@
         self.running.insert(chain.key, Running { at: now, parts });
     }
 
-    /// A part has answered.
+    /// Records that a stage has answered.
     pub fn answered(&mut self, id: &Rc<str>, now: Duration) {
         self.answered.insert(id.clone(), now);
     }
 
-    /// Whether events still come over a chain, of whichever stream.
+    /// Whether events of any stream still come over a chain.
     pub fn runs(&self, chain: &Chain, now: Duration) -> bool {
         let running = self.running.get(&chain.key);
         running.is_some_and(|r| r.at + RUNS > now)
     }
 
-    /// What is done about a chain in doubt, where so many hosts do the same; `None` if that is not
-    /// known.
+    /// Decides what is to be done about a suspected chain. `hosts` is the number of hosts that
+    /// probe; `None` if it is unknown.
     pub fn next(&mut self, chain: &Chain, doubt: Doubt, now: Duration, hosts: Option<u32>) -> Next {
         if doubt == Doubt::Still && self.runs(chain, now) {
             return Next::Nothing;
@@ -137,10 +138,10 @@
         Next::Ask(ids.filter(|id| !self.known(id, doubt)).cloned().collect())
     }
 
-    /// Takes one of the probes that a host may make.
+    /// Acquires one of the probes that a host may make.
     ///
-    /// While it is not known how many hosts do the same, none is made beyond those at once: all hosts
-    /// may have just started, and each would take itself for the only one.
+    /// While the number of hosts is unknown, only the initial burst is available: all hosts may
+    /// have just started, and each would count itself as the only one.
     fn take(&mut self, now: Duration, hosts: Option<u32>) -> bool {
         let (left, at) = self.left;
         let per_s = hosts.map_or(0.0, |hosts| ALL_PER_S / f64::from(hosts.max(1)));
@@ -151,14 +152,14 @@
         taken
     }
 
-    /// Forgets what is no longer news.
+    /// Removes outdated records.
     fn forget(&mut self, now: Duration) {
         self.running.retain(|_, r| r.at + RUNS > now);
         self.answered.retain(|_, at| *at + FRESH > now);
         self.probed.retain(|_, e| e.at + FORGOTTEN > now);
     }
 
-    /// Whether a part is known to be well: it has just answered, or a chain with it runs.
+    /// Whether a stage is known to be healthy: it has just answered, or a chain with it runs.
     fn known(&self, id: &Rc<str>, doubt: Doubt) -> bool {
         let runs = || self.running.values().any(|r| r.parts.contains(id));
         self.answered.contains_key(id) || (doubt == Doubt::Still && runs())
