--- a/crates/fleet/src/placement/cells.rs
+++ b/crates/fleet/src/placement/cells.rs
@@ -9,18 +9,18 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Candidate, value::Remaining};
+use super::{Candidate, value::UnchainedHolders};
 use crate::{catalogue::Engine, chains::Holding};
 
 /// The maximum number of engines in a new cell.
-pub const MOST: usize = 48;
+pub const MAX_CELL_ENGINES: usize = 48;
 /// A cell with more engines than this is divided.
-const DIVIDED_BEYOND: usize = MOST + MOST / 2;
+const DIVIDE_ABOVE_ENGINES: usize = MAX_CELL_ENGINES + MAX_CELL_ENGINES / 2;
 /// The minimum number of new engines for a cell of their own in a data centre that would otherwise
 /// exceed [`DIVIDE_ABOVE_ENGINES`]; fewer join the smallest cell. The layers of each engine that
 /// joins loaded ones are evaluated one by one, which costs far more than a new layout of all of
 /// them.
-const OWN_CELL: usize = MOST / 3;
+const MIN_NEW_CELL_ENGINES: usize = MAX_CELL_ENGINES / 3;
 
 /// Identifies a cell of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -39,7 +39,7 @@
 /// Assigns engines to cells, and keeps the assignment from one plan to the next.
 #[derive(Debug, Default)]
 pub struct Cells {
-    number_of: FxHashMap<Rc<str>, usize>,
+    cell_numbers: FxHashMap<Rc<str>, usize>,
 }
 
 /// The engines of a chain or of a cell, or a single engine that is in no chain.
@@ -52,15 +52,19 @@
         engine: &Engine,
         candidates: &'a [Candidate],
     ) -> Vec<Cell<'a>> {
-        let mut centres: Vec<&Rc<str>> = candidates.iter().map(|c| &c.data_centre).collect();
-        centres.sort();
-        centres.dedup();
-        let mut number_of = FxHashMap::default();
+        let mut data_centres: Vec<&Rc<str>> = candidates.iter().map(|c| &c.data_centre).collect();
+        data_centres.sort();
+        data_centres.dedup();
+        let mut cell_numbers = FxHashMap::default();
         let mut cells = Vec::new();
-        for centre in centres {
+        for centre in data_centres {
             let local = candidates.iter().filter(|c| c.data_centre == *centre);
-            for (number, candidates) in self.split_centre(engine, local).into_iter().enumerate() {
-                number_of.extend(candidates.iter().map(|c| (c.id.clone(), number)));
+            for (number, candidates) in self
+                .split_data_centre(engine, local)
+                .into_iter()
+                .enumerate()
+            {
+                cell_numbers.extend(candidates.iter().map(|c| (c.id.clone(), number)));
                 let data_centre = centre.clone();
                 let key = CellKey {
                     data_centre,
@@ -69,12 +73,12 @@
                 cells.push(Cell { key, candidates });
             }
         }
-        self.number_of = number_of;
+        self.cell_numbers = cell_numbers;
         cells.retain(|cell| !cell.candidates.is_empty());
         cells
     }
 
-    fn split_centre<'a>(
+    fn split_data_centre<'a>(
         &self,
         engine: &Engine,
         local: impl Iterator<Item = &'a Candidate>,
@@ -82,7 +86,7 @@
         let mut cells: Vec<Group<'a>> = Vec::new();
         let mut new: Group<'a> = Vec::new();
         for candidate in local {
-            match self.number_of.get(&candidate.id) {
+            match self.cell_numbers.get(&candidate.id) {
                 Some(number) => {
                     if cells.len() <= *number {
                         cells.resize_with(number + 1, Vec::new);
@@ -93,14 +97,15 @@
             }
         }
         let known: usize = cells.iter().map(Vec::len).sum();
-        let joins = new.len() < OWN_CELL || known + new.len() <= DIVIDED_BEYOND;
+        let joins = new.len() < MIN_NEW_CELL_ENGINES || known + new.len() <= DIVIDE_ABOVE_ENGINES;
         match cells.iter_mut().min_by_key(|cell| cell.len()) {
             Some(smallest) if joins => smallest.extend(new),
-            _ => cells.extend(divide(engine, new, MOST)),
+            _ => cells.extend(divide(engine, new, MAX_CELL_ENGINES)),
         }
         for number in 0..cells.len() {
-            if cells[number].len() > DIVIDED_BEYOND {
-                let mut parts = divide(engine, std::mem::take(&mut cells[number]), MOST);
+            if cells[number].len() > DIVIDE_ABOVE_ENGINES {
+                let mut parts =
+                    divide(engine, std::mem::take(&mut cells[number]), MAX_CELL_ENGINES);
                 cells[number] = parts.pop().unwrap_or_default();
                 cells.extend(parts);
             }
@@ -111,13 +116,13 @@
 
 /// Divides engines into the minimum number of cells for `max_engines` engines each. The cells are
 /// of similar size; a cell may exceed the bound by the rest of a chain that was assigned to it.
-fn divide<'a>(engine: &Engine, candidates: Group<'a>, most: usize) -> Vec<Group<'a>> {
-    let number = candidates.len().div_ceil(most);
+fn divide<'a>(engine: &Engine, candidates: Group<'a>, max_engines: usize) -> Vec<Group<'a>> {
+    let number = candidates.len().div_ceil(max_engines);
     if number <= 1 {
         return vec![candidates];
     }
     let mut cells: Vec<Group<'a>> = vec![Vec::new(); number];
-    for group in whole_chains(engine, candidates) {
+    for group in group_by_chain(engine, candidates) {
         if let Some(smallest) = cells.iter_mut().min_by_key(|cell| cell.len()) {
             smallest.extend(group);
         }
@@ -127,7 +132,7 @@
 
 /// Groups engines that stay together: the engines of a chain form one group, each other engine a
 /// group by itself.
-fn whole_chains<'a>(engine: &Engine, candidates: Group<'a>) -> Vec<Group<'a>> {
+fn group_by_chain<'a>(engine: &Engine, candidates: Group<'a>) -> Vec<Group<'a>> {
     let mut in_chain = vec![false; candidates.len()];
     let mut groups = Vec::new();
     let holding = |c: &Candidate| {
@@ -135,11 +140,11 @@
         Some(Holding::new(accelerator, c.holds?))
     };
     let held = candidates.iter().enumerate();
-    let held = held.filter_map(|(place, c)| Some((place, holding(c)?)));
-    let mut remaining = Remaining::new(held);
-    while let Some(chain) = remaining.take_chain(engine) {
-        chain.iter().for_each(|part| in_chain[part.place] = true);
-        groups.push(chain.iter().map(|part| candidates[part.place]).collect());
+    let held = held.filter_map(|(index, c)| Some((index, holding(c)?)));
+    let mut remaining = UnchainedHolders::new(held);
+    while let Some(chain) = remaining.remove_fastest_chain(engine) {
+        chain.iter().for_each(|stage| in_chain[stage.index] = true);
+        groups.push(chain.iter().map(|stage| candidates[stage.index]).collect());
     }
     let others = candidates.into_iter().zip(in_chain);
     groups.extend(
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -107,11 +107,11 @@
     candidates: &[Candidate],
     unsettled: impl Fn(&str) -> bool,
 ) -> Vec<Placement> {
-    plan_in(engine, &mut Cells::default(), candidates, unsettled)
+    plan_with_cells(engine, &mut Cells::default(), candidates, unsettled)
 }
 
 /// Like [`plan`], with the cells of the previous plan.
-pub fn plan_in(
+pub fn plan_with_cells(
     engine: &Engine,
     cells: &mut Cells,
     candidates: &[Candidate],
@@ -135,12 +135,12 @@
     });
     let mut placements = Vec::new();
     if slots.iter().all(|s| s.candidate.holds.is_none()) {
-        covers::cover_anew(engine, &slots, &mut placements);
+        covers::place_covers(engine, &slots, &mut placements);
         return placements;
     }
     moves::fill_gaps(engine, &slots, &mut placements);
     if placements.is_empty() && !unsettled {
-        moves::moves(engine, &slots, &mut placements);
+        moves::plan_moves(engine, &slots, &mut placements);
     }
     placements
 }
@@ -154,7 +154,7 @@
 }
 
 /// The maximum number of layers that leaves memory for the requests' `tokens` on each of them.
-fn most_layers(engine: &Engine, accelerator: &Accelerator, tokens: f64) -> u32 {
+fn max_layers(engine: &Engine, accelerator: &Accelerator, tokens: f64) -> u32 {
     let per_layer = engine.layer_mb + tokens * engine.token_layer_mb;
     ((accelerator.memory_mb / per_layer) as u32).clamp(1, engine.most_layers(accelerator).max(1))
 }
--- a/crates/fleet/src/placement/settling.rs
+++ b/crates/fleet/src/placement/settling.rs
@@ -15,24 +15,29 @@
 const SETTLE: Duration = Duration::from_millis(1500);
 /// The maximum time that the first plan waits for a stable list, without and with requests that
 /// wait for it.
-const MOST_SETTLE: Duration = Duration::from_millis(5500);
-const MOST_SETTLE_ASKED: Duration = Duration::from_millis(1000);
+const MAX_SETTLE: Duration = Duration::from_millis(5500);
+const MAX_SETTLE_WITH_REQUESTS: Duration = Duration::from_millis(1000);
 
 /// The changes of the list of one service's engines.
 #[derive(Debug, Default)]
 pub(super) struct Settling {
     /// The number of listed engines, and since when it is that.
     listed: (usize, Duration),
-    first_seen: Option<Duration>,
+    first_listed_at: Option<Duration>,
     /// The engines that held layers when the list was last observed.
     holders: FxHashSet<Rc<str>>,
     /// When an engine that holds layers was last added to the list of a data centre.
-    came_at: FxHashMap<Rc<str>, Duration>,
+    joined_at: FxHashMap<Rc<str>, Duration>,
 }
 
 impl Settling {
     /// Whether the list can be planned with; `requests_waiting` says that requests wait for a plan.
-    pub(super) fn settled(&mut self, engines: &Engines<'_>, asked: bool, now: Duration) -> bool {
+    pub(super) fn settled(
+        &mut self,
+        engines: &Engines<'_>,
+        requests_waiting: bool,
+        now: Duration,
+    ) -> bool {
         let listed = engines.staying.len();
         if listed == 0 {
             return false;
@@ -41,15 +46,15 @@
         if engines.staying.iter().any(|e| e.layers.is_some()) {
             return true;
         }
-        let first = *self.first_seen.get_or_insert(now);
+        let first = *self.first_listed_at.get_or_insert(now);
         if listed != self.listed.0 {
             self.listed = (listed, now);
         }
-        let most = match asked {
-            true => MOST_SETTLE_ASKED,
-            false => MOST_SETTLE,
+        let max_wait = match requests_waiting {
+            true => MAX_SETTLE_WITH_REQUESTS,
+            false => MAX_SETTLE,
         };
-        self.listed.1 + SETTLE <= now || first + most <= now
+        self.listed.1 + SETTLE <= now || first + max_wait <= now
     }
 
     /// The data centres to whose list engines that hold layers were added less than [`SETTLE`] ago,
@@ -59,17 +64,18 @@
         let mut holders = FxHashSet::default();
         for endpoint in engines.staying.iter().filter(|e| e.layers.is_some()) {
             holders.insert(endpoint.id.clone());
-            let ordered = engines.known.knows(&endpoint.id);
-            if !self.holders.contains(&endpoint.id) && !ordered {
-                self.came_at.insert(endpoint.data_centre.clone(), now);
+            let known = engines.known.knows(&endpoint.id);
+            if !self.holders.contains(&endpoint.id) && !known {
+                self.joined_at.insert(endpoint.data_centre.clone(), now);
             }
         }
         self.holders = holders;
-        self.came_at.retain(|_, at| *at + SETTLE > now);
-        let lost = engines.staying.iter();
-        let lost = lost.filter(|e| engines.directory.is_lost(&e.id));
-        let lost = lost.map(|e| e.data_centre.clone());
-        let mut unsettled: Vec<Rc<str>> = self.came_at.keys().cloned().chain(lost).collect();
+        self.joined_at.retain(|_, at| *at + SETTLE > now);
+        let unresponsive = engines.staying.iter();
+        let unresponsive = unresponsive.filter(|e| engines.directory.is_lost(&e.id));
+        let unresponsive = unresponsive.map(|e| e.data_centre.clone());
+        let mut unsettled: Vec<Rc<str>> =
+            self.joined_at.keys().cloned().chain(unresponsive).collect();
         unsettled.sort();
         unsettled.dedup();
         unsettled
--- a/crates/fleet/src/placement/value.rs
+++ b/crates/fleet/src/placement/value.rs
@@ -8,46 +8,46 @@
 };
 
 /// The value of a covered layer where there is no chain, in requests per second: next to nothing.
-const COVERED_WEIGHT: f64 = 0.001;
+const COVERED_LAYER_VALUE: f64 = 0.001;
 /// The gain of a further holder for a layer without any, in units of the slowdown factor of a
 /// single holder.
-const UNHELD: f64 = 1000.0;
+const UNHELD_LAYER_GAIN: f64 = 1000.0;
 
 /// One stage of a chain, run by a holder.
-pub(super) struct ChainPart {
+pub(super) struct ChainStage {
     /// Identifies the holder.
-    pub(super) place: usize,
+    pub(super) index: usize,
     pub(super) holding: Holding,
     /// The layers that it runs.
     pub(super) layers: LayerRange,
 }
 
 /// The holders that are in no chain yet; no two chains share a holder.
-pub(super) struct Remaining {
-    places: Vec<usize>,
+pub(super) struct UnchainedHolders {
+    indices: Vec<usize>,
     holdings: Vec<Holding>,
 }
 
-impl Remaining {
+impl UnchainedHolders {
     pub(super) fn new(holders: impl Iterator<Item = (usize, Holding)>) -> Self {
-        let (places, holdings) = holders.unzip();
-        Self { places, holdings }
+        let (indices, holdings) = holders.unzip();
+        Self { indices, holdings }
     }
 
     /// Removes the holders of the fastest remaining chain and returns it; `None` if there is no
     /// chain left.
-    pub(super) fn take_chain(&mut self, engine: &Engine) -> Option<Vec<ChainPart>> {
+    pub(super) fn remove_fastest_chain(&mut self, engine: &Engine) -> Option<Vec<ChainStage>> {
         let path = chains::cheapest(engine, &self.holdings)?;
-        let part = |(i, layers): &(usize, LayerRange)| ChainPart {
-            place: self.places[*i],
+        let stage = |(i, layers): &(usize, LayerRange)| ChainStage {
+            index: self.indices[*i],
             holding: self.holdings[*i],
             layers: *layers,
         };
-        let chain = path.iter().map(part).collect();
-        let mut taken: Vec<usize> = path.iter().map(|(i, _)| *i).collect();
-        taken.sort_unstable();
-        for i in taken.into_iter().rev() {
-            self.places.remove(i);
+        let chain = path.iter().map(stage).collect();
+        let mut removed: Vec<usize> = path.iter().map(|(i, _)| *i).collect();
+        removed.sort_unstable();
+        for i in removed.into_iter().rev() {
+            self.indices.remove(i);
             self.holdings.remove(i);
         }
         Some(chain)
@@ -56,46 +56,50 @@
 
 /// Whether a value is that of a data centre that has a chain.
 pub(super) fn has_chain(engine: &Engine, value: f64) -> bool {
-    value > COVERED_WEIGHT * f64::from(engine.layers) + 1e-6
+    value > COVERED_LAYER_VALUE * f64::from(engine.layers) + 1e-6
 }
 
 /// The speed of each layer, summed over all its holders.
-pub(super) fn speeds(engine: &Engine, slots: &[Slot<'_>], held: &[Option<LayerRange>]) -> Vec<f64> {
-    let mut speeds = vec![0.0; engine.layers as usize];
+pub(super) fn layer_speeds(
+    engine: &Engine,
+    slots: &[Slot<'_>],
+    held: &[Option<LayerRange>],
+) -> Vec<f64> {
+    let mut layer_speeds = vec![0.0; engine.layers as usize];
     for (slot, range) in slots.iter().zip(held) {
         for layer in range.iter().flat_map(|r| r.first..r.end.min(engine.layers)) {
-            speeds[layer as usize] += 1.0 / slot.accelerator.pace;
+            layer_speeds[layer as usize] += 1.0 / slot.accelerator.pace;
         }
     }
-    speeds
+    layer_speeds
 }
 
 /// The requests per second that a data centre serves with these layers, by chains that share no
 /// endpoint. Each covered layer adds [`COVERED_LAYER_VALUE`], so that without a chain the value
 /// rises the nearer the data centre is to having one.
 pub(super) fn value(engine: &Engine, slots: &[Slot<'_>], held: &[Option<LayerRange>]) -> f64 {
-    let holding = |(place, (slot, range)): (usize, (&Slot<'_>, &Option<LayerRange>))| {
-        Some((place, Holding::new(slot.accelerator, (*range)?)))
+    let holding = |(index, (slot, range)): (usize, (&Slot<'_>, &Option<LayerRange>))| {
+        Some((index, Holding::new(slot.accelerator, (*range)?)))
     };
     let holdings = slots.iter().zip(held).enumerate().filter_map(holding);
-    let mut remaining = Remaining::new(holdings);
+    let mut remaining = UnchainedHolders::new(holdings);
     let mut rate = 0.0;
-    while let Some(chain) = remaining.take_chain(engine) {
-        let parts = chain.iter().map(|part| (&part.holding, part.layers));
-        rate += Figures::new(engine, parts).rate(engine);
+    while let Some(chain) = remaining.remove_fastest_chain(engine) {
+        let stages = chain.iter().map(|stage| (&stage.holding, stage.layers));
+        rate += Figures::new(engine, stages).rate(engine);
     }
-    let covered = speeds(engine, slots, held)
+    let covered = layer_speeds(engine, slots, held)
         .iter()
         .filter(|s| **s > 0.0)
         .count();
-    rate + COVERED_WEIGHT * covered as f64
+    rate + COVERED_LAYER_VALUE * covered as f64
 }
 
 /// The range of `size` layers that gains most from a further holder.
-pub(super) fn weakest(speed: &[f64], size: u32) -> LayerRange {
+pub(super) fn weakest_range(speed: &[f64], size: u32) -> LayerRange {
     let gain: Vec<f64> = speed
         .iter()
-        .map(|s| if *s > 0.0 { 1.0 / s } else { UNHELD })
+        .map(|s| if *s > 0.0 { 1.0 / s } else { UNHELD_LAYER_GAIN })
         .collect();
     let size = size.max(1) as usize;
     let mut best = (f64::MIN, 0);
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -32,7 +32,7 @@
 fn settle(candidates: &mut [Candidate]) {
     let mut cells = Cells::default();
     for _ in 0..20 {
-        let orders = placement::plan_in(&engine(), &mut cells, candidates, |_| false);
+        let orders = placement::plan_with_cells(&engine(), &mut cells, candidates, |_| false);
         if orders.is_empty() {
             return;
         }
