--- a/crates/fleet/src/leader_lease.rs
+++ b/crates/fleet/src/leader_lease.rs
@@ -13,16 +13,16 @@
 
 /// The share of the term for which the holder acts; the rest allows for slow clocks and late
 /// orders.
-const HELD_PART: f64 = 0.8;
+const HELD_RATIO: f64 = 0.8;
 /// The share of the term after which the holder renews the lease.
-const RENEW_PART: f64 = 0.35;
+const RENEW_RATIO: f64 = 0.35;
 
 /// The holder in the row after the lease was released.
-pub const NOBODY: &str = "";
+pub const NO_HOLDER: &str = "";
 
 /// The row as it was last read or written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub struct LeaseRecord {
     /// Who wrote it: a host and its incarnation, or [`NO_HOLDER`].
     pub holder: String,
     /// The version of the row.
@@ -52,11 +52,11 @@
 
 /// How a write ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Wrote {
+pub enum WriteOutcome {
     /// The row has this version now.
     Done(u64),
     /// The row has another version or does not exist; the row as it is.
-    Conflict(Option<Seen>),
+    Conflict(Option<LeaseRecord>),
     /// The row may have been written, or may be written later.
     Unknown,
 }
@@ -64,41 +64,41 @@
 /// One host's view of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
-    me: String,
+    own_name: String,
     term: Duration,
     /// The interval between two reads of the row by a host that does not hold the lease.
-    look: Duration,
-    seen: Option<Seen>,
+    read_interval: Duration,
+    row: Option<LeaseRecord>,
     /// When the row was first seen with its current content; `None` before the first read.
     changed_at: Option<Duration>,
     read_at: Option<Duration>,
     /// When the last successful write was sent.
     renewed_at: Option<Duration>,
     /// The last write may or may not have happened; only a read can tell.
-    in_doubt: bool,
+    write_unconfirmed: bool,
     /// This host shuts down: it never holds the lease again.
-    leaving: bool,
+    shutting_down: bool,
 }
 
 impl LeaderLease {
     /// Creates a lease whose row is unknown. `own_name` names this host and its incarnation.
-    pub fn new(me: String, term: Duration, look: Duration) -> Self {
+    pub fn new(own_name: String, term: Duration, read_interval: Duration) -> Self {
         Self {
-            me,
+            own_name,
             term,
-            look,
-            seen: None,
+            read_interval,
+            row: None,
             changed_at: None,
             read_at: None,
             renewed_at: None,
-            in_doubt: false,
-            leaving: false,
+            write_unconfirmed: false,
+            shutting_down: false,
         }
     }
 
     /// Shuts the lease down: this host no longer acts on it, and is to release it.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn shut_down(&mut self) {
+        self.shutting_down = true;
     }
 
     /// Whether this host may act on the lease.
@@ -109,43 +109,43 @@
     /// The time until which this host may act on the lease unless it renews it; `None` if it may
     /// not act.
     pub fn held_until(&self) -> Option<Duration> {
-        let renewed_at = self.renewed_at.filter(|_| !self.leaving)?;
-        Some(renewed_at + self.term.mul_f64(HELD_PART))
+        let renewed_at = self.renewed_at.filter(|_| !self.shutting_down)?;
+        Some(renewed_at + self.term.mul_f64(HELD_RATIO))
     }
 
     /// The step that is due now.
     pub fn step(&self, now: Duration) -> Step {
-        if self.leaving {
-            return self.step_of_leaving();
+        if self.shutting_down {
+            return self.shutdown_step();
         }
         let Some(read_at) = self.read_at else {
             return Step::Read;
         };
-        if self.in_doubt {
+        if self.write_unconfirmed {
             return Step::Read;
         }
-        let expected = self.seen.as_ref().map_or(0, |s| s.version);
-        if self.mine() {
-            let due = |at: Duration| at + self.term.mul_f64(RENEW_PART) <= now;
+        let expected = self.row.as_ref().map_or(0, |s| s.version);
+        if self.is_own() {
+            let due = |at: Duration| at + self.term.mul_f64(RENEW_RATIO) <= now;
             return match self.renewed_at.is_none_or(due) {
                 true => Step::Write { expected },
                 false => Step::Wait,
             };
         }
-        let stood_still = self.changed_at.is_some_and(|at| at + self.term <= now);
-        let free = self.holder().is_none_or(|holder| holder == NOBODY);
-        if free || stood_still {
+        let expired = self.changed_at.is_some_and(|at| at + self.term <= now);
+        let unheld = self.holder().is_none_or(|holder| holder == NO_HOLDER);
+        if unheld || expired {
             return Step::Write { expected };
         }
-        match read_at + self.look <= now {
+        match read_at + self.read_interval <= now {
             true => Step::Read,
             false => Step::Wait,
         }
     }
 
-    fn step_of_leaving(&self) -> Step {
-        match &self.seen {
-            Some(seen) if self.mine() && !self.in_doubt => Step::Release {
+    fn shutdown_step(&self) -> Step {
+        match &self.row {
+            Some(seen) if self.is_own() && !self.write_unconfirmed => Step::Release {
                 expected: seen.version,
             },
             _ => Step::Wait,
@@ -153,47 +153,47 @@
     }
 
     /// Records the row that was read.
-    pub fn read(&mut self, now: Duration, row: Option<Seen>) {
+    pub fn record_read(&mut self, now: Duration, row: Option<LeaseRecord>) {
         self.read_at = Some(now);
-        self.in_doubt = false;
-        self.see(now, row);
+        self.write_unconfirmed = false;
+        self.update_row(now, row);
     }
 
     /// Records the outcome of a write that was sent at `sent_at`.
-    pub fn wrote(&mut self, sent_at: Duration, now: Duration, outcome: Wrote) {
+    pub fn record_write(&mut self, sent_at: Duration, now: Duration, outcome: WriteOutcome) {
         match outcome {
-            Wrote::Done(version) => {
+            WriteOutcome::Done(version) => {
                 self.renewed_at = Some(sent_at);
-                let holder = match self.leaving {
-                    true => NOBODY.to_owned(),
-                    false => self.me.clone(),
+                let holder = match self.shutting_down {
+                    true => NO_HOLDER.to_owned(),
+                    false => self.own_name.clone(),
                 };
-                self.see(now, Some(Seen { holder, version }));
+                self.update_row(now, Some(LeaseRecord { holder, version }));
             }
-            Wrote::Conflict(row) => {
+            WriteOutcome::Conflict(row) => {
                 self.read_at = Some(now);
-                self.see(now, row);
+                self.update_row(now, row);
             }
-            Wrote::Unknown => self.in_doubt = true,
+            WriteOutcome::Unknown => self.write_unconfirmed = true,
         }
     }
 
     /// The last known holder of the lease.
     pub fn holder(&self) -> Option<&str> {
-        self.seen.as_ref().map(|s| &*s.holder)
+        self.row.as_ref().map(|s| &*s.holder)
     }
 
     /// Whether the last known row names this host.
-    pub fn mine(&self) -> bool {
-        self.holder() == Some(&self.me)
+    pub fn is_own(&self) -> bool {
+        self.holder() == Some(&self.own_name)
     }
 
-    fn see(&mut self, now: Duration, row: Option<Seen>) {
-        if self.changed_at.is_none() || self.seen != row {
+    fn update_row(&mut self, now: Duration, row: Option<LeaseRecord>) {
+        if self.changed_at.is_none() || self.row != row {
             self.changed_at = Some(now);
         }
-        self.seen = row;
-        if !self.mine() {
+        self.row = row;
+        if !self.is_own() {
             self.renewed_at = None;
         }
     }
--- a/crates/fleet/tests/leader_lease.rs
+++ b/crates/fleet/tests/leader_lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dragonflyrill_fleet::leader_lease::{LeaderLease, NOBODY, Seen, Step, Wrote};
+use dragonflyrill_fleet::leader_lease::{LeaderLease, LeaseRecord, NO_HOLDER, Step, WriteOutcome};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -19,22 +19,22 @@
 /// The row in the store.
 #[derive(Default)]
 struct Row {
-    now: Option<Seen>,
+    now: Option<LeaseRecord>,
     version: u64,
 }
 
 impl Row {
-    fn write(&mut self, holder: &str, expected: u64) -> Wrote {
+    fn write(&mut self, holder: &str, expected: u64) -> WriteOutcome {
         let at = self.now.as_ref().map_or(0, |s| s.version);
         if at != expected {
-            return Wrote::Conflict(self.now.clone());
+            return WriteOutcome::Conflict(self.now.clone());
         }
         self.version += 1;
-        self.now = Some(Seen {
+        self.now = Some(LeaseRecord {
             holder: holder.to_owned(),
             version: self.version,
         });
-        Wrote::Done(self.version)
+        WriteOutcome::Done(self.version)
     }
 }
 
@@ -42,9 +42,9 @@
 fn the_first_host_takes_a_lease_that_nobody_has() {
     let mut lease = lease(0);
     assert_eq!(lease.step(ms(0)), Step::Read);
-    lease.read(ms(1), None);
+    lease.record_read(ms(1), None);
     assert_eq!(lease.step(ms(1)), Step::Write { expected: 0 });
-    lease.wrote(ms(1), ms(5), Wrote::Done(7));
+    lease.record_write(ms(1), ms(5), WriteOutcome::Done(7));
     assert!(lease.held(ms(5)));
     assert_eq!(lease.step(ms(100)), Step::Wait);
     assert_eq!(lease.step(ms(1000)), Step::Write { expected: 7 });
@@ -53,14 +53,14 @@
 #[test]
 fn a_row_that_stands_still_for_a_term_is_taken_over() {
     let mut lease = lease(1);
-    let row = Seen {
+    let row = LeaseRecord {
         holder: "host0 1".to_owned(),
         version: 3,
     };
-    lease.read(ms(0), Some(row.clone()));
+    lease.record_read(ms(0), Some(row.clone()));
     assert_eq!(lease.step(ms(100)), Step::Wait);
     assert_eq!(lease.step(ms(1300)), Step::Read);
-    lease.read(ms(1300), Some(row));
+    lease.record_read(ms(1300), Some(row));
     assert_eq!(lease.step(ms(2400)), Step::Write { expected: 3 });
 }
 
@@ -68,11 +68,11 @@
 fn a_row_that_changes_is_left_to_its_holder() {
     let mut lease = lease(1);
     for beat in 0..10 {
-        let row = Seen {
+        let row = LeaseRecord {
             holder: "host0 1".to_owned(),
             version: beat,
         };
-        lease.read(ms(beat * 1000), Some(row));
+        lease.record_read(ms(beat * 1000), Some(row));
         assert!(!matches!(lease.step(ms(beat * 1000)), Step::Write { .. }));
     }
 }
@@ -80,8 +80,8 @@
 #[test]
 fn a_write_in_doubt_is_read_before_anything_else() {
     let mut lease = lease(0);
-    lease.read(ms(0), None);
-    lease.wrote(ms(0), ms(900), Wrote::Unknown);
+    lease.record_read(ms(0), None);
+    lease.record_write(ms(0), ms(900), WriteOutcome::Unknown);
     assert!(!lease.held(ms(900)));
     assert_eq!(lease.step(ms(900)), Step::Read);
 }
@@ -89,8 +89,8 @@
 #[test]
 fn a_holder_that_is_not_renewed_stops_before_its_term_ends() {
     let mut lease = lease(0);
-    lease.read(ms(0), None);
-    lease.wrote(ms(0), ms(50), Wrote::Done(1));
+    lease.record_read(ms(0), None);
+    lease.record_write(ms(0), ms(50), WriteOutcome::Done(1));
     assert!(lease.held(ms(1900)));
     assert!(!lease.held(ms(1921)));
 }
@@ -99,27 +99,27 @@
 fn a_holder_that_ends_gives_the_lease_up_and_another_host_need_not_wait() {
     let mut row = Row::default();
     let (mut first, mut second) = (lease(0), lease(1));
-    first.read(ms(0), None);
+    first.record_read(ms(0), None);
     let wrote = row.write("host0 1", 0);
-    first.wrote(ms(0), ms(5), wrote);
-    second.read(ms(10), row.now.clone());
+    first.record_write(ms(0), ms(5), wrote);
+    second.record_read(ms(10), row.now.clone());
     assert_eq!(second.step(ms(20)), Step::Wait);
-    first.leave();
+    first.shut_down();
     assert!(!first.held(ms(30)), "before the row says so");
     assert_eq!(first.step(ms(30)), Step::Release { expected: 1 });
-    let wrote = row.write(NOBODY, 1);
-    first.wrote(ms(30), ms(35), wrote);
+    let wrote = row.write(NO_HOLDER, 1);
+    first.record_write(ms(30), ms(35), wrote);
     assert_eq!(first.step(ms(36)), Step::Wait);
     assert!(!first.held(ms(36)));
-    second.read(ms(40), row.now.clone());
+    second.record_read(ms(40), row.now.clone());
     assert_eq!(second.step(ms(40)), Step::Write { expected: 2 });
 }
 
 #[test]
 fn a_host_that_ends_and_holds_nothing_writes_nothing() {
     let mut lease = lease(0);
-    lease.read(ms(0), None);
-    lease.leave();
+    lease.record_read(ms(0), None);
+    lease.shut_down();
     assert_eq!(lease.step(ms(10_000)), Step::Wait);
 }
 
@@ -133,7 +133,7 @@
     /// A call under way: when it was sent, when it is carried out, when its answer comes, whether
     /// the answer is lost.
     call: Option<(u64, u64, u64, bool, Step)>,
-    carried_out: Option<Result<Wrote, Option<Seen>>>,
+    carried_out: Option<Result<WriteOutcome, Option<LeaseRecord>>>,
 }
 
 #[test]
@@ -175,7 +175,7 @@
 fn written(number: usize, incarnation: u32, step: &Step) -> Option<(String, u64)> {
     match step {
         Step::Write { expected } => Some((format!("host{number} {incarnation}"), *expected)),
-        Step::Release { expected } => Some((NOBODY.to_owned(), *expected)),
+        Step::Release { expected } => Some((NO_HOLDER.to_owned(), *expected)),
         Step::Wait | Step::Read => None,
     }
 }
@@ -206,15 +206,16 @@
                 .take()
                 .expect("carried out before answered")
             {
-                Ok(wrote) => host.lease.wrote(ms(sent), ms(t), wrote),
-                Err(seen) => host.lease.read(ms(t), seen),
+                Ok(wrote) => host.lease.record_write(ms(sent), ms(t), wrote),
+                Err(seen) => host.lease.record_read(ms(t), seen),
             }
             host.call = None;
         } else if given_up {
             let late = host.call.take();
             let late = late.and_then(|c| written(host.number, host.incarnation, &c.4));
             if let Some((holder, expected)) = late {
-                host.lease.wrote(ms(sent), ms(t), Wrote::Unknown);
+                host.lease
+                    .record_write(ms(sent), ms(t), WriteOutcome::Unknown);
                 if host.carried_out.is_none() {
                     // Carried out late, and nobody hears of it.
                     row.write(&holder, expected);
@@ -226,7 +227,7 @@
     }
     if !calm && !host.leaving && rng.random_bool(0.0008) {
         host.leaving = true;
-        host.lease.leave();
+        host.lease.shut_down();
     }
     let step = host.lease.step(ms(t));
     if step == Step::Wait && host.leaving {
--- a/crates/fleet/tests/leader_lease_search.rs
+++ b/crates/fleet/tests/leader_lease_search.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use dragonflyrill_fleet::leader_lease::{LeaderLease, NOBODY, Seen, Step, Wrote};
+use dragonflyrill_fleet::leader_lease::{LeaderLease, LeaseRecord, NO_HOLDER, Step, WriteOutcome};
 use dragonflyrill_model::checker::{self, Bound, Property, Spec, Verdict};
 
 /// One tick, a third of the term: a holder acts, and renews, up to the second.
@@ -47,7 +47,7 @@
     sent: u32,
     step: Step,
     /// What the store has done, before its answer arrives.
-    outcome: Option<Wrote>,
+    outcome: Option<WriteOutcome>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     tick: u32,
-    row: Option<Seen>,
+    row: Option<LeaseRecord>,
     hosts: [Host; 2],
     late_writes: u8,
     ends: u8,
@@ -74,15 +74,15 @@
         TICK * self.tick
     }
 
-    fn write(&mut self, holder: &str, expected: u64, blindly: bool) -> Wrote {
+    fn write(&mut self, holder: &str, expected: u64, blindly: bool) -> WriteOutcome {
         let at = self.row.as_ref().map_or(0, |row| row.version);
         if at != expected && !blindly {
-            return Wrote::Conflict(self.row.clone());
+            return WriteOutcome::Conflict(self.row.clone());
         }
         let version = at + 1;
         let holder = holder.to_owned();
-        self.row = Some(Seen { holder, version });
-        Wrote::Done(version)
+        self.row = Some(LeaseRecord { holder, version });
+        WriteOutcome::Done(version)
     }
 }
 
@@ -138,7 +138,7 @@
     fn written(state: &State, i: usize, step: &Step) -> Option<(String, u64)> {
         match step {
             Step::Write { expected } => Some((name(i, state.hosts[i].incarnation), *expected)),
-            Step::Release { expected } => Some((NOBODY.to_owned(), *expected)),
+            Step::Release { expected } => Some((NO_HOLDER.to_owned(), *expected)),
             Step::Read | Step::Wait => None,
         }
     }
@@ -150,7 +150,9 @@
         }
         let mut next = state.clone();
         if step == Step::Read {
-            next.hosts[i].lease.read(state.now(), state.row.clone());
+            next.hosts[i]
+                .lease
+                .record_read(state.now(), state.row.clone());
             return Some(next);
         }
         next.hosts[i].call = Some(Call {
@@ -182,7 +184,7 @@
             Mutant::CountsFromAnswer => state.now(),
             _ => TICK * sent,
         };
-        host.lease.wrote(sent_at, state.now(), outcome?);
+        host.lease.record_write(sent_at, state.now(), outcome?);
         Some(next)
     }
 
@@ -196,10 +198,11 @@
         }
         let write = Self::written(state, i, &call.step)?;
         let unknown = match (self.mutant, write.1) {
-            (Mutant::TakesUnknownForDone, expected) => Wrote::Done(expected + 1),
-            _ => Wrote::Unknown,
+            (Mutant::TakesUnknownForDone, expected) => WriteOutcome::Done(expected + 1),
+            _ => WriteOutcome::Unknown,
         };
-        host.lease.wrote(TICK * call.sent, state.now(), unknown);
+        host.lease
+            .record_write(TICK * call.sent, state.now(), unknown);
         if call.outcome.is_none() {
             if host.late.is_some() {
                 return None;
@@ -225,7 +228,7 @@
         }
         host.leaving = true;
         if self.mutant != Mutant::ReleasesWhileActing {
-            host.lease.leave();
+            host.lease.shut_down();
         }
         next.ends = state.ends.checked_sub(1)?;
         Some(next)
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -3,7 +3,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use dragonflyrill_fleet::leader_lease::{LeaderLease, NOBODY, Seen, Step, Wrote};
+use dragonflyrill_fleet::leader_lease::{LeaderLease, LeaseRecord, NO_HOLDER, Step, WriteOutcome};
 use dragonflyrill_protocol::exchange::{FleetHost, HostRow, LeaseRow};
 use dragonflyrill_store::PlatformError;
 use futures_util::future;
@@ -112,13 +112,13 @@
         self.hear(now);
         let held = self.lease.held(now);
         if self.gateway.leaving() {
-            self.lease.leave();
+            self.lease.shut_down();
         }
         self.show_lease();
         match self.lease.step(now) {
             // The next holder takes an engine for empty that has begun to load.
             Step::Release { .. } if self.tenures.ordering() => {}
-            Step::Release { expected } => self.write(NOBODY, expected).await?,
+            Step::Release { expected } => self.write(NO_HOLDER, expected).await?,
             _ if self.looks_once_more(now) => self.read().await?,
             Step::Read | Step::Write { .. } if !self.may_ask(now) => {}
             Step::Read => self.read().await?,
@@ -140,7 +140,8 @@
 
     /// Shows the task that places layers whether it may.
     fn show_lease(&self) {
-        self.tenures.set(self.lease.mine(), self.lease.held_until());
+        self.tenures
+            .set(self.lease.is_own(), self.lease.held_until());
     }
 
     /// Takes the row of the lease as another host told it, while that reads it for this one.
@@ -150,7 +151,7 @@
         }
         let told = self.gateway.peers.lease();
         if told.is_some() && !self.lease.held(now) {
-            self.lease.read(now, told.as_ref().map(told_row));
+            self.lease.record_read(now, told.as_ref().map(told_row));
         }
     }
 
@@ -159,7 +160,7 @@
     /// store for others do, and who holds the lease.
     fn may_ask(&self, now: Duration) -> bool {
         let first = self.read_at.is_none();
-        first || self.gateway.asks_store() || self.lease.mine() || self.lease.held(now)
+        first || self.gateway.asks_store() || self.lease.is_own() || self.lease.held(now)
     }
 
     /// Whether the rows are to be read although the lease does not ask for it: by the hosts that
@@ -175,7 +176,7 @@
         let now = gateway.now();
         self.read_at = Some(now);
         let lease = rows.iter().find(|r| r.key == LEASE_ROW);
-        self.lease.read(now, lease.map(seen));
+        self.lease.record_read(now, lease.map(seen));
         gateway.peers.set_lease(lease.map(lease_row));
         self.count_hosts(now, hosts);
         self.note_others(now);
@@ -233,17 +234,17 @@
         let written = StoreCall::Lease.made(gateway, CALL, write).await;
         let now = self.gateway.now();
         let (outcome, result) = match written {
-            Ok(Written::Done(version)) => (Wrote::Done(version), Ok(())),
-            Ok(Written::Conflict(row)) => (Wrote::Conflict(row.as_ref().map(seen)), Ok(())),
-            Err(e) => (Wrote::Unknown, Err(e)),
+            Ok(Written::Done(version)) => (WriteOutcome::Done(version), Ok(())),
+            Ok(Written::Conflict(row)) => (WriteOutcome::Conflict(row.as_ref().map(seen)), Ok(())),
+            Err(e) => (WriteOutcome::Unknown, Err(e)),
         };
-        self.lease.wrote(sent_at, now, outcome);
+        self.lease.record_write(sent_at, now, outcome);
         result
     }
 }
 
-fn seen(row: &Row) -> Seen {
-    Seen {
+fn seen(row: &Row) -> LeaseRecord {
+    LeaseRecord {
         holder: row.value.clone(),
         version: row.version,
     }
@@ -256,8 +257,8 @@
     }
 }
 
-fn told_row(row: &LeaseRow) -> Seen {
-    Seen {
+fn told_row(row: &LeaseRow) -> LeaseRecord {
+    LeaseRecord {
         holder: row.holder.clone(),
         version: row.version,
     }
