--- a/crates/fleet/src/adaptive_timeout.rs
+++ b/crates/fleet/src/adaptive_timeout.rs
@@ -10,44 +10,44 @@
 use std::time::Duration;
 
 /// The chain is probed when the first event takes this many times as long as expected.
-const UNEXPECTED: f64 = 2.0;
+const PROBE_EXPECTED_FACTOR: f64 = 2.0;
 /// The share of the first event's target before which the chain is not probed: a host may be busy
 /// for some tens of ms.
-const LEAST_TARGETS: f64 = 0.2;
+const MIN_SILENCE_TARGETS: f64 = 0.2;
 /// The share of the longest inter-event gap on time after which the chain is probed: under load one
 /// stream pauses for longer, but not all streams of a chain at once.
-const UNUSUAL_GAPS: f64 = 0.4;
+const PROBE_GAP_RATIO: f64 = 0.4;
 /// The time between a probe that found nothing and the next one.
-const AGAIN: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// While the request may be retried, the first event may take this many times as long as expected,
 /// within bounds in multiples of its target: another chain can still be on time then.
-const FIRST_UNEXPECTED: f64 = 4.0;
-const LEAST_FIRST_TARGETS: f64 = 0.6;
-const MOST_FIRST_TARGETS: f64 = 2.4;
+const TIMEOUT_EXPECTED_FACTOR: f64 = 4.0;
+const MIN_TIMEOUT_TARGETS: f64 = 0.6;
+const MAX_TIMEOUT_TARGETS: f64 = 2.4;
 /// How many times the first event's target the caller waits at most for the next event, the first
 /// or a later one: callers leave then, so a last run may take as long.
-const LAST_FIRST_TARGETS: f64 = 4.0;
+const CALLER_TIMEOUT_TARGETS: f64 = 4.0;
 /// How many times the longest inter-event gap on time a gap may last while the stream may continue
 /// elsewhere.
-const PAUSE_GAPS: f64 = 3.5;
+const TIMEOUT_GAPS: f64 = 3.5;
 
 /// The timing of a run of a stream that is waited for.
 #[derive(Debug, Clone, Copy)]
-pub struct Run {
+pub struct RunTiming {
     /// Whether an event of it has come.
-    pub began: bool,
+    pub started: bool,
     /// Whether another run may follow.
-    pub more: bool,
+    pub may_retry: bool,
     /// The target for the time to the first event.
-    pub target: Duration,
+    pub first_event_target: Duration,
     /// The longest inter-event gap that is on time.
-    pub gap: Duration,
+    pub max_gap: Duration,
     /// The expected time from the dispatch to the first event.
     pub expected_first: Duration,
     /// How long the caller had waited when the run was dispatched: since its request, or since the
     /// last event.
-    pub before: Duration,
+    pub waited_before: Duration,
 }
 
 /// What is to be done about a stalled run.
@@ -58,20 +58,20 @@
     /// Probe its chain.
     Probe,
     /// Abandon it.
-    GiveUp,
+    Abandon,
 }
 
-impl Run {
-    /// The next step after a silence; `probed` is how long ago the stages of the chain were probed.
-    pub fn step(&self, silent: Duration, probed: Option<Duration>) -> Step {
-        let most = self.most();
-        if silent >= most {
-            return Step::GiveUp;
+impl RunTiming {
+    /// The next step after a silence; `since_probe` is how long ago the stages of the chain were probed.
+    pub fn next_step(&self, silence: Duration, since_probe: Option<Duration>) -> Step {
+        let timeout = self.timeout();
+        if silence >= timeout {
+            return Step::Abandon;
         }
-        let left = most - silent;
-        let until = match probed {
-            Some(ago) => AGAIN.saturating_sub(ago),
-            None => self.unusual().saturating_sub(silent),
+        let left = timeout - silence;
+        let until = match since_probe {
+            Some(ago) => PROBE_INTERVAL.saturating_sub(ago),
+            None => self.probe_after().saturating_sub(silence),
         };
         match until.is_zero() {
             true => Step::Probe,
@@ -80,12 +80,12 @@
     }
 
     /// The silence after which the chain is probed.
-    pub fn unusual(&self) -> Duration {
-        match self.began {
-            true => self.gap.mul_f64(UNUSUAL_GAPS),
+    pub fn probe_after(&self) -> Duration {
+        match self.started {
+            true => self.max_gap.mul_f64(PROBE_GAP_RATIO),
             false => {
-                let expected = self.expected_first.mul_f64(UNEXPECTED);
-                expected.max(self.target.mul_f64(LEAST_TARGETS))
+                let expected = self.expected_first.mul_f64(PROBE_EXPECTED_FACTOR);
+                expected.max(self.first_event_target.mul_f64(MIN_SILENCE_TARGETS))
             }
         }
     }
@@ -95,25 +95,25 @@
     ///
     /// An answer that has started and can't continue elsewhere is not abandoned: its caller decides
     /// when to leave, and a draining endpoint may still finish it.
-    pub fn may_end(&self) -> bool {
-        self.more || !self.began
+    pub fn may_abandon(&self) -> bool {
+        self.may_retry || !self.started
     }
 
     /// The longest silence before the run is abandoned.
-    pub fn most(&self) -> Duration {
-        match (self.began, self.more) {
-            (true, true) => self.gap.mul_f64(PAUSE_GAPS),
+    pub fn timeout(&self) -> Duration {
+        match (self.started, self.may_retry) {
+            (true, true) => self.max_gap.mul_f64(TIMEOUT_GAPS),
             (true, false) => Duration::MAX,
             (false, true) => {
-                let least = self.target.mul_f64(LEAST_FIRST_TARGETS);
-                let most = self.target.mul_f64(MOST_FIRST_TARGETS);
-                let unexpected = self.expected_first.mul_f64(FIRST_UNEXPECTED);
-                unexpected.clamp(least, most)
+                let min = self.first_event_target.mul_f64(MIN_TIMEOUT_TARGETS);
+                let max = self.first_event_target.mul_f64(MAX_TIMEOUT_TARGETS);
+                let timeout = self.expected_first.mul_f64(TIMEOUT_EXPECTED_FACTOR);
+                timeout.clamp(min, max)
             }
             (false, false) => {
-                let leaves = self.target.mul_f64(LAST_FIRST_TARGETS);
-                let left = leaves.saturating_sub(self.before);
-                left.max(self.target.mul_f64(LEAST_TARGETS))
+                let caller_timeout = self.first_event_target.mul_f64(CALLER_TIMEOUT_TARGETS);
+                let left = caller_timeout.saturating_sub(self.waited_before);
+                left.max(self.first_event_target.mul_f64(MIN_SILENCE_TARGETS))
             }
         }
     }
--- a/crates/fleet/tests/probing.rs
+++ b/crates/fleet/tests/probing.rs
@@ -5,7 +5,7 @@
 use common::{endpoint, engine, ms};
 use dragonflyrill_fleet::{
     chains::{self, Chain},
-    probing::{Doubt, Next, ProbeSchedule},
+    probing::{Decision, ProbeSchedule, Suspicion},
 };
 
 /// Two chains that share their first stage: `f`, `g` and `f`, `h`.
@@ -18,10 +18,10 @@
     chains::find(&engine(), endpoints.iter().map(|e| (e, 1.0)))
 }
 
-fn asked(next: Next) -> Vec<String> {
+fn asked(next: Decision) -> Vec<String> {
     match next {
-        Next::Nothing => Vec::new(),
-        Next::Ask(ids) => ids.iter().map(ToString::to_string).collect(),
+        Decision::Nothing => Vec::new(),
+        Decision::Probe(ids) => ids.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -29,10 +29,10 @@
 fn a_chain_that_stands_still_is_asked_and_one_that_runs_is_not() {
     let chains = sharing();
     let mut schedule = ProbeSchedule::default();
-    schedule.event(&chains[0], ms(1000));
-    let next = schedule.next(&chains[0], Doubt::Still, ms(1050), Some(8));
-    assert_eq!(next, Next::Nothing);
-    let next = schedule.next(&chains[0], Doubt::Still, ms(1090), Some(8));
+    schedule.record_event(&chains[0], ms(1000));
+    let next = schedule.decide(&chains[0], Suspicion::Still, ms(1050), Some(8));
+    assert_eq!(next, Decision::Nothing);
+    let next = schedule.decide(&chains[0], Suspicion::Still, ms(1090), Some(8));
     assert_eq!(asked(next), ["f", "g"]);
 }
 
@@ -40,8 +40,8 @@
 fn parts_of_a_chain_that_runs_are_not_asked_whether_they_live() {
     let chains = sharing();
     let mut schedule = ProbeSchedule::default();
-    schedule.event(&chains[1], ms(1000));
-    let next = schedule.next(&chains[0], Doubt::Still, ms(1050), Some(8));
+    schedule.record_event(&chains[1], ms(1000));
+    let next = schedule.decide(&chains[0], Suspicion::Still, ms(1050), Some(8));
     assert_eq!(asked(next), ["g"]);
 }
 
@@ -49,8 +49,8 @@
 fn parts_of_a_chain_that_runs_are_asked_whether_they_are_slow() {
     let chains = sharing();
     let mut schedule = ProbeSchedule::default();
-    schedule.event(&chains[0], ms(1000));
-    let next = schedule.next(&chains[0], Doubt::Late, ms(1050), Some(8));
+    schedule.record_event(&chains[0], ms(1000));
+    let next = schedule.decide(&chains[0], Suspicion::Late, ms(1050), Some(8));
     assert_eq!(asked(next), ["f", "g"]);
 }
 
@@ -58,8 +58,8 @@
 fn a_part_that_has_just_answered_is_not_asked_for_another_chain() {
     let chains = sharing();
     let mut schedule = ProbeSchedule::default();
-    schedule.answered(&"f".into(), ms(1000));
-    let next = schedule.next(&chains[1], Doubt::Still, ms(1050), Some(8));
+    schedule.record_answer(&"f".into(), ms(1000));
+    let next = schedule.decide(&chains[1], Suspicion::Still, ms(1050), Some(8));
     assert_eq!(asked(next), ["h"]);
 }
 
@@ -69,8 +69,8 @@
     let mut schedule = ProbeSchedule::default();
     let mut times = Vec::new();
     for now in 0..until {
-        let next = schedule.next(&chains[0], Doubt::Late, ms(now), hosts);
-        times.extend((next != Next::Nothing).then_some(now));
+        let next = schedule.decide(&chains[0], Suspicion::Late, ms(now), hosts);
+        times.extend((next != Decision::Nothing).then_some(now));
     }
     times
 }
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -11,7 +11,7 @@
 use dragonflyrill_fleet::{
     chains::{Chain, Part},
     endpoints::Endpoint,
-    probing::{Doubt, Next, ProbeSchedule},
+    probing::{Decision, ProbeSchedule, Suspicion},
 };
 use futures_util::future;
 use rustc_hash::FxHashMap;
@@ -52,7 +52,7 @@
 impl Prober {
     /// An event has come over a chain.
     pub(super) fn event(&self, chain: &Chain, now: Duration) {
-        self.schedule.borrow_mut().event(chain, now);
+        self.schedule.borrow_mut().record_event(chain, now);
     }
 
     /// Changes whenever a part is found to be lost, or an endpoint to have ended.
@@ -70,7 +70,7 @@
 pub(super) fn in_doubt(
     gateway: &Rc<Gateway>,
     chain: &Chain,
-    doubt: Doubt,
+    doubt: Suspicion,
 ) -> Option<watch::Receiver<bool>> {
     let prober = &gateway.prober;
     let mut going_on = prober.going_on.borrow_mut();
@@ -80,7 +80,7 @@
     }
     let (now, hosts) = (gateway.now(), gateway.counted_hosts());
     let mut schedule = prober.schedule.borrow_mut();
-    let Next::Ask(ids) = schedule.next(chain, doubt, now, hosts) else {
+    let Decision::Probe(ids) = schedule.decide(chain, doubt, now, hosts) else {
         return None;
     };
     log::info!(target: "forward", chain = chain.to_string(), doubt:? = doubt; "A chain is in doubt and is probed.");
@@ -98,7 +98,7 @@
 
 /// Has a chain over which a run broke off probed, and waits for the end of that.
 pub(super) async fn after_break(gateway: &Rc<Gateway>, chain: &Chain) {
-    if let Some(mut done) = in_doubt(gateway, chain, Doubt::Still) {
+    if let Some(mut done) = in_doubt(gateway, chain, Suspicion::Still) {
         // A probe that was dropped tells nothing more.
         let _ = done.wait_for(|done| *done).await;
     }
@@ -116,7 +116,7 @@
     if let Reply::Report(report) = reply {
         gateway.reported(&part.id, &report);
         let now = gateway.now();
-        prober.schedule.borrow_mut().answered(&part.id, now);
+        prober.schedule.borrow_mut().record_answer(&part.id, now);
         let mut directory = gateway.directory.borrow_mut();
         if directory.paced(&part.id, report.pace, now) {
             log::info!(target: "fleet", endpoint = &*part.id, pace = report.pace; "Endpoint is slow.");
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use dragonflyrill_fleet::{
-    adaptive_timeout::Run,
+    adaptive_timeout::RunTiming,
     catalogue::Engine,
     chains::Chain,
     choice::{self, Chosen, Want},
@@ -233,15 +233,15 @@
     }
 
     /// What is waited for in the run that begins now.
-    fn waited_for(&self, planned: &Planned) -> Run {
+    fn waited_for(&self, planned: &Planned) -> RunTiming {
         let route = &self.admitted.route;
-        Run {
-            began: false,
-            more: self.admitted.may_go_on(&self.tries),
-            target: route.target,
-            gap: route.gap_target,
+        RunTiming {
+            started: false,
+            may_retry: self.admitted.may_go_on(&self.tries),
+            first_event_target: route.target,
+            max_gap: route.gap_target,
             expected_first: planned.expected_first,
-            before: self.last_event_at.unwrap_or(self.admitted.at).elapsed(),
+            waited_before: self.last_event_at.unwrap_or(self.admitted.at).elapsed(),
         }
     }
 
@@ -273,7 +273,7 @@
         let sent_at = Instant::now();
         let sent = tokio::select! {
             biased;
-            sent = send::send(gateway, self.admitted, &target, watch.run.most()) => sent,
+            sent = send::send(gateway, self.admitted, &target, watch.run.timeout()) => sent,
             given_up = watch.until_given_up(sent_at) => Err(target.given_up(given_up.why)),
         };
         let begun = match sent {
@@ -343,7 +343,7 @@
                 given_up = watch.until_given_up(since) => {
                     // What has ended sends nothing more, and its caller may as well know.
                     if out.started() && !given_up.over && !self.may_go_on_elsewhere() {
-                        watch.run.more = false;
+                        watch.run.may_retry = false;
                         continue;
                     }
                     return Ok(given_up_on(given_up.why));
@@ -364,7 +364,7 @@
                 Taken::Events(events) => self.pass_on(&mut begun, events, out).await?,
             }
             on.read();
-            watch.run.began = true;
+            watch.run.started = true;
             since = Instant::now();
             self.last_event_at = Some(since);
             let now = self.gateway.now();
--- a/crates/gateway/src/forward/watch.rs
+++ b/crates/gateway/src/forward/watch.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use dragonflyrill_fleet::{
-    adaptive_timeout::{Run, Step},
+    adaptive_timeout::{RunTiming, Step},
     chains::Chain,
-    probing::Doubt,
+    probing::Suspicion,
 };
 use tokio::time::{self, Instant};
 
@@ -16,7 +16,7 @@
 pub(super) struct Watch<'a> {
     pub(super) gateway: &'a Rc<Gateway>,
     pub(super) chain: &'a Chain,
-    pub(super) run: Run,
+    pub(super) run: RunTiming,
 }
 
 /// Why a run is given up.
@@ -47,13 +47,13 @@
                 };
             }
             let silent = since.elapsed();
-            match self.run.step(silent, probed.map(|at| at.elapsed())) {
-                Step::GiveUp if self.run.began => return GivenUp::silent("it stalled"),
-                Step::GiveUp => return GivenUp::silent("no answer in time"),
+            match self.run.next_step(silent, probed.map(|at| at.elapsed())) {
+                Step::Abandon if self.run.started => return GivenUp::silent("it stalled"),
+                Step::Abandon => return GivenUp::silent("no answer in time"),
                 Step::Probe => {
-                    let doubt = match self.run.began {
-                        true => Doubt::Still,
-                        false => Doubt::Late,
+                    let doubt = match self.run.started {
+                        true => Suspicion::Still,
+                        false => Suspicion::Late,
                     };
                     probe::in_doubt(self.gateway, self.chain, doubt);
                     probed = Some(Instant::now());
@@ -66,7 +66,7 @@
                     }
                 }
             }
-            if probed.is_some() && self.run.may_end() && self.lost_part() {
+            if probed.is_some() && self.run.may_abandon() && self.lost_part() {
                 return GivenUp::silent("a part of its chain is lost");
             }
         }
