--- a/crates/fleet/benches/planning.rs
+++ b/crates/fleet/benches/planning.rs
@@ -33,7 +33,7 @@
 fn placed(mut candidates: Vec<Candidate>) -> Vec<Candidate> {
     for placement in placement::plan(&engine(), &candidates, |_| false) {
         let found = candidates.iter_mut().find(|c| c.id == placement.id);
-        found.expect("a candidate").holds = Some(placement.layers);
+        found.expect("a candidate").held_layers = Some(placement.layers);
     }
     candidates
 }
@@ -50,7 +50,10 @@
         let mut joined = placed(fresh.clone());
         // Eight that join, as many of each kind as there are.
         let step = joined.len() / 8;
-        joined.iter_mut().step_by(step).for_each(|c| c.holds = None);
+        joined
+            .iter_mut()
+            .step_by(step)
+            .for_each(|c| c.held_layers = None);
         group.bench_function(BenchmarkId::new("eight join", &size), |b| {
             b.iter(|| placement::plan(&engine, black_box(&joined), |_| false));
         });
--- a/crates/fleet/src/placement/cells.rs
+++ b/crates/fleet/src/placement/cells.rs
@@ -137,7 +137,7 @@
     let mut groups = Vec::new();
     let holding = |c: &Candidate| {
         let accelerator = engine.accelerator(&c.accelerator)?;
-        Some(Holding::new(accelerator, c.holds?))
+        Some(Holding::new(accelerator, c.held_layers?))
     };
     let held = candidates.iter().enumerate();
     let held = held.filter_map(|(index, c)| Some((index, holding(c)?)));
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -17,11 +17,11 @@
 
 pub mod cells;
 mod covers;
-pub mod knowledge;
+pub mod engine_states;
 mod moves;
 pub mod planner;
+pub mod replacement;
 mod settling;
-pub mod succession;
 mod target;
 mod value;
 
@@ -44,7 +44,7 @@
     /// The name of its accelerator.
     pub accelerator: Rc<str>,
     /// The layers that it holds or is loading.
-    pub holds: Option<LayerRange>,
+    pub held_layers: Option<LayerRange>,
     /// Whether it is loading, or may be: it gets no layers. If `held_layers` is `None` it is
     /// unknown which.
     pub loading: bool,
@@ -52,15 +52,15 @@
 
 /// The state of an engine that plans assume, beyond its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Belief {
+pub enum AssumedState {
     /// As its entry says.
     Listed,
     /// It holds these layers or loads them.
     Loading(LayerRange),
     /// It may be carrying out an order.
-    Unsure,
+    Unknown,
     /// It does not answer, or reports that it is not as it is listed.
-    Lost,
+    Unresponsive,
 }
 
 impl Candidate {
@@ -69,18 +69,18 @@
     ///
     /// An unresponsive engine is left out as well: it may have restarted, and an empty engine
     /// should rather take its layers than others.
-    pub fn of(endpoint: &Endpoint, belief: Belief) -> Option<Self> {
-        let holds = match belief {
-            Belief::Listed | Belief::Unsure => endpoint.layers,
-            Belief::Loading(layers) => Some(layers),
-            Belief::Lost => return None,
+    pub fn from_endpoint(endpoint: &Endpoint, state: AssumedState) -> Option<Self> {
+        let held_layers = match state {
+            AssumedState::Listed | AssumedState::Unknown => endpoint.layers,
+            AssumedState::Loading(layers) => Some(layers),
+            AssumedState::Unresponsive => return None,
         };
         Some(Self {
             id: endpoint.id.clone(),
             data_centre: endpoint.data_centre.clone(),
             accelerator: endpoint.accelerator.clone()?,
-            holds,
-            loading: belief != Belief::Listed,
+            held_layers,
+            loading: state != AssumedState::Listed,
         })
     }
 }
@@ -134,7 +134,7 @@
         pace.then_with(|| a.candidate.id.cmp(&b.candidate.id))
     });
     let mut placements = Vec::new();
-    if slots.iter().all(|s| s.candidate.holds.is_none()) {
+    if slots.iter().all(|s| s.candidate.held_layers.is_none()) {
         covers::place_covers(engine, &slots, &mut placements);
         return placements;
     }
--- a/crates/fleet/src/placement/moves.rs
+++ b/crates/fleet/src/placement/moves.rs
@@ -58,7 +58,7 @@
         };
         let held = slots
             .iter()
-            .map(|s| s.candidate.holds.or_else(|| placed(s)))
+            .map(|s| s.candidate.held_layers.or_else(|| placed(s)))
             .collect();
         Self {
             engine,
--- a/crates/fleet/src/placement/planner.rs
+++ b/crates/fleet/src/placement/planner.rs
@@ -7,10 +7,10 @@
 use super::{
     Candidate, Placement,
     cells::{Cell, CellKey, Cells},
-    knowledge::Knowledge,
+    engine_states::EngineStates,
     plan_cell,
+    replacement::{ReplacementPlan, Replacements},
     settling::Settling,
-    succession::{Succession, Successions},
 };
 use crate::{
     catalogue::Engine,
@@ -19,30 +19,30 @@
 
 /// The engines of one service, as they are listed and known.
 #[derive(Debug, Clone, Copy)]
-pub struct Engines<'a> {
+pub struct ListedEngines<'a> {
     /// Engines that are not draining.
     pub staying: &'a [Rc<Endpoint>],
     /// Engines that have announced that they drain.
-    pub leaving: &'a [Rc<Endpoint>],
+    pub draining: &'a [Rc<Endpoint>],
     /// What they have reported.
-    pub known: &'a Knowledge,
+    pub states: &'a EngineStates,
     /// The endpoints as this host sees them.
     pub directory: &'a Directory,
 }
 
-impl<'a> Engines<'a> {
+impl<'a> ListedEngines<'a> {
     /// The staying engines with their candidates. An engine that is listed as empty is left out
     /// until it was polled.
     pub(super) fn candidates(&self) -> impl Iterator<Item = (&'a Rc<Endpoint>, Candidate)> {
         let Self {
-            known, directory, ..
+            states, directory, ..
         } = *self;
         let candidate = move |e: &'a Rc<Endpoint>| {
-            if e.layers.is_none() && !known.knows(&e.id) {
+            if e.layers.is_none() && !states.is_known(&e.id) {
                 return None;
             }
-            let belief = known.belief(directory, &e.id);
-            Some((e, Candidate::of(e, belief)?))
+            let state = states.assumed_state(directory, &e.id);
+            Some((e, Candidate::from_endpoint(e, state)?))
         };
         self.staying.iter().filter_map(candidate)
     }
@@ -50,8 +50,8 @@
 
 /// The input of a plan.
 #[derive(Debug, PartialEq)]
-struct Situation {
-    succession: Succession,
+struct PlanInput {
+    replacement: ReplacementPlan,
     /// Data centres in which no loaded layers may move, as their list is coming back or an engine
     /// waits for one to drain.
     unsettled: Vec<Rc<str>>,
@@ -59,13 +59,13 @@
 
 /// A cell whose last plan had no orders.
 #[derive(Debug, PartialEq)]
-struct PlannedCell {
+struct SettledCell {
     candidates: Vec<Candidate>,
     unsettled: bool,
 }
 
-impl PlannedCell {
-    fn is_as(&self, cell: &Cell<'_>, unsettled: bool) -> bool {
+impl SettledCell {
+    fn matches(&self, cell: &Cell<'_>, unsettled: bool) -> bool {
         self.unsettled == unsettled && self.candidates.iter().eq(cell.candidates.iter().copied())
     }
 }
@@ -74,12 +74,12 @@
 #[derive(Debug, Default)]
 pub struct Planner {
     settling: Settling,
-    successions: Successions,
+    replacements: Replacements,
     cells: Cells,
     /// The last input, if its plan had no orders.
-    planned_for: Option<Situation>,
+    settled_input: Option<PlanInput>,
     /// The cells whose last plan had no orders.
-    planned_cells: FxHashMap<CellKey, PlannedCell>,
+    settled_cells: FxHashMap<CellKey, SettledCell>,
     waiting: Vec<Rc<str>>,
 }
 
@@ -89,51 +89,56 @@
     /// What engines should load.
     pub placements: Vec<Placement>,
     /// Engines that start to wait for one of the same kind to drain.
-    pub begin_to_wait: Vec<Rc<str>>,
+    pub newly_waiting: Vec<Rc<str>>,
 }
 
 impl Planner {
     /// Observes the list while another host gives the orders.
-    pub fn watch(&mut self, engines: &Engines<'_>, now: Duration) {
+    pub fn observe(&mut self, engines: &ListedEngines<'_>, now: Duration) {
         self.settling.unsettled(engines, now);
-        self.successions.watch(engines, now);
+        self.replacements.observe(engines, now);
     }
 
     /// Whether the list of engines has been unchanged for long enough to plan with;
     /// `requests_waiting` says that requests wait for a plan.
-    pub fn settled(&mut self, engines: &Engines<'_>, asked: bool, now: Duration) -> bool {
-        self.settling.settled(engines, asked, now)
+    pub fn settled(
+        &mut self,
+        engines: &ListedEngines<'_>,
+        requests_waiting: bool,
+        now: Duration,
+    ) -> bool {
+        self.settling.settled(engines, requests_waiting, now)
     }
 
     /// What engines should load now. The empty ones must have been polled.
-    pub fn plan(&mut self, engine: &Engine, engines: &Engines<'_>, now: Duration) -> Plan {
-        let succession = self.successions.plan(engine.layers, engines, now);
+    pub fn plan(&mut self, engine: &Engine, engines: &ListedEngines<'_>, now: Duration) -> Plan {
+        let replacement = self.replacements.plan(engine.layers, engines, now);
         let mut unsettled = self.settling.unsettled(engines, now);
         // A waiting engine may fill the gap that a move would fill.
         let waiting = engines.staying.iter();
-        let waiting = waiting.filter(|e| succession.waiting.contains(&e.id));
+        let waiting = waiting.filter(|e| replacement.waiting.contains(&e.id));
         unsettled.extend(waiting.map(|e| e.data_centre.clone()));
-        let situation = Situation {
-            succession,
+        let input = PlanInput {
+            replacement,
             unsettled,
         };
-        if self.planned_for.as_ref() == Some(&situation) {
+        if self.settled_input.as_ref() == Some(&input) {
             return Plan::default();
         }
-        let Succession {
-            successors,
+        let ReplacementPlan {
+            replacements,
             waiting,
             candidates,
-        } = &situation.succession;
+        } = &input.replacement;
         let before = std::mem::replace(&mut self.waiting, waiting.clone());
         let new = waiting.iter().filter(|id| !before.contains(id));
-        let begin_to_wait = new.cloned().collect();
-        let mut placements = self.plan_cells(engine, candidates, &situation.unsettled);
-        placements.extend(successors.iter().cloned());
-        self.planned_for = placements.is_empty().then_some(situation);
+        let newly_waiting = new.cloned().collect();
+        let mut placements = self.plan_cells(engine, candidates, &input.unsettled);
+        placements.extend(replacements.iter().cloned());
+        self.settled_input = placements.is_empty().then_some(input);
         Plan {
             placements,
-            begin_to_wait,
+            newly_waiting,
         }
     }
 
@@ -146,26 +151,26 @@
         unsettled: &[Rc<str>],
     ) -> Vec<Placement> {
         let mut placements = Vec::new();
-        let mut planned_cells = FxHashMap::default();
+        let mut settled_cells = FxHashMap::default();
         for cell in self.cells.split(engine, candidates) {
             let unsettled = unsettled.contains(&cell.key.data_centre);
-            let before = self.planned_cells.remove(&cell.key);
-            if let Some(planned) = before.filter(|p| p.is_as(&cell, unsettled)) {
-                planned_cells.insert(cell.key, planned);
+            let before = self.settled_cells.remove(&cell.key);
+            if let Some(settled) = before.filter(|p| p.matches(&cell, unsettled)) {
+                settled_cells.insert(cell.key, settled);
                 continue;
             }
             let placed = plan_cell(engine, &cell.candidates, unsettled);
             if placed.is_empty() {
                 let candidates = cell.candidates.into_iter().cloned().collect();
-                let planned = PlannedCell {
+                let settled = SettledCell {
                     candidates,
                     unsettled,
                 };
-                planned_cells.insert(cell.key, planned);
+                settled_cells.insert(cell.key, settled);
             }
             placements.extend(placed);
         }
-        self.planned_cells = planned_cells;
+        self.settled_cells = settled_cells;
         placements
     }
 }
--- a/crates/fleet/src/placement/settling.rs
+++ b/crates/fleet/src/placement/settling.rs
@@ -8,7 +8,7 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::planner::Engines;
+use super::planner::ListedEngines;
 
 /// How long the list of engines must be unchanged before the first plan of a start: a little over
 /// the time between two entries of one engine, so that all that have started are listed.
@@ -34,7 +34,7 @@
     /// Whether the list can be planned with; `requests_waiting` says that requests wait for a plan.
     pub(super) fn settled(
         &mut self,
-        engines: &Engines<'_>,
+        engines: &ListedEngines<'_>,
         requests_waiting: bool,
         now: Duration,
     ) -> bool {
@@ -60,11 +60,11 @@
     /// The data centres to whose list engines that hold layers were added less than [`SETTLE`] ago,
     /// or in which an engine is unresponsive: it may answer again soon, and is removed from the
     /// list otherwise.
-    pub(super) fn unsettled(&mut self, engines: &Engines<'_>, now: Duration) -> Vec<Rc<str>> {
+    pub(super) fn unsettled(&mut self, engines: &ListedEngines<'_>, now: Duration) -> Vec<Rc<str>> {
         let mut holders = FxHashSet::default();
         for endpoint in engines.staying.iter().filter(|e| e.layers.is_some()) {
             holders.insert(endpoint.id.clone());
-            let known = engines.known.knows(&endpoint.id);
+            let known = engines.states.is_known(&endpoint.id);
             if !self.holders.contains(&endpoint.id) && !known {
                 self.joined_at.insert(endpoint.data_centre.clone(), now);
             }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -48,7 +48,7 @@
         id: format!("e{id:02}").into(),
         data_centre: data_centre.into(),
         accelerator: accelerator.into(),
-        holds: None,
+        held_layers: None,
         loading: false,
     }
 }
@@ -122,9 +122,11 @@
     let mut candidates = fleet(&[("a", [4, 6, 14]), ("b", [2, 9, 22]), ("c", [2, 15, 12])]);
     for placement in placement::plan(&engine(), &candidates, |_| false) {
         let found = candidates.iter_mut().find(|c| c.id == placement.id);
-        found.expect("a candidate").holds = Some(placement.layers);
+        found.expect("a candidate").held_layers = Some(placement.layers);
     }
-    let holders = candidates.iter().filter_map(|c| Some(placed(c, c.holds?)));
+    let holders = candidates
+        .iter()
+        .filter_map(|c| Some(placed(c, c.held_layers?)));
     let endpoints: Vec<Endpoint> = holders.collect();
     chains::find(&engine(), endpoints.iter().map(|e| (e, 1.0)))
 }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -9,9 +9,9 @@
     endpoints::{Directory, Endpoint},
     layers::LayerRange,
     placement::{
-        self, Belief, Candidate, Placement,
+        self, AssumedState, Candidate, Placement,
         cells::Cells,
-        knowledge::{Knowledge, Order, Outcome},
+        engine_states::{EngineStates, Order, OrderOutcome},
     },
 };
 use proptest::prelude::*;
@@ -24,7 +24,7 @@
 fn apply(candidates: &mut [Candidate], placements: &[Placement]) {
     for placement in placements {
         let found = candidates.iter_mut().find(|c| c.id == placement.id);
-        found.expect("a candidate").holds = Some(placement.layers);
+        found.expect("a candidate").held_layers = Some(placement.layers);
     }
 }
 
@@ -45,7 +45,7 @@
     let holders = |layer: u32| {
         let local = candidates.iter().filter(|c| *c.data_centre == *centre);
         local
-            .filter(|c| c.holds.is_some_and(|l| l.contains(layer)))
+            .filter(|c| c.held_layers.is_some_and(|l| l.contains(layer)))
             .count()
     };
     (0..80).map(holders).min().unwrap_or(0)
@@ -90,7 +90,7 @@
     let orders = plan(&candidates);
     apply(&mut candidates, &orders);
     let lost = candidates.remove(0);
-    let held = lost.holds.expect("it held layers");
+    let held = lost.held_layers.expect("it held layers");
     candidates.push(candidate(90, "a", "a100"));
     let orders = plan(&candidates);
     assert_eq!(orders.len(), 1);
@@ -110,25 +110,31 @@
     let mut candidates = fleet(&[("a", [2, 2, 0])]);
     let orders = plan(&candidates);
     apply(&mut candidates, &orders);
-    let held = candidates[0].holds.expect("it held layers");
+    let held = candidates[0].held_layers.expect("it held layers");
     let listed = endpoint("e00", "a", "a100", held.first, held.end);
     candidates.push(candidate(90, "a", "a100"));
     let without = plan(&candidates[1..]);
-    candidates[0] = Candidate::of(&listed, Belief::Listed).expect("an engine");
+    candidates[0] = Candidate::from_endpoint(&listed, AssumedState::Listed).expect("an engine");
     assert_ne!(plan(&candidates), without, "it matters");
-    candidates.splice(..1, Candidate::of(&listed, Belief::Lost));
+    candidates.splice(
+        ..1,
+        Candidate::from_endpoint(&listed, AssumedState::Unresponsive),
+    );
     assert_eq!(plan(&candidates), without, "as if it were gone");
 }
 
 #[test]
 fn what_is_believed_of_an_engine_goes_before_its_entry() {
     let listed = endpoint("e", "a", "l40s", 10, 30);
-    let ordered = LayerRange::new(40, 50).expect("layers");
-    let of = |belief| Candidate::of(&listed, belief).map(|c| (c.holds, c.loading));
-    assert_eq!(of(Belief::Listed), Some((listed.layers, false)));
-    assert_eq!(of(Belief::Loading(ordered)), Some((Some(ordered), true)));
-    assert_eq!(of(Belief::Unsure), Some((listed.layers, true)));
-    assert_eq!(of(Belief::Lost), None);
+    let layers = LayerRange::new(40, 50).expect("layers");
+    let of = |state| Candidate::from_endpoint(&listed, state).map(|c| (c.held_layers, c.loading));
+    assert_eq!(of(AssumedState::Listed), Some((listed.layers, false)));
+    assert_eq!(
+        of(AssumedState::Loading(layers)),
+        Some((Some(layers), true))
+    );
+    assert_eq!(of(AssumedState::Unknown), Some((listed.layers, true)));
+    assert_eq!(of(AssumedState::Unresponsive), None);
 }
 
 #[test]
@@ -136,19 +142,26 @@
     let mut directory = Directory::default();
     let listed = endpoint("e", "a", "l40s", 10, 30);
     directory.put(listed.clone(), ms(0));
-    let mut known = Knowledge::default();
+    let mut states = EngineStates::default();
     let order = Order {
         endpoint: Rc::new(listed),
         layers: LayerRange::new(40, 50).expect("layers"),
-        begun: 0,
+        expected_orders: 0,
     };
-    known.ordered(&order, Outcome::Taken, ms(10));
-    let ordered = Belief::Loading(order.layers);
-    assert_eq!(known.belief(&directory, "e"), ordered);
+    states.record_outcome(&order, OrderOutcome::Accepted, ms(10));
+    let loading = AssumedState::Loading(order.layers);
+    assert_eq!(states.assumed_state(&directory, "e"), loading);
     directory.lost("e", ms(20));
-    assert_eq!(known.belief(&directory, "e"), Belief::Lost);
+    assert_eq!(
+        states.assumed_state(&directory, "e"),
+        AssumedState::Unresponsive
+    );
     directory.succeeded("e");
-    assert_eq!(known.belief(&directory, "e"), ordered, "it answers again");
+    assert_eq!(
+        states.assumed_state(&directory, "e"),
+        loading,
+        "it answers again"
+    );
 }
 
 #[test]
@@ -166,7 +179,7 @@
         let engine = engine();
         let mut candidates = fleet(&[("a", counts)]);
         for (candidate, (first, count)) in candidates.iter_mut().zip(&held) {
-            candidate.holds = LayerRange::new(*first, first + count);
+            candidate.held_layers = LayerRange::new(*first, first + count);
         }
         for placement in plan(&candidates) {
             let found = candidates.iter().find(|c| c.id == placement.id).expect("a candidate");
@@ -179,10 +192,10 @@
 }
 
 /// Engines of one data centre as its first cover and its spares hold them.
-fn centre(holds: &[(&str, u32, u32)]) -> Vec<Candidate> {
-    let candidates = holds.iter().enumerate();
+fn centre(held_layers: &[(&str, u32, u32)]) -> Vec<Candidate> {
+    let candidates = held_layers.iter().enumerate();
     let candidates = candidates.map(|(i, (kind, first, end))| Candidate {
-        holds: LayerRange::new(*first, *end),
+        held_layers: LayerRange::new(*first, *end),
         ..candidate(i, "a", kind)
     });
     candidates.collect()
@@ -192,7 +205,7 @@
 fn loaded(candidates: &[Candidate], order: &Placement) -> u32 {
     let found = candidates.iter().find(|c| c.id == order.id);
     let kept = found
-        .and_then(|c| c.holds)
+        .and_then(|c| c.held_layers)
         .and_then(|held| held.intersection(order.layers));
     order.layers.count() - kept.map_or(0, |k| k.count())
 }
@@ -249,7 +262,7 @@
     candidates.push(candidate(8, "a", "a100"));
     settle(&mut candidates);
     let fast = |c: &&Candidate| *c.accelerator != *"l4";
-    let most = candidates.iter().filter(fast).filter_map(|c| c.holds);
+    let most = candidates.iter().filter(fast).filter_map(|c| c.held_layers);
     let most = most.map(|held| held.count()).max();
     assert!(
         most.is_some_and(|n| n <= 26),
@@ -300,7 +313,7 @@
         (0..n).map(one).collect()
     };
     let asked = |engines: &[Rc<Endpoint>]| {
-        let asked = Knowledge::default().empty_ones(engines, ms(0));
+        let asked = EngineStates::default().unknown_empty(engines, ms(0));
         let of = |centre: &str| asked.iter().filter(|e| &*e.data_centre == centre).count();
         [of("a"), of("b"), of("c")]
     };
--- a/crates/fleet/tests/placing_orders.rs
+++ b/crates/fleet/tests/placing_orders.rs
@@ -16,8 +16,8 @@
     incarnations::{self, Born},
     layers::LayerRange,
     placement::{
-        knowledge::{Knowledge, Order, Outcome, Told},
-        planner::{Engines, Planner},
+        engine_states::{EngineStates, LoadReport, Order, OrderOutcome},
+        planner::{ListedEngines, Planner},
     },
 };
 use rand::{Rng, SeedableRng};
@@ -77,7 +77,7 @@
     says_start: bool,
     engines: Vec<Engine>,
     directory: Directory,
-    known: Knowledge,
+    known: EngineStates,
     planner: Planner,
     /// Entries on their way; none where the endpoint's entry is removed.
     entries: Vec<(Duration, Rc<str>, Option<Endpoint>)>,
@@ -101,7 +101,7 @@
             says_start: seed.is_multiple_of(2),
             engines: engines.map(|(at, kind)| Engine::new(at, kind)).collect(),
             directory: Directory::default(),
-            known: Knowledge::default(),
+            known: EngineStates::default(),
             planner: Planner::default(),
             entries: Vec::new(),
             late: Vec::new(),
@@ -262,7 +262,7 @@
         let now = self.now;
         let model = engine();
         let engine = &mut self.engines[at];
-        if engine.gone(now) || engine.orders != order.begun || engine.loads.is_some() {
+        if engine.gone(now) || engine.orders != order.expected_orders || engine.loads.is_some() {
             return false;
         }
         let accelerator = model.accelerator(engine.kind).expect("a kind");
@@ -275,7 +275,7 @@
     }
 
     /// What the process at an endpoint's address says, and which start it is.
-    fn ask(&mut self, endpoint: &Endpoint, trouble: f64) -> Option<Told> {
+    fn ask(&mut self, endpoint: &Endpoint, trouble: f64) -> Option<LoadReport> {
         if self.chance(0.1 * trouble) {
             return None;
         }
@@ -285,7 +285,7 @@
         }
         let entry = self.entry(at);
         let engine = &self.engines[at];
-        let told = Told {
+        let told = LoadReport {
             layers: engine.layers,
             busy: engine.loads.is_some(),
             orders: engine.orders,
@@ -310,19 +310,19 @@
     /// One round of the host that places.
     fn place(&mut self, trouble: f64) {
         let (staying, leaving) = self.listed();
-        let engines = Engines {
+        let engines = ListedEngines {
             staying: &staying,
-            leaving: &leaving,
-            known: &self.known,
+            draining: &leaving,
+            states: &self.known,
             directory: &self.directory,
         };
         if !self.planner.settled(&engines, false, self.now) {
             return;
         }
-        for endpoint in self.known.empty_ones(&staying, self.now) {
+        for endpoint in self.known.unknown_empty(&staying, self.now) {
             let told = self.ask(&endpoint, trouble);
             if self.current(&endpoint.id) {
-                self.known.empty_told(&endpoint.id, told, self.now);
+                self.known.record_empty_report(&endpoint.id, told, self.now);
             }
         }
         // Asking and ordering take their time, in which anything may happen.
@@ -334,24 +334,24 @@
                 self.directory.put(entry, self.now);
             }
         }
-        let engines = Engines {
+        let engines = ListedEngines {
             staying: &staying,
-            leaving: &leaving,
-            known: &self.known,
+            draining: &leaving,
+            states: &self.known,
             directory: &self.directory,
         };
         let placements = self.planner.plan(&engine(), &engines, self.now).placements;
-        for endpoint in self.known.movers(&staying, &placements) {
+        for endpoint in self.known.unknown_movers(&staying, &placements) {
             let told = self.ask(&endpoint, trouble);
             if self.current(&endpoint.id) {
-                self.known.mover_told(&endpoint, told, self.now);
+                self.known.record_mover_report(&endpoint, told, self.now);
             }
         }
         let orders = self.known.orders(&self.directory, &placements);
         for order in orders {
             self.order(order, trouble);
         }
-        self.known.keep_listed(&self.directory);
+        self.known.retain_listed(&self.directory);
     }
 
     fn order(&mut self, order: Order, trouble: f64) {
@@ -369,16 +369,16 @@
             x if x < 0.1 * trouble => {
                 let late = ms(self.rng.random_range(LATE));
                 self.late.push((self.now + late, at, order.clone()));
-                Outcome::Unknown
+                OrderOutcome::Unknown
             }
-            x if x < 0.15 * trouble => Outcome::Unknown,
-            _ if self.accept(at, &order) => Outcome::Taken,
-            _ => Outcome::Refused,
+            x if x < 0.15 * trouble => OrderOutcome::Unknown,
+            _ if self.accept(at, &order) => OrderOutcome::Accepted,
+            _ => OrderOutcome::Refused,
         };
-        if outcome == Outcome::Unknown {
+        if outcome == OrderOutcome::Unknown {
             self.unanswered.insert(id, self.now + ms(LATE.end));
         }
-        self.known.ordered(&order, outcome, self.now);
+        self.known.record_outcome(&order, outcome, self.now);
     }
 
     /// How many engines hold a layer, for the layer of which that is least.
--- a/crates/fleet/tests/settling.rs
+++ b/crates/fleet/tests/settling.rs
@@ -8,8 +8,8 @@
 use dragonflyrill_fleet::{
     endpoints::{Directory, Endpoint},
     placement::{
-        knowledge::Knowledge,
-        planner::{Engines, Planner},
+        engine_states::EngineStates,
+        planner::{ListedEngines, Planner},
     },
 };
 
@@ -21,14 +21,19 @@
     })
 }
 
-fn settled(planner: &mut Planner, staying: &[Rc<Endpoint>], asked: bool, now: Duration) -> bool {
-    let engines = Engines {
+fn settled(
+    planner: &mut Planner,
+    staying: &[Rc<Endpoint>],
+    requests_waiting: bool,
+    now: Duration,
+) -> bool {
+    let engines = ListedEngines {
         staying,
-        leaving: &[],
-        known: &Knowledge::default(),
+        draining: &[],
+        states: &EngineStates::default(),
         directory: &Directory::default(),
     };
-    planner.settled(&engines, asked, now)
+    planner.settled(&engines, requests_waiting, now)
 }
 
 #[test]
@@ -44,14 +49,19 @@
 
 #[test]
 fn a_list_that_never_stands_still_is_planned_with_in_the_end_and_sooner_when_requests_wait() {
-    for (asked, last) in [(false, 5500), (true, 1000)] {
+    for (requests_waiting, last) in [(false, 5500), (true, 1000)] {
         let mut planner = Planner::default();
         let mut listed = Vec::new();
         for step in 0..last / 100 {
             listed.push(empty(&format!("e{step}")));
-            assert!(!settled(&mut planner, &listed, asked, ms(step * 100)));
+            assert!(!settled(
+                &mut planner,
+                &listed,
+                requests_waiting,
+                ms(step * 100)
+            ));
         }
-        assert!(settled(&mut planner, &listed, asked, ms(last)));
+        assert!(settled(&mut planner, &listed, requests_waiting, ms(last)));
     }
 }
 
@@ -76,10 +86,10 @@
     directory: &Directory,
     now: Duration,
 ) -> usize {
-    let engines = Engines {
+    let engines = ListedEngines {
         staying,
-        leaving: &[],
-        known: &Knowledge::default(),
+        draining: &[],
+        states: &EngineStates::default(),
         directory,
     };
     let plan = planner.plan(&engine(), &engines, now);
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -14,16 +14,16 @@
     layers::{self, LayerRange},
     placement::{
         Placement,
-        knowledge::{Knowledge, Told},
-        planner::{Engines, Planner},
-        succession::Successions,
+        engine_states::{EngineStates, LoadReport},
+        planner::{ListedEngines, Planner},
+        replacement::Replacements,
     },
 };
 
 const LAYERS: u32 = 80;
 
 /// What an engine says that holds nothing.
-const NOTHING: Told = Told {
+const NOTHING: LoadReport = LoadReport {
     layers: None,
     busy: false,
     orders: 0,
@@ -65,37 +65,37 @@
 /// What follows for new engines.
 #[derive(Debug, Default, PartialEq)]
 struct Follows {
-    successors: Vec<Placement>,
+    replacements: Vec<Placement>,
     /// They are not planned with.
     waiting: Vec<Rc<str>>,
 }
 
 /// Plans for new engines that were asked, beside those that serve and those that leave.
 fn plan(
-    successions: &mut Successions,
+    replacements: &mut Replacements,
     new: &[Rc<Endpoint>],
     serving: &[Rc<Endpoint>],
     leaving: &[Rc<Endpoint>],
     now: Duration,
 ) -> Follows {
-    let mut known = Knowledge::default();
+    let mut known = EngineStates::default();
     for endpoint in new {
-        known.empty_told(&endpoint.id, Some(NOTHING), now);
+        known.record_empty_report(&endpoint.id, Some(NOTHING), now);
     }
     let staying: Vec<Rc<Endpoint>> = new.iter().chain(serving).cloned().collect();
     let directory = Directory::default();
-    let engines = Engines {
+    let engines = ListedEngines {
         staying: &staying,
-        leaving,
-        known: &known,
+        draining: leaving,
+        states: &known,
         directory: &directory,
     };
-    let succession = successions.plan(LAYERS, &engines, now);
-    let planned = |id: &Rc<str>| succession.candidates.iter().any(|c| c.id == *id);
-    assert!(!succession.waiting.iter().any(planned));
+    let replacement = replacements.plan(LAYERS, &engines, now);
+    let planned = |id: &Rc<str>| replacement.candidates.iter().any(|c| c.id == *id);
+    assert!(!replacement.waiting.iter().any(planned));
     Follows {
-        successors: succession.successors,
-        waiting: succession.waiting,
+        replacements: replacement.replacements,
+        waiting: replacement.waiting,
     }
 }
 
@@ -108,41 +108,41 @@
 
 #[test]
 fn a_new_engine_waits_for_one_of_its_kind_to_leave_and_takes_its_layers() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let (new, serving) = ([empty("n", "l40s")], serving());
-    let waits = plan(&mut successions, &new, &serving, &[], ms(0));
+    let waits = plan(&mut replacements, &new, &serving, &[], ms(0));
     assert_eq!(
-        (waits.successors.len(), waits.waiting),
+        (waits.replacements.len(), waits.waiting),
         (0, vec!["n".into()])
     );
     let left = [leaving("s3", "l40s", 60, 80)];
-    let takes = plan(&mut successions, &new, &serving[..2], &left, ms(1100));
-    assert_eq!(takes.successors, [successor("n", 60, 80)]);
+    let takes = plan(&mut replacements, &new, &serving[..2], &left, ms(1100));
+    assert_eq!(takes.replacements, [successor("n", 60, 80)]);
     assert!(takes.waiting.is_empty());
 }
 
 #[test]
 fn nobody_waits_for_longer_than_a_moment() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let (new, serving) = ([empty("n", "l40s")], serving());
-    plan(&mut successions, &new, &serving, &[], ms(0));
-    let later = plan(&mut successions, &new, &serving, &[], ms(1800));
+    plan(&mut replacements, &new, &serving, &[], ms(0));
+    let later = plan(&mut replacements, &new, &serving, &[], ms(1800));
     assert_eq!(later, Follows::default(), "it is placed as any other");
 }
 
 #[test]
 fn nobody_waits_where_layers_are_missing() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let (new, serving) = ([empty("n", "l40s")], serving());
-    let gap = plan(&mut successions, &new, &serving[1..], &[], ms(0));
+    let gap = plan(&mut replacements, &new, &serving[1..], &[], ms(0));
     assert_eq!(gap, Follows::default());
 }
 
 #[test]
 fn nobody_waits_for_another_kind_or_in_another_data_centre() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let other_kind = plan(
-        &mut successions,
+        &mut replacements,
         &[empty("n", "l4")],
         &serving(),
         &[],
@@ -153,17 +153,23 @@
         data_centre: "b".into(),
         ..(*empty("m", "l40s")).clone()
     });
-    let elsewhere = plan(&mut successions, &[elsewhere], &serving(), &[], ms(0));
+    let elsewhere = plan(&mut replacements, &[elsewhere], &serving(), &[], ms(0));
     assert_eq!(elsewhere, Follows::default());
     let left = Rc::new(Endpoint {
         data_centre: "b".into(),
         ..(*leaving("s2", "l40s", 41, 60)).clone()
     });
-    let from_elsewhere = plan(&mut successions, &[empty("n", "l40s")], &[], &[left], ms(0));
+    let from_elsewhere = plan(
+        &mut replacements,
+        &[empty("n", "l40s")],
+        &[],
+        &[left],
+        ms(0),
+    );
     assert_eq!(from_elsewhere, Follows::default());
     let left = [leaving("s1", "a100", 0, 41)];
     let new = [empty("n", "l40s")];
-    let not_its = plan(&mut successions, &new, &serving()[1..], &left, ms(0));
+    let not_its = plan(&mut replacements, &new, &serving()[1..], &left, ms(0));
     assert_eq!(
         not_its,
         Follows::default(),
@@ -173,7 +179,7 @@
 
 #[test]
 fn each_engine_that_leaves_has_one_successor() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let left = [leaving("s2", "l40s", 41, 60), leaving("s3", "l40s", 60, 80)];
     let new = [
         empty("n1", "l40s"),
@@ -181,105 +187,105 @@
         empty("n3", "l40s"),
     ];
     let serving = serving();
-    let first = plan(&mut successions, &new, &serving[..1], &left, ms(0));
+    let first = plan(&mut replacements, &new, &serving[..1], &left, ms(0));
     assert_eq!(
-        first.successors,
+        first.replacements,
         [successor("n1", 41, 60), successor("n2", 60, 80)]
     );
     // The first has its order; the others are asked for once more.
     let loading = [serving[0].clone(), engine("n1", "l40s", 41, 60)];
-    let again = plan(&mut successions, &new[1..], &loading, &left, ms(100));
-    assert_eq!(again.successors, [successor("n2", 60, 80)]);
+    let again = plan(&mut replacements, &new[1..], &loading, &left, ms(100));
+    assert_eq!(again.replacements, [successor("n2", 60, 80)]);
     // A successor that is gone leaves its place to another.
-    let third = plan(&mut successions, &new[2..], &loading, &left, ms(200));
-    assert_eq!(third.successors, [successor("n3", 60, 80)]);
+    let third = plan(&mut replacements, &new[2..], &loading, &left, ms(200));
+    assert_eq!(third.replacements, [successor("n3", 60, 80)]);
 }
 
 #[test]
 fn an_engine_that_left_and_is_listed_once_more_has_no_second_successor() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let left = [leaving("s3", "l40s", 60, 80)];
     let serving = serving();
     let first = [empty("n1", "l40s")];
-    plan(&mut successions, &first, &serving[..2], &left, ms(0));
+    plan(&mut replacements, &first, &serving[..2], &left, ms(0));
     let loading = [
         serving[0].clone(),
         serving[1].clone(),
         engine("n1", "l40s", 60, 80),
     ];
-    plan(&mut successions, &[], &loading, &[], ms(3000));
+    plan(&mut replacements, &[], &loading, &[], ms(3000));
     // Its last entry was on its way for long.
     let second = [empty("n2", "l40s")];
-    let again = plan(&mut successions, &second, &loading, &left, ms(4000));
-    assert_eq!(again.successors, []);
+    let again = plan(&mut replacements, &second, &loading, &left, ms(4000));
+    assert_eq!(again.replacements, []);
 }
 
 #[test]
 fn an_engine_that_joins_after_one_of_its_kind_is_lost_does_not_wait() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let serving = [serving(), vec![engine("s4", "l40s", 41, 60)]].concat();
-    plan(&mut successions, &[], &serving, &[], ms(0));
+    plan(&mut replacements, &[], &serving, &[], ms(0));
     let new = [empty("n1", "l40s"), empty("n2", "l40s")];
-    let joined = plan(&mut successions, &new, &serving[..3], &[], ms(1000));
+    let joined = plan(&mut replacements, &new, &serving[..3], &[], ms(1000));
     assert_eq!(joined.waiting, ["n2".into()], "one stands for what is lost");
-    let again = plan(&mut successions, &new, &serving[..3], &[], ms(1100));
+    let again = plan(&mut replacements, &new, &serving[..3], &[], ms(1100));
     assert_eq!(again, joined, "and the same one");
-    let late = plan(&mut successions, &new[1..], &serving, &[], ms(40_000));
+    let late = plan(&mut replacements, &new[1..], &serving, &[], ms(40_000));
     assert_eq!(late, Follows::default());
 }
 
 #[test]
 fn an_engine_that_joins_after_another_kind_is_lost_does_not_wait_either() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let serving = [serving(), vec![engine("s4", "a100", 0, 41)]].concat();
-    plan(&mut successions, &[], &serving, &[], ms(0));
+    plan(&mut replacements, &[], &serving, &[], ms(0));
     let new = [empty("n1", "l40s")];
-    let joined = plan(&mut successions, &new, &serving[..3], &[], ms(1000));
+    let joined = plan(&mut replacements, &new, &serving[..3], &[], ms(1000));
     assert_eq!(joined, Follows::default());
 }
 
 #[test]
 fn an_engine_that_is_back_is_not_missed() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let serving = [serving(), vec![engine("s4", "l40s", 41, 60)]].concat();
-    plan(&mut successions, &[], &serving, &[], ms(0));
-    plan(&mut successions, &[], &serving[..3], &[], ms(1000));
-    plan(&mut successions, &[], &serving, &[], ms(2000));
+    plan(&mut replacements, &[], &serving, &[], ms(0));
+    plan(&mut replacements, &[], &serving[..3], &[], ms(1000));
+    plan(&mut replacements, &[], &serving, &[], ms(2000));
     let new = [empty("n1", "l40s")];
-    let follows = plan(&mut successions, &new, &serving, &[], ms(3000));
+    let follows = plan(&mut replacements, &new, &serving, &[], ms(3000));
     assert_eq!(follows.waiting, ["n1".into()]);
 }
 
 #[test]
 fn a_host_that_watched_knows_what_is_lost_when_it_gives_the_orders() {
-    let mut successions = Successions::default();
-    let known = Knowledge::default();
+    let mut replacements = Replacements::default();
+    let known = EngineStates::default();
     let directory = Directory::default();
     let all = [serving(), vec![engine("s4", "l40s", 41, 60)]].concat();
     for staying in [&all[..], &all[..3]] {
-        let engines = Engines {
+        let engines = ListedEngines {
             staying,
-            leaving: &[],
-            known: &known,
+            draining: &[],
+            states: &known,
             directory: &directory,
         };
-        successions.watch(&engines, ms(0));
+        replacements.observe(&engines, ms(0));
     }
     let new = [empty("n1", "l40s")];
-    let follows = plan(&mut successions, &new, &all[..3], &[], ms(1000));
+    let follows = plan(&mut replacements, &new, &all[..3], &[], ms(1000));
     assert_eq!(follows, Follows::default());
 }
 
 #[test]
 fn an_engine_that_has_said_that_it_leaves_is_not_missed() {
-    let mut successions = Successions::default();
+    let mut replacements = Replacements::default();
     let left = [leaving("s3", "l40s", 60, 80)];
     let serving = [serving(), vec![engine("s4", "l40s", 60, 80)]].concat();
-    plan(&mut successions, &[], &serving, &[], ms(0));
+    plan(&mut replacements, &[], &serving, &[], ms(0));
     let rest: Vec<Rc<Endpoint>> = serving.iter().filter(|e| *e.id != *"s3").cloned().collect();
-    plan(&mut successions, &[], &rest, &left, ms(1000));
+    plan(&mut replacements, &[], &rest, &left, ms(1000));
     let next = [empty("n1", "l40s")];
-    let follows = plan(&mut successions, &next, &rest, &[], ms(4000));
+    let follows = plan(&mut replacements, &next, &rest, &[], ms(4000));
     assert_eq!(follows.waiting, ["n1".into()]);
 }
 
@@ -302,15 +308,15 @@
         .map(|(at, (first, end))| listed(range(*first, *end), &format!("s{at}")))
         .collect();
     let moves = |planner: &mut Planner, new: &[Rc<Endpoint>], now: Duration| {
-        let mut known = Knowledge::default();
+        let mut known = EngineStates::default();
         for endpoint in new {
-            known.empty_told(&endpoint.id, Some(NOTHING), now);
+            known.record_empty_report(&endpoint.id, Some(NOTHING), now);
         }
         let staying: Vec<Rc<Endpoint>> = serving.iter().chain(new).cloned().collect();
-        let engines = Engines {
+        let engines = ListedEngines {
             staying: &staying,
-            leaving: &[],
-            known: &known,
+            draining: &[],
+            states: &known,
             directory: &Directory::default(),
         };
         let plan = planner.plan(&common::engine(), &engines, now);
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -1,7 +1,7 @@
 //! Has engines load the layers that the planner gives them, on the host that holds the lease.
 //!
 //! What engines should load is decided in [`dragonflyrill_fleet::placement::planner`], what is known
-//! of them, and which orders that allows, in [`dragonflyrill_fleet::placement::knowledge`]; here
+//! of them, and which orders that allows, in [`dragonflyrill_fleet::placement::engine_states`]; here
 //! engines are asked and ordered.
 
 use std::{rc::Rc, time::Duration};
@@ -10,8 +10,8 @@
     endpoints::Endpoint,
     placement::{
         Placement,
-        knowledge::{Knowledge, Order, Outcome, Told},
-        planner::{Engines, Plan, Planner},
+        engine_states::{EngineStates, LoadReport, Order, OrderOutcome},
+        planner::{ListedEngines, Plan, Planner},
     },
 };
 use futures_util::{StreamExt, stream};
@@ -39,7 +39,7 @@
         gateway: gateway.clone(),
         tenures: tenures.clone(),
         tenure: None,
-        known: Knowledge::default(),
+        known: EngineStates::default(),
         planners: FxHashMap::default(),
     };
     loop {
@@ -57,7 +57,7 @@
     tenures: Rc<Tenures>,
     /// The tenure in which `known` was learned.
     tenure: Option<Tenure>,
-    known: Knowledge,
+    known: EngineStates,
     /// One for each service of engines.
     planners: FxHashMap<Rc<str>, Planner>,
 }
@@ -79,7 +79,7 @@
         for service in catalogue.engine_services() {
             let listed = self.listed(&service.name);
             self.with_planner(&service.name, &listed, |planner, engines, now| {
-                planner.watch(engines, now);
+                planner.observe(engines, now);
             });
         }
     }
@@ -107,17 +107,17 @@
             self.ask(&listed.staying).await;
             let Plan {
                 placements,
-                begin_to_wait,
+                newly_waiting,
             } = self.with_planner(&service.name, &listed, |planner, engines, now| {
                 planner.plan(engine, engines, now)
             });
-            for id in begin_to_wait {
+            for id in newly_waiting {
                 log::info!(target: "placing", endpoint = &*id; "Engine waits for one of its kind to leave.");
             }
             self.ask_movers(&listed.staying, &placements).await;
             self.order(&placements, tenure).await;
         }
-        self.known.keep_listed(&self.gateway.directory.borrow());
+        self.known.retain_listed(&self.gateway.directory.borrow());
     }
 
     fn listed(&self, service: &Rc<str>) -> Listed {
@@ -134,12 +134,12 @@
         &mut self,
         service: &Rc<str>,
         listed: &Listed,
-        act: impl FnOnce(&mut Planner, &Engines<'_>, Duration) -> T,
+        act: impl FnOnce(&mut Planner, &ListedEngines<'_>, Duration) -> T,
     ) -> T {
-        let engines = Engines {
+        let engines = ListedEngines {
             staying: &listed.staying,
-            leaving: &listed.leaving,
-            known: &self.known,
+            draining: &listed.leaving,
+            states: &self.known,
             directory: &self.gateway.directory.borrow(),
         };
         let planner = self.planners.entry(service.clone()).or_default();
@@ -148,24 +148,26 @@
 
     /// Asks engines that are listed as empty and of which nothing is known.
     async fn ask(&mut self, endpoints: &[Rc<Endpoint>]) {
-        let asked = self.known.empty_ones(endpoints, self.gateway.now());
+        let asked = self.known.unknown_empty(endpoints, self.gateway.now());
         let reports = self.reports(&asked).await;
         let now = self.gateway.now();
         for (endpoint, report) in reports {
             if !self.started_again(endpoint, report.as_ref()) {
-                self.known.empty_told(&endpoint.id, report.map(told), now);
+                self.known
+                    .record_empty_report(&endpoint.id, report.map(told), now);
             }
         }
     }
 
     /// Asks the loaded engines that are to move.
     async fn ask_movers(&mut self, endpoints: &[Rc<Endpoint>], placements: &[Placement]) {
-        let asked = self.known.movers(endpoints, placements);
+        let asked = self.known.unknown_movers(endpoints, placements);
         let reports = self.reports(&asked).await;
         let now = self.gateway.now();
         for (endpoint, report) in reports {
             if !self.started_again(endpoint, report.as_ref()) {
-                self.known.mover_told(endpoint, report.map(told), now);
+                self.known
+                    .record_mover_report(endpoint, report.map(told), now);
             }
         }
     }
@@ -209,7 +211,11 @@
             }
             let _under_way = tenures.order();
             let engines = &gateway.platform.engines;
-            let placed = engines.place(order.endpoint.addr, order.layers, Some(order.begun));
+            let placed = engines.place(
+                order.endpoint.addr,
+                order.layers,
+                Some(order.expected_orders),
+            );
             let outcome = time::timeout(CALL, placed).await;
             let silent = || CallError::Unknown("no answer in time".to_owned());
             Some((order, outcome.unwrap_or_else(|_| Err(silent()))))
@@ -227,9 +233,11 @@
 
     fn note(&mut self, order: &Order, outcome: &Result<Ordered, CallError>) {
         let (ended, label) = match outcome {
-            Ok(Ordered::Begun | Ordered::Holds) => (Outcome::Taken, "begun"),
-            Ok(Ordered::Refused(_)) | Err(CallError::NotSent(_)) => (Outcome::Refused, "refused"),
-            Err(CallError::Unknown(_)) => (Outcome::Unknown, "unknown"),
+            Ok(Ordered::Begun | Ordered::Holds) => (OrderOutcome::Accepted, "begun"),
+            Ok(Ordered::Refused(_)) | Err(CallError::NotSent(_)) => {
+                (OrderOutcome::Refused, "refused")
+            }
+            Err(CallError::Unknown(_)) => (OrderOutcome::Unknown, "unknown"),
         };
         let orders = &self.gateway.metrics.orders;
         orders.with_label_values(&[label]).inc();
@@ -240,12 +248,12 @@
             outcome:? = outcome;
             "Engine was ordered to load layers."
         );
-        self.known.ordered(order, ended, self.gateway.now());
+        self.known.record_outcome(order, ended, self.gateway.now());
     }
 }
 
-fn told(report: EngineReport) -> Told {
-    Told {
+fn told(report: EngineReport) -> LoadReport {
+    LoadReport {
         layers: report.layers,
         busy: report.busy,
         orders: report.orders,
