--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,12 +8,12 @@
 //! - [`catalogue`] holds routes, services, workspaces and their keys, as one immutable version.
 //! - [`endpoints`] holds the endpoints that are known, and which of them may get new work;
 //!   [`incarnations`] tells one start of an endpoint from another.
-//! - [`placement`] decides which endpoint holds which layers; [`leader_lease`] decides which host may say
-//!   so.
+//! - [`placement`] decides which endpoint holds which layers; [`leader_lease`] decides which host may
+//!   order it.
 //! - [`chains`] finds chains of endpoints that cover all layers; [`choice`] picks one of them for a
 //!   request; [`unseen`] says what other hosts send meanwhile.
-//! - [`probing`] says when the parts of a chain are asked how they are.
-//! - [`adaptive_timeout`] says for how long a run is waited for, and when its chain is probed.
+//! - [`probing`] decides when the stages of a chain are probed.
+//! - [`adaptive_timeout`] decides how long to wait for a run, and when its chain is probed.
 //! - [`freshness`] says for how long a catalogue may be acted on without news from the store.
 //! - [`outage`] says when entries that are missing may have lapsed while the store was away.
 //! - [`store_access`] says which hosts of a data centre ask a store that does not answer.
