--- a/crates/fleet/benches/planning.rs
+++ b/crates/fleet/benches/planning.rs
@@ -1,4 +1,4 @@
-//! What the planner and the search for chains cost, by the number of endpoints.
+//! Measures the cost of plans, by the number of endpoints.
 //!
 //! `cargo bench -p dragonflyrill-fleet --bench planning`
 
@@ -11,25 +11,25 @@
 use criterion::{BenchmarkId, Criterion};
 use dragonflyrill_fleet::placement::{self, Candidate};
 
-/// Endpoints by data centre and kind, with the number of data centres: today's, the grown ones', 25 data centres
-/// of 40, and three of 330 and of 990.
+/// The number of data centres, with endpoints by data centre and kind: a small fleet, one of twice
+/// its size, 25 data centres of 40 endpoints, and three of 330 and of 990.
 fn sizes() -> Vec<(usize, Vec<Candidate>)> {
-    let today = fleet(&[("a", [2, 2, 5]), ("b", [1, 3, 8]), ("c", [1, 6, 5])]);
-    let grown = fleet(&[("a", [4, 6, 14]), ("b", [2, 9, 22]), ("c", [2, 15, 12])]);
+    let small = fleet(&[("a", [2, 2, 5]), ("b", [1, 3, 8]), ("c", [1, 6, 5])]);
+    let doubled = fleet(&[("a", [4, 6, 14]), ("b", [2, 9, 22]), ("c", [2, 15, 12])]);
     let names: Vec<String> = (0..25).map(|i| format!("dc{i:02}")).collect();
     let many: Vec<(&str, [usize; 3])> = names.iter().map(|n| (n.as_str(), [4, 12, 24])).collect();
     let three = |kinds| fleet(&[("a", kinds), ("b", kinds), ("c", kinds)]);
     let (large, largest) = (three([10, 100, 220]), three([30, 300, 660]));
     vec![
-        (3, today),
-        (3, grown),
+        (3, small),
+        (3, doubled),
         (25, fleet(&many)),
         (3, large),
         (3, largest),
     ]
 }
 
-/// All endpoints as the planner places them.
+/// All endpoints with the layers that the planner gives them.
 fn placed(mut candidates: Vec<Candidate>) -> Vec<Candidate> {
     for placement in placement::plan(&engine(), &candidates, |_| false) {
         let found = candidates.iter_mut().find(|c| c.id == placement.id);
@@ -48,7 +48,7 @@
             b.iter(|| placement::plan(&engine, black_box(&fresh), |_| false));
         });
         let mut joined = placed(fresh.clone());
-        // Eight that join, as many of each kind as there are.
+        // Eight endpoints join, of each kind in proportion to its number.
         let step = joined.len() / 8;
         joined
             .iter_mut()
--- a/crates/fleet/tests/adaptive_timeout.rs
+++ b/crates/fleet/tests/adaptive_timeout.rs
@@ -1,4 +1,4 @@
-//! A run that stands still is probed before it is given up, and given up before its caller leaves.
+//! A stalled run is probed before it is abandoned, and abandoned before its caller leaves.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     Duration::from_millis(n)
 }
 
-/// A first run of which nothing has come; its first event was expected after 50 ms.
+/// A first run without any event; its first event was expected after 50 ms.
 const RUN: RunTiming = RunTiming {
     started: false,
     may_retry: true,
@@ -18,26 +18,26 @@
     waited_before: Duration::ZERO,
 };
 
-/// When a run that gets nothing more is probed, and when it is given up, in ms.
-fn played(run: RunTiming) -> (Vec<u64>, u64) {
+/// When a run without further events is probed, and when it is abandoned, in ms.
+fn probes_and_end(run: RunTiming) -> (Vec<u64>, u64) {
     let mut probed: Vec<u64> = Vec::new();
     for now in 0..10_000 {
         let ago = probed.last().map(|at| ms(now - at));
         match run.next_step(ms(now), ago) {
-            Step::Wait(wait) => assert!(!wait.is_zero(), "it would turn without end"),
+            Step::Wait(wait) => assert!(!wait.is_zero(), "a wait of zero would loop forever"),
             Step::Probe => probed.push(now),
             Step::Abandon => return (probed, now),
         }
     }
-    panic!("it is never given up");
+    panic!("the run is never abandoned");
 }
 
 #[test]
-fn a_chain_is_probed_long_before_a_run_on_it_is_given_up() {
-    let (probed, abandoned) = played(RUN);
+fn a_chain_is_probed_long_before_a_run_on_it_is_abandoned() {
+    let (probed, abandoned) = probes_and_end(RUN);
     assert_eq!(probed[0], 100);
     assert_eq!(abandoned, 300);
-    let (probed, abandoned) = played(RunTiming {
+    let (probed, abandoned) = probes_and_end(RunTiming {
         started: true,
         ..RUN
     });
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn a_first_event_that_is_expected_late_is_not_missed_early() {
+fn a_first_event_that_is_expected_late_does_not_cause_an_early_probe() {
     let run = RunTiming {
         expected_first: ms(300),
         ..RUN
     };
-    assert_eq!(played(run).0[0], 600);
+    assert_eq!(probes_and_end(run).0[0], 600);
 }
 
 #[test]
@@ -60,11 +60,12 @@
         may_retry: false,
         ..RUN
     };
-    assert_eq!(played(last).1, 2000);
-    // The caller has waited since its request or the last event, not since this run.
+    assert_eq!(probes_and_end(last).1, 2000);
+    // The caller has waited since its request or the last event, not only since the start of this
+    // run.
     let waited_before = ms(800);
     assert_eq!(
-        played(RunTiming {
+        probes_and_end(RunTiming {
             waited_before,
             ..last
         })
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_and_can_not_go_on_elsewhere_is_not_cut() {
+fn an_answer_that_has_started_and_can_not_continue_elsewhere_is_not_abandoned() {
     let last = RunTiming {
         started: true,
         may_retry: false,
@@ -99,11 +100,11 @@
 }
 
 #[test]
-fn a_run_that_begins_as_its_caller_leaves_has_a_moment_still() {
+fn a_run_that_starts_after_its_caller_would_leave_still_gets_the_minimum_time() {
     let late = RunTiming {
         may_retry: false,
         waited_before: ms(5000),
         ..RUN
     };
-    assert_eq!(played(late).1, 100);
+    assert_eq!(probes_and_end(late).1, 100);
 }
--- a/crates/fleet/tests/leader_lease.rs
+++ b/crates/fleet/tests/leader_lease.rs
@@ -1,4 +1,5 @@
-//! Never two hosts hold a lease, whatever becomes of their calls; and it is taken over in time.
+//! Two hosts never hold a lease at the same time, whatever happens to their calls, and the lease is
+//! taken over in time.
 
 use std::time::Duration;
 
@@ -10,10 +11,10 @@
 use common::ms;
 
 const TERM: Duration = Duration::from_millis(2400);
-const LOOK: Duration = Duration::from_millis(1200);
+const READ_INTERVAL: Duration = Duration::from_millis(1200);
 
 fn lease(host: usize) -> LeaderLease {
-    LeaderLease::new(format!("host{host} 1"), TERM, LOOK)
+    LeaderLease::new(format!("host{host} 1"), TERM, READ_INTERVAL)
 }
 
 /// The row in the store.
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn the_first_host_takes_a_lease_that_nobody_has() {
+fn the_first_host_acquires_an_unheld_lease() {
     let mut lease = lease(0);
     assert_eq!(lease.step(ms(0)), Step::Read);
     lease.record_read(ms(1), None);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_row_that_stands_still_for_a_term_is_taken_over() {
+fn a_row_that_is_unchanged_for_a_term_is_taken_over() {
     let mut lease = lease(1);
     let row = LeaseRecord {
         holder: "host0 1".to_owned(),
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_write_in_doubt_is_read_before_anything_else() {
+fn after_a_write_with_unknown_outcome_the_row_is_read_first() {
     let mut lease = lease(0);
     lease.record_read(ms(0), None);
     lease.record_write(ms(0), ms(900), WriteOutcome::Unknown);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_holder_that_is_not_renewed_stops_before_its_term_ends() {
+fn a_holder_that_does_not_renew_stops_acting_before_its_term_ends() {
     let mut lease = lease(0);
     lease.record_read(ms(0), None);
     lease.record_write(ms(0), ms(50), WriteOutcome::Done(1));
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_holder_that_ends_gives_the_lease_up_and_another_host_need_not_wait() {
+fn a_holder_that_shuts_down_releases_the_lease_for_another_host() {
     let mut row = Row::default();
     let (mut first, mut second) = (lease(0), lease(1));
     first.record_read(ms(0), None);
@@ -105,7 +106,7 @@
     second.record_read(ms(10), row.now.clone());
     assert_eq!(second.step(ms(20)), Step::Wait);
     first.shut_down();
-    assert!(!first.held(ms(30)), "before the row says so");
+    assert!(!first.held(ms(30)), "even before the row is released");
     assert_eq!(first.step(ms(30)), Step::Release { expected: 1 });
     let wrote = row.write(NO_HOLDER, 1);
     first.record_write(ms(30), ms(35), wrote);
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_host_that_ends_and_holds_nothing_writes_nothing() {
+fn a_host_that_shuts_down_without_the_lease_writes_nothing() {
     let mut lease = lease(0);
     lease.record_read(ms(0), None);
     lease.shut_down();
@@ -128,16 +129,16 @@
     lease: LeaderLease,
     number: usize,
     incarnation: u32,
-    leaving: bool,
-    asleep_until: u64,
-    /// A call under way: when it was sent, when it is carried out, when its answer comes, whether
-    /// the answer is lost.
+    shutting_down: bool,
+    paused_until: u64,
+    /// The pending call: when it is sent, when it is executed, when its answer arrives (all in ms),
+    /// whether the answer is lost, and the step.
     call: Option<(u64, u64, u64, bool, Step)>,
-    carried_out: Option<Result<WriteOutcome, Option<LeaseRecord>>>,
+    executed: Option<Result<WriteOutcome, Option<LeaseRecord>>>,
 }
 
 #[test]
-fn random_schedules_never_show_two_holders_and_always_find_one_again() {
+fn random_schedules_never_have_two_holders_and_always_regain_one() {
     for seed in 0..300 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut row = Row::default();
@@ -146,32 +147,32 @@
                 lease: lease(i),
                 number: i,
                 incarnation: 1,
-                leaving: false,
-                asleep_until: 0,
+                shutting_down: false,
+                paused_until: 0,
                 call: None,
-                carried_out: None,
+                executed: None,
             })
             .collect();
-        let mut unheld_since = 0;
+        let mut last_held_at = 0;
         for t in (0..60_000).step_by(20) {
-            let calm = t > 40_000;
+            let no_faults = t > 40_000;
             for host in &mut hosts {
-                step(host, &mut row, t, calm, &mut rng);
+                step(host, &mut row, t, no_faults, &mut rng);
             }
             let held = |h: &&Host| h.lease.held(ms(t));
             let holders = hosts.iter().filter(held).count();
             assert!(holders <= 1, "seed {seed}: {holders} holders at {t} ms");
             if holders == 1 {
-                unheld_since = t;
+                last_held_at = t;
             }
             if t > 48_000 {
-                assert!(t - unheld_since < 6_000, "seed {seed}: nobody at {t} ms");
+                assert!(t - last_held_at < 6_000, "seed {seed}: nobody at {t} ms");
             }
         }
     }
 }
 
-/// What a step writes, and the version that the row must have.
+/// The holder that a step writes, and the version that the row must have.
 fn written(number: usize, incarnation: u32, step: &Step) -> Option<(String, u64)> {
     match step {
         Step::Write { expected } => Some((format!("host{number} {incarnation}"), *expected)),
@@ -180,68 +181,68 @@
     }
 }
 
-fn step(host: &mut Host, row: &mut Row, t: u64, calm: bool, rng: &mut Pcg64) {
-    // A call is carried out also while its sender sleeps.
+fn step(host: &mut Host, row: &mut Row, t: u64, no_faults: bool, rng: &mut Pcg64) {
+    // A call is executed even while its sender is paused.
     if let Some((_, at, _, _, step)) = &host.call
         && *at <= t
-        && host.carried_out.is_none()
+        && host.executed.is_none()
     {
-        host.carried_out = Some(match written(host.number, host.incarnation, step) {
+        host.executed = Some(match written(host.number, host.incarnation, step) {
             Some((holder, expected)) => Ok(row.write(&holder, expected)),
             None => Err(row.now.clone()),
         });
     }
-    if !calm && rng.random_bool(0.0008) {
-        host.asleep_until = t + rng.random_range(500..8000);
+    if !no_faults && rng.random_bool(0.0008) {
+        host.paused_until = t + rng.random_range(500..8000);
     }
-    if host.asleep_until > t {
+    if host.paused_until > t {
         return;
     }
     if let Some((sent, _, answered, lost, _)) = host.call {
-        // The caller gives up on an answer after 800 ms; the call may be carried out later still.
-        let given_up = t > sent + 800 && (lost || answered > t);
+        // The caller waits 800 ms for an answer; the call may be executed even later.
+        let timed_out = t > sent + 800 && (lost || answered > t);
         if answered <= t && !lost {
             match host
-                .carried_out
+                .executed
                 .take()
-                .expect("carried out before answered")
+                .expect("executed before it is answered")
             {
                 Ok(wrote) => host.lease.record_write(ms(sent), ms(t), wrote),
                 Err(seen) => host.lease.record_read(ms(t), seen),
             }
             host.call = None;
-        } else if given_up {
-            let late = host.call.take();
-            let late = late.and_then(|c| written(host.number, host.incarnation, &c.4));
-            if let Some((holder, expected)) = late {
+        } else if timed_out {
+            let pending = host.call.take();
+            let pending = pending.and_then(|c| written(host.number, host.incarnation, &c.4));
+            if let Some((holder, expected)) = pending {
                 host.lease
                     .record_write(ms(sent), ms(t), WriteOutcome::Unknown);
-                if host.carried_out.is_none() {
-                    // Carried out late, and nobody hears of it.
+                if host.executed.is_none() {
+                    // Executed late, and no host receives the outcome.
                     row.write(&holder, expected);
                 }
             }
-            host.carried_out = None;
+            host.executed = None;
         }
         return;
     }
-    if !calm && !host.leaving && rng.random_bool(0.0008) {
-        host.leaving = true;
+    if !no_faults && !host.shutting_down && rng.random_bool(0.0008) {
+        host.shutting_down = true;
         host.lease.shut_down();
     }
     let step = host.lease.step(ms(t));
-    if step == Step::Wait && host.leaving {
-        host.leaving = false;
+    if step == Step::Wait && host.shutting_down {
+        host.shutting_down = false;
         host.incarnation += 1;
         let me = format!("host{} {}", host.number, host.incarnation);
-        host.lease = LeaderLease::new(me, TERM, LOOK);
-        host.asleep_until = t + rng.random_range(100..5000);
+        host.lease = LeaderLease::new(me, TERM, READ_INTERVAL);
+        host.paused_until = t + rng.random_range(100..5000);
         return;
     }
     if step != Step::Wait {
-        let trouble = !calm && rng.random_bool(0.1);
-        let at = t + rng.random_range(1..if trouble { 3000 } else { 30 });
-        let lost = !calm && rng.random_bool(0.1);
+        let slow_call = !no_faults && rng.random_bool(0.1);
+        let at = t + rng.random_range(1..if slow_call { 3000 } else { 30 });
+        let lost = !no_faults && rng.random_bool(0.1);
         host.call = Some((t, at, at + rng.random_range(1..30), lost, step));
     }
 }
--- a/crates/fleet/tests/leader_lease_search.rs
+++ b/crates/fleet/tests/leader_lease_search.rs
@@ -1,8 +1,9 @@
-//! Exhaustive bounded search over the real lease of two hosts and one row: every order of calls, late
-//! writes, lost answers, pauses and ends, up to a horizon. Never do both hosts act.
+//! Exhaustive bounded search over the real lease of two hosts and one row: every order of calls,
+//! late writes, lost answers, pauses and shutdowns, up to a horizon. The two hosts must never act
+//! at the same time.
 //!
-//! Reads are answered at once, or the space is too large: an answer that comes late makes a host take
-//! the row for younger than it is, and its next write finds another version.
+//! Reads are answered at once to bound the state space: a late answer makes a host take the row for
+//! more recent than it is, and its next write then finds another version.
 //!
 //! Time passes in ticks of a third of the term. A host may pause at any time, for any time.
 
@@ -11,42 +12,42 @@
 use dragonflyrill_fleet::leader_lease::{LeaderLease, LeaseRecord, NO_HOLDER, Step, WriteOutcome};
 use dragonflyrill_model::checker::{self, Bound, Property, Spec, Verdict};
 
-/// One tick, a third of the term: a holder acts, and renews, up to the second.
+/// One tick, a third of the term: a holder acts, and renews, up to the second tick.
 const TICK: Duration = Duration::from_millis(800);
 const TERM: Duration = Duration::from_millis(2400);
-const LOOK: Duration = Duration::from_millis(1200);
-/// After how many ticks a caller no longer waits for an answer.
-const GIVES_UP: u32 = 1;
+const READ_INTERVAL: Duration = Duration::from_millis(1200);
+/// The number of ticks after which a caller no longer waits for an answer.
+const CALL_TIMEOUT_TICKS: u32 = 1;
 
-/// A wrong way of using the lease, which the search has to find.
+/// A faulty use of the lease, which the search has to detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
     /// The term is counted from the answer of a write.
     CountsFromAnswer,
-    /// A write whose outcome is unknown is taken for done.
-    TakesUnknownForDone,
-    /// A row that stands still is taken over before its term.
+    /// A write with an unknown outcome counts as done.
+    CountsUnknownAsDone,
+    /// An unchanged row is taken over before its term.
     TakesOverEarly,
     /// The row is written whatever its version is.
-    WritesBlindly,
-    /// The lease is given up in the row while the host still acts.
+    WritesUnconditionally,
+    /// The lease is released in the row while the host still acts.
     ReleasesWhileActing,
 }
 
 struct Search {
     horizon: u32,
     late_writes: u8,
-    ends: u8,
+    shutdowns: u8,
     mutant: Mutant,
 }
 
-/// A write of a host under way.
+/// A pending write of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Call {
     sent: u32,
     step: Step,
-    /// What the store has done, before its answer arrives.
+    /// The outcome in the store, before its answer arrives.
     outcome: Option<WriteOutcome>,
 }
 
@@ -54,9 +55,9 @@
 struct Host {
     lease: LeaderLease,
     incarnation: u8,
-    leaving: bool,
+    shutting_down: bool,
     call: Option<Call>,
-    /// A write that the host no longer waits for and the store has not done yet.
+    /// A write that the host no longer waits for and the store has not executed yet.
     late: Option<(String, u64)>,
 }
 
@@ -66,7 +67,7 @@
     row: Option<LeaseRecord>,
     hosts: [Host; 2],
     late_writes: u8,
-    ends: u8,
+    shutdowns: u8,
 }
 
 impl State {
@@ -74,9 +75,9 @@
         TICK * self.tick
     }
 
-    fn write(&mut self, holder: &str, expected: u64, blindly: bool) -> WriteOutcome {
+    fn write(&mut self, holder: &str, expected: u64, unconditional: bool) -> WriteOutcome {
         let at = self.row.as_ref().map_or(0, |row| row.version);
-        if at != expected && !blindly {
+        if at != expected && !unconditional {
             return WriteOutcome::Conflict(self.row.clone());
         }
         let version = at + 1;
@@ -86,7 +87,7 @@
     }
 }
 
-/// What happens: to a host by its number, or to all.
+/// An event, of the host with this index or of all hosts.
 #[derive(Debug)]
 #[expect(
     dead_code,
@@ -94,36 +95,36 @@
 )]
 enum Event {
     Tick,
-    Begins(usize),
-    StoreDoes(usize),
-    IsAnswered(usize),
-    GivesUp(usize),
-    LateWriteIsDone(usize),
-    IsToEnd(usize),
-    StartsAgain(usize),
+    CallStarts(usize),
+    StoreExecutes(usize),
+    CallIsAnswered(usize),
+    CallTimesOut(usize),
+    LateWriteIsExecuted(usize),
+    ShutsDown(usize),
+    Restarts(usize),
 }
 
 fn name(host: usize, incarnation: u8) -> String {
     format!("host{host} {incarnation}")
 }
 
-fn fresh(host: usize, incarnation: u8) -> Host {
+fn started_host(host: usize, incarnation: u8) -> Host {
     Host {
-        lease: LeaderLease::new(name(host, incarnation), TERM, LOOK),
+        lease: LeaderLease::new(name(host, incarnation), TERM, READ_INTERVAL),
         incarnation,
-        leaving: false,
+        shutting_down: false,
         call: None,
         late: None,
     }
 }
 
 impl Search {
-    fn due(&self, state: &State, i: usize) -> Step {
+    fn due_step(&self, state: &State, i: usize) -> Step {
         let host = &state.hosts[i];
-        if self.mutant == Mutant::ReleasesWhileActing && host.leaving {
+        if self.mutant == Mutant::ReleasesWhileActing && host.shutting_down {
             let row = state.row.as_ref();
-            let mine = row.filter(|row| row.holder == name(i, host.incarnation));
-            return mine.map_or(Step::Wait, |row| Step::Release {
+            let own_row = row.filter(|row| row.holder == name(i, host.incarnation));
+            return own_row.map_or(Step::Wait, |row| Step::Release {
                 expected: row.version,
             });
         }
@@ -134,7 +135,7 @@
         host.lease.step(state.now() + early)
     }
 
-    /// What a step writes, and on which version.
+    /// The holder that a step writes, and the version that the row must have.
     fn written(state: &State, i: usize, step: &Step) -> Option<(String, u64)> {
         match step {
             Step::Write { expected } => Some((name(i, state.hosts[i].incarnation), *expected)),
@@ -143,8 +144,8 @@
         }
     }
 
-    fn begins(&self, state: &State, i: usize) -> Option<State> {
-        let step = self.due(state, i);
+    fn call_starts(&self, state: &State, i: usize) -> Option<State> {
+        let step = self.due_step(state, i);
         if state.hosts[i].call.is_some() || step == Step::Wait {
             return None;
         }
@@ -163,20 +164,20 @@
         Some(next)
     }
 
-    fn store_does(&self, state: &State, i: usize) -> Option<State> {
+    fn store_executes(&self, state: &State, i: usize) -> Option<State> {
         let call = state.hosts[i].call.as_ref()?;
         if call.outcome.is_some() {
             return None;
         }
         let mut next = state.clone();
-        let blindly = self.mutant == Mutant::WritesBlindly;
+        let unconditional = self.mutant == Mutant::WritesUnconditionally;
         let (holder, expected) = Self::written(state, i, &call.step)?;
-        let outcome = next.write(&holder, expected, blindly);
+        let outcome = next.write(&holder, expected, unconditional);
         next.hosts[i].call.as_mut()?.outcome = Some(outcome);
         Some(next)
     }
 
-    fn is_answered(&self, state: &State, i: usize) -> Option<State> {
+    fn call_is_answered(&self, state: &State, i: usize) -> Option<State> {
         let mut next = state.clone();
         let host = &mut next.hosts[i];
         let Call { sent, outcome, .. } = host.call.take()?;
@@ -188,17 +189,17 @@
         Some(next)
     }
 
-    /// The host no longer waits; what the store has not done yet it may still do.
-    fn gives_up(&self, state: &State, i: usize) -> Option<State> {
+    /// The host no longer waits; the store may still execute the call.
+    fn call_times_out(&self, state: &State, i: usize) -> Option<State> {
         let mut next = state.clone();
         let host = &mut next.hosts[i];
         let call = host.call.take()?;
-        if state.tick < call.sent + GIVES_UP {
+        if state.tick < call.sent + CALL_TIMEOUT_TICKS {
             return None;
         }
         let write = Self::written(state, i, &call.step)?;
         let unknown = match (self.mutant, write.1) {
-            (Mutant::TakesUnknownForDone, expected) => WriteOutcome::Done(expected + 1),
+            (Mutant::CountsUnknownAsDone, expected) => WriteOutcome::Done(expected + 1),
             _ => WriteOutcome::Unknown,
         };
         host.lease
@@ -213,36 +214,41 @@
         Some(next)
     }
 
-    fn late_write_is_done(&self, state: &State, i: usize) -> Option<State> {
+    fn late_write_is_executed(&self, state: &State, i: usize) -> Option<State> {
         let mut next = state.clone();
         let (holder, expected) = next.hosts[i].late.take()?;
-        next.write(&holder, expected, self.mutant == Mutant::WritesBlindly);
+        next.write(
+            &holder,
+            expected,
+            self.mutant == Mutant::WritesUnconditionally,
+        );
         Some(next)
     }
 
-    fn is_to_end(&self, state: &State, i: usize) -> Option<State> {
+    fn shuts_down(&self, state: &State, i: usize) -> Option<State> {
         let mut next = state.clone();
         let host = &mut next.hosts[i];
-        if host.leaving {
+        if host.shutting_down {
             return None;
         }
-        host.leaving = true;
+        host.shutting_down = true;
         if self.mutant != Mutant::ReleasesWhileActing {
             host.lease.shut_down();
         }
-        next.ends = state.ends.checked_sub(1)?;
+        next.shutdowns = state.shutdowns.checked_sub(1)?;
         Some(next)
     }
 
-    fn starts_again(&self, state: &State, i: usize) -> Option<State> {
+    fn restarts(&self, state: &State, i: usize) -> Option<State> {
         let host = &state.hosts[i];
-        let ended = host.leaving && host.call.is_none() && self.due(state, i) == Step::Wait;
-        if !ended || self.mutant == Mutant::ReleasesWhileActing {
+        let terminated =
+            host.shutting_down && host.call.is_none() && self.due_step(state, i) == Step::Wait;
+        if !terminated || self.mutant == Mutant::ReleasesWhileActing {
             return None;
         }
         let mut next = state.clone();
         let late = next.hosts[i].late.take();
-        next.hosts[i] = fresh(i, host.incarnation + 1);
+        next.hosts[i] = started_host(i, host.incarnation + 1);
         next.hosts[i].late = late;
         Some(next)
     }
@@ -256,9 +262,9 @@
         State {
             tick: 0,
             row: None,
-            hosts: [fresh(0, 1), fresh(1, 1)],
+            hosts: [started_host(0, 1), started_host(1, 1)],
             late_writes: self.late_writes,
-            ends: self.ends,
+            shutdowns: self.shutdowns,
         }
     }
 
@@ -274,13 +280,16 @@
         }
         for i in 0..state.hosts.len() {
             let events = [
-                (Event::Begins(i), self.begins(state, i)),
-                (Event::StoreDoes(i), self.store_does(state, i)),
-                (Event::IsAnswered(i), self.is_answered(state, i)),
-                (Event::GivesUp(i), self.gives_up(state, i)),
-                (Event::LateWriteIsDone(i), self.late_write_is_done(state, i)),
-                (Event::IsToEnd(i), self.is_to_end(state, i)),
-                (Event::StartsAgain(i), self.starts_again(state, i)),
+                (Event::CallStarts(i), self.call_starts(state, i)),
+                (Event::StoreExecutes(i), self.store_executes(state, i)),
+                (Event::CallIsAnswered(i), self.call_is_answered(state, i)),
+                (Event::CallTimesOut(i), self.call_times_out(state, i)),
+                (
+                    Event::LateWriteIsExecuted(i),
+                    self.late_write_is_executed(state, i),
+                ),
+                (Event::ShutsDown(i), self.shuts_down(state, i)),
+                (Event::Restarts(i), self.restarts(state, i)),
             ];
             let possible = events.into_iter().filter_map(|(e, next)| Some((e, next?)));
             all.extend(possible);
@@ -289,7 +298,7 @@
     }
 
     fn is_fault(&self, step: &Event) -> bool {
-        matches!(step, Event::GivesUp(_) | Event::IsToEnd(_))
+        matches!(step, Event::CallTimesOut(_) | Event::ShutsDown(_))
     }
 
     fn invariants(&self) -> Vec<Property<Self>> {
@@ -307,28 +316,28 @@
             Bound::new("hosts", 2_u64),
             Bound::new("ticks", self.horizon),
             Bound::new("late writes", self.late_writes),
-            Bound::new("ends", self.ends),
+            Bound::new("ends", self.shutdowns),
         ]
     }
 }
 
-/// One write is late, nobody ends.
+/// One write is late, no host shuts down.
 const LATE_WRITES: Search = Search {
     horizon: 5,
     late_writes: 1,
-    ends: 0,
+    shutdowns: 0,
     mutant: Mutant::None,
 };
 
-/// One host ends and starts again, no write is late.
-const ENDS: Search = Search {
+/// One host shuts down and restarts, no write is late.
+const SHUTDOWNS: Search = Search {
     horizon: 4,
     late_writes: 0,
-    ends: 1,
+    shutdowns: 1,
     mutant: Mutant::None,
 };
 
-fn holds(search: &Search) {
+fn assert_holds(search: &Search) {
     let outcome = checker::check(search);
     println!("{:?}", outcome.counts);
     assert_eq!(outcome.verdict, Verdict::Holds);
@@ -336,46 +345,46 @@
 
 #[test]
 fn no_order_of_late_writes_lets_two_hosts_act() {
-    holds(&LATE_WRITES);
+    assert_holds(&LATE_WRITES);
 }
 
 #[test]
-fn no_order_of_ends_lets_two_hosts_act() {
-    holds(&ENDS);
+fn no_order_of_shutdowns_lets_two_hosts_act() {
+    assert_holds(&SHUTDOWNS);
 }
 
-fn is_found(mutant: Mutant) {
+fn assert_detected(mutant: Mutant) {
     let outcome = checker::check(&Search {
         late_writes: 1,
         mutant,
-        ..ENDS
+        ..SHUTDOWNS
     });
     let found = outcome.counterexample();
-    let found = found.unwrap_or_else(|| panic!("{mutant:?} is not found: {:?}", outcome.counts));
+    let found = found.unwrap_or_else(|| panic!("{mutant:?} is not detected: {:?}", outcome.counts));
     println!("{mutant:?}: {} states\n{found}", outcome.counts.states);
 }
 
 #[test]
-fn a_term_that_is_counted_from_the_answer_is_found() {
-    is_found(Mutant::CountsFromAnswer);
+fn a_term_that_is_counted_from_the_answer_is_detected() {
+    assert_detected(Mutant::CountsFromAnswer);
 }
 
 #[test]
-fn an_unknown_outcome_taken_for_done_is_found() {
-    is_found(Mutant::TakesUnknownForDone);
+fn an_unknown_outcome_that_counts_as_done_is_detected() {
+    assert_detected(Mutant::CountsUnknownAsDone);
 }
 
 #[test]
-fn a_takeover_before_the_term_is_found() {
-    is_found(Mutant::TakesOverEarly);
+fn a_takeover_before_the_term_is_detected() {
+    assert_detected(Mutant::TakesOverEarly);
 }
 
 #[test]
-fn writes_without_condition_are_found() {
-    is_found(Mutant::WritesBlindly);
+fn unconditional_writes_are_detected() {
+    assert_detected(Mutant::WritesUnconditionally);
 }
 
 #[test]
-fn a_release_by_a_host_that_still_acts_is_found() {
-    is_found(Mutant::ReleasesWhileActing);
+fn a_release_by_a_host_that_still_acts_is_detected() {
+    assert_detected(Mutant::ReleasesWhileActing);
 }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Layers are placed within memory, with covers in each data centre, and moved little.
+//! Layers are placed within the memory of endpoints, with covers in each data centre, and few
+//! loaded endpoints move.
 
 mod common;
 
@@ -16,7 +17,7 @@
 };
 use proptest::prelude::*;
 
-/// The plan of settled data centres.
+/// The plan with all data centres settled.
 fn plan(candidates: &[Candidate]) -> Vec<Placement> {
     placement::plan(&engine(), candidates, |_| false)
 }
@@ -28,7 +29,7 @@
     }
 }
 
-/// Plans and loads until nothing is left to be ordered.
+/// Plans and applies the plan until it has no more orders.
 fn settle(candidates: &mut [Candidate]) {
     let mut cells = Cells::default();
     for _ in 0..20 {
@@ -38,7 +39,7 @@
         }
         apply(candidates, &orders);
     }
-    panic!("orders never end: {candidates:?}");
+    panic!("the plan still has orders after 20 rounds: {candidates:?}");
 }
 
 fn covers(candidates: &[Candidate], centre: &str) -> usize {
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn each_data_centre_of_today_gets_a_cover_of_its_own() {
+fn each_data_centre_gets_a_cover_of_its_own() {
     let mut candidates = today();
     settle(&mut candidates);
     for centre in ["a", "b", "c"] {
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn after_the_loss_of_any_endpoint_its_data_centre_gets_a_cover_again() {
+fn a_data_centre_regains_a_cover_after_the_loss_of_any_endpoint() {
     let mut whole = today();
     settle(&mut whole);
     for lost in 0..whole.len() {
@@ -70,13 +71,13 @@
         settle(&mut candidates);
         assert!(
             covers(&candidates, &lost.data_centre) >= 1,
-            "without {lost:?}"
+            "after the loss of {lost:?}"
         );
     }
 }
 
 #[test]
-fn what_is_loaded_stays_and_nothing_is_ordered_twice() {
+fn a_settled_layout_needs_no_further_orders() {
     let mut candidates = today();
     settle(&mut candidates);
     let before = candidates.clone();
@@ -99,14 +100,15 @@
     assert_eq!(
         covers(&candidates, "a"),
         1,
-        "{held} was lost: {candidates:?}"
+        "the holder of {held} was lost: {candidates:?}"
     );
 }
 
-/// Engines that had started again behind a cut were still listed with what they had held: new empty
-/// ones were given other layers, and no chain was left for 3 s.
+/// Guards against a plan that counts on an unresponsive engine. Engines that had restarted during a
+/// partition are still listed with the layers that they held; if these count, new empty engines get
+/// other layers, and no chain is left for 3 s.
 #[test]
-fn an_empty_endpoint_takes_the_layers_of_one_that_does_not_answer() {
+fn an_empty_endpoint_takes_the_layers_of_an_unresponsive_one() {
     let mut candidates = fleet(&[("a", [2, 2, 0])]);
     let orders = plan(&candidates);
     apply(&mut candidates, &orders);
@@ -115,16 +117,20 @@
     candidates.push(candidate(90, "a", "a100"));
     let without = plan(&candidates[1..]);
     candidates[0] = Candidate::from_endpoint(&listed, AssumedState::Listed).expect("an engine");
-    assert_ne!(plan(&candidates), without, "it matters");
+    assert_ne!(
+        plan(&candidates),
+        without,
+        "the listed engine changes the plan"
+    );
     candidates.splice(
         ..1,
         Candidate::from_endpoint(&listed, AssumedState::Unresponsive),
     );
-    assert_eq!(plan(&candidates), without, "as if it were gone");
+    assert_eq!(plan(&candidates), without, "as if it were not listed");
 }
 
 #[test]
-fn what_is_believed_of_an_engine_goes_before_its_entry() {
+fn the_assumed_state_of_an_engine_overrides_its_entry() {
     let listed = endpoint("e", "a", "l40s", 10, 30);
     let layers = LayerRange::new(40, 50).expect("layers");
     let of = |state| Candidate::from_endpoint(&listed, state).map(|c| (c.held_layers, c.loading));
@@ -138,7 +144,7 @@
 }
 
 #[test]
-fn an_engine_that_does_not_answer_is_lost_whatever_it_was_ordered() {
+fn an_engine_that_does_not_answer_is_unresponsive_despite_an_accepted_order() {
     let mut directory = Directory::default();
     let listed = endpoint("e", "a", "l40s", 10, 30);
     directory.put(listed.clone(), ms(0));
@@ -165,14 +171,14 @@
 }
 
 #[test]
-fn an_endpoint_of_an_unknown_kind_is_left_alone() {
+fn an_endpoint_of_an_unknown_kind_gets_no_layers() {
     let candidates = [candidate(0, "a", "tape")];
     assert_eq!(plan(&candidates), []);
 }
 
 proptest! {
     #[test]
-    fn nobody_is_given_more_than_its_memory_or_layers_that_do_not_exist(
+    fn placements_fit_the_memory_and_the_layers_of_the_model(
         counts in prop::array::uniform3(0usize..9),
         held in prop::collection::vec((0u32..70, 1u32..11), 0..6),
     ) {
@@ -191,7 +197,7 @@
     }
 }
 
-/// Engines of one data centre as its first cover and its spares hold them.
+/// Engines of data centre "a", by kind and layers.
 fn centre(held_layers: &[(&str, u32, u32)]) -> Vec<Candidate> {
     let candidates = held_layers.iter().enumerate();
     let candidates = candidates.map(|(i, (kind, first, end))| Candidate {
@@ -201,8 +207,8 @@
     candidates.collect()
 }
 
-/// Layers that an order has its endpoint load.
-fn loaded(candidates: &[Candidate], order: &Placement) -> u32 {
+/// The number of layers that an order has its endpoint load.
+fn layers_to_load(candidates: &[Candidate], order: &Placement) -> u32 {
     let found = candidates.iter().find(|c| c.id == order.id);
     let kept = found
         .and_then(|c| c.held_layers)
@@ -212,7 +218,8 @@
 
 #[test]
 fn a_gap_is_closed_by_loads_of_a_few_seconds() {
-    // A data centre that lost what held layers 62 to 66: no chain is left, and nothing is to spare.
+    // A data centre that has lost the holder of layers 62 to 66: no chain is left, and there is no
+    // spare engine.
     let candidates = centre(&[
         ("a100", 0, 24),
         ("l40s", 24, 38),
@@ -222,7 +229,7 @@
         ("l40s", 66, 80),
     ]);
     let orders = plan(&candidates);
-    let most = orders.iter().map(|o| loaded(&candidates, o)).max();
+    let most = orders.iter().map(|o| layers_to_load(&candidates, o)).max();
     assert!(most.is_some_and(|n| n <= 17), "{orders:?}");
     let mut repaired = candidates.clone();
     apply(&mut repaired, &orders);
@@ -230,7 +237,7 @@
 }
 
 #[test]
-fn nothing_loaded_moves_where_the_list_does_not_stand_still() {
+fn no_loaded_layers_move_in_an_unsettled_data_centre() {
     let candidates = centre(&[("a100", 0, 32), ("l40s", 32, 48), ("l40s", 64, 80)]);
     assert_ne!(plan(&candidates), []);
     let unsettled = placement::plan(&engine(), &candidates, |centre| centre == "a");
@@ -238,7 +245,7 @@
 }
 
 #[test]
-fn an_engine_that_may_be_carrying_out_an_order_is_given_nothing() {
+fn an_engine_that_may_be_carrying_out_an_order_gets_no_layers() {
     let mut candidates = centre(&[("a100", 0, 32), ("l40s", 32, 48), ("l40s", 64, 80)]);
     candidates.push(candidate(9, "a", "a100"));
     candidates[3].loading = true;
@@ -247,8 +254,8 @@
 }
 
 #[test]
-fn a_joiner_brings_a_patched_data_centre_back_to_the_layout_as_if_placed_anew() {
-    // After the loss of the first a100 the layers were patched up; an a100 joins.
+fn a_joining_engine_restores_the_layout_of_a_repaired_data_centre() {
+    // After the loss of the first a100 the other engines took over its layers; an a100 joins.
     let mut candidates = centre(&[
         ("a100", 20, 50),
         ("l40s", 0, 20),
@@ -266,20 +273,21 @@
     let most = most.map(|held| held.count()).max();
     assert!(
         most.is_some_and(|n| n <= 26),
-        "room for requests: {candidates:?}"
+        "free capacity for requests: {candidates:?}"
     );
 }
 
-/// The story of the failure: 100 hosts before 1,001 endpoints served 0.061 of what was asked, and no engine was
-/// ordered to load anything, as a plan of 330 engines of one data centre weighed each against all others: a
-/// plan after the loss of one did not end within 100 s of a whole core, and a host has 0.12 of one.
+/// Guards against a planning cost that grows with the square of the engines of a data centre. If
+/// each of 330 engines is compared with all others, a plan after the loss of one takes more than
+/// 100 s of a whole core, and a host has 0.12 of one: no engine is ordered to load anything, and
+/// 100 hosts before 1,001 endpoints serve 0.061 of the requests.
 #[test]
 fn hundreds_of_engines_of_a_data_centre_are_planned_after_a_loss() {
     let mut candidates = fleet(&[("a", [10, 100, 220])]);
     settle(&mut candidates);
     let whole = covers(&candidates, "a");
     assert!(whole >= 20, "{whole}");
-    // One of each kind.
+    // Removes one of each kind.
     for lost in [0, 10, 110] {
         candidates.remove(lost);
     }
@@ -287,21 +295,22 @@
     assert!(covers(&candidates, "a") + 3 >= whole);
 }
 
-/// A host that takes the lease over finds the cells anew, from what engines hold.
+/// Guards against moves after a change of the leader: a host that takes over the lease assigns
+/// engines to cells anew, from the layers that they hold.
 #[test]
-fn nothing_moves_when_the_cells_of_a_large_data_centre_are_found_anew() {
+fn no_layers_move_when_the_cells_of_a_large_data_centre_are_assigned_anew() {
     let mut candidates = fleet(&[("a", [4, 20, 55])]);
     settle(&mut candidates);
     candidates.reverse();
     assert_eq!(plan(&candidates), []);
-    // Fewer, and all of them are one cell.
+    // The remaining engines form a single cell.
     candidates.truncate(48);
     settle(&mut candidates);
     assert!(covers(&candidates, "a") >= 1);
 }
 
 #[test]
-fn of_many_empty_engines_some_data_centres_are_asked_first() {
+fn many_empty_engines_are_polled_one_data_centre_after_the_other() {
     let near = |centre: &str, n: usize| -> Vec<Rc<Endpoint>> {
         let one = |i| {
             let endpoint = endpoint(&format!("{centre}{i:03}"), centre, "l4", 0, 4);
--- a/crates/fleet/tests/placing_orders.rs
+++ b/crates/fleet/tests/placing_orders.rs
@@ -1,10 +1,11 @@
-//! Orders go to the start that was asked, never twice at once, and the layout is made good whatever
-//! becomes of engines and orders.
+//! Orders go only to the incarnation that was polled, never two at once, and the layout is restored
+//! after any failure of engines and orders.
 //!
-//! Random schedules of a data centre over the real decisions: engines start again between being asked,
-//! being ordered and being listed, with and without saying when they started; others are replaced, the
-//! new one first; entries come late, of former starts as well; reports get no answer; orders are lost, refused, or carried out seconds
-//! later, also by a start that they were not meant for; the lease passes to a host that knows nothing.
+//! Runs random schedules of a data centre against the real planner and engine states. Engines
+//! restart between being polled, being ordered and being listed, with and without reporting when
+//! they started. Others are replaced, the new one first. Entries come late, also of former
+//! incarnations. Polls get no answer. Orders are lost, refused, or carried out seconds later, also
+//! by an incarnation that they were not meant for. The lease passes to a host without any state.
 
 mod common;
 
@@ -24,70 +25,73 @@
 use rand_pcg::Pcg64;
 
 const STEP: Duration = Duration::from_millis(100);
-/// How long an order that got no answer may still be carried out.
-const LATE: std::ops::Range<u64> = 2000..12_000;
+/// How long after it was sent an order without an answer may still be carried out, in ms.
+const ORDER_DELAY_MS: std::ops::Range<u64> = 2000..12_000;
 
-/// How long after its successor an engine that is replaced leaves, and how long it serves then.
-const LEAVES: Duration = Duration::from_millis(1100);
-const SERVES: Duration = Duration::from_millis(2500);
+/// When an engine that is replaced starts to drain, after its replacement was started, and how long
+/// it serves from then on.
+const DRAIN_DELAY: Duration = Duration::from_millis(1100);
+const DRAIN_DURATION: Duration = Duration::from_millis(2500);
 
-/// How long the entry of an endpoint that is gone stands in the list.
-const LAPSES: Duration = Duration::from_millis(3600);
+/// How long the entry of a terminated incarnation stays in the list.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(3600);
 
-/// An engine as it is.
+/// The actual state of an engine.
 struct Engine {
-    /// Its place among all, which is its address.
-    place: usize,
+    /// Its index among all engines, which is also its address.
+    index: usize,
     kind: &'static str,
-    /// When it says that it is leaving.
-    leaves: Option<Duration>,
-    starts: u64,
+    /// When it announces that it drains.
+    drains_at: Option<Duration>,
+    incarnation: u64,
     layers: Option<LayerRange>,
-    /// What it is loading, and until when.
+    /// The layers that it is loading, and until when.
     loads: Option<(LayerRange, Duration)>,
     orders: u64,
 }
 
 impl Engine {
-    fn new(place: usize, kind: &'static str) -> Self {
+    fn new(index: usize, kind: &'static str) -> Self {
         Self {
-            place,
+            index,
             kind,
-            leaves: None,
-            starts: 1,
+            drains_at: None,
+            incarnation: 1,
             layers: None,
             loads: None,
             orders: 0,
         }
     }
 
-    fn leaving(&self, now: Duration) -> bool {
-        self.leaves.is_some_and(|at| at <= now)
+    fn is_draining(&self, now: Duration) -> bool {
+        self.drains_at.is_some_and(|at| at <= now)
     }
 
-    fn gone(&self, now: Duration) -> bool {
-        self.leaves.is_some_and(|at| at + SERVES <= now)
+    fn is_gone(&self, now: Duration) -> bool {
+        self.drains_at.is_some_and(|at| at + DRAIN_DURATION <= now)
     }
 }
 
 struct World {
     rng: Pcg64,
     now: Duration,
-    /// Engines say when they started; else each start has a name of its own.
-    says_start: bool,
+    /// Whether entries have the start time; else each incarnation has a name of its own.
+    reports_start: bool,
     engines: Vec<Engine>,
     directory: Directory,
-    known: EngineStates,
+    states: EngineStates,
     planner: Planner,
-    /// Entries on their way; none where the endpoint's entry is removed.
+    /// Entries that are not yet visible, and when they become visible; `None` removes the entry of
+    /// the endpoint.
     entries: Vec<(Duration, Rc<str>, Option<Endpoint>)>,
     /// Orders that are carried out later.
-    late: Vec<(Duration, usize, Order)>,
-    /// Until when a start that was ordered without an answer is to be left alone by this holder.
+    late_orders: Vec<(Duration, usize, Order)>,
+    /// Until when an incarnation that did not answer an order must not get another one from this
+    /// holder of the lease.
     unanswered: BTreeMap<Rc<str>, Duration>,
-    ordered: usize,
-    /// Orders to engines that hold layers.
-    moved: usize,
+    order_count: usize,
+    /// The number of orders to engines that hold layers.
+    move_count: usize,
 }
 
 const KINDS: [&str; 6] = ["a100", "a100", "l40s", "l40s", "l4", "l4"];
@@ -98,124 +102,129 @@
         Self {
             rng: Pcg64::seed_from_u64(seed),
             now: ms(0),
-            says_start: seed.is_multiple_of(2),
+            reports_start: seed.is_multiple_of(2),
             engines: engines.map(|(at, kind)| Engine::new(at, kind)).collect(),
             directory: Directory::default(),
-            known: EngineStates::default(),
+            states: EngineStates::default(),
             planner: Planner::default(),
             entries: Vec::new(),
-            late: Vec::new(),
+            late_orders: Vec::new(),
             unanswered: BTreeMap::new(),
-            ordered: 0,
-            moved: 0,
+            order_count: 0,
+            move_count: 0,
         }
     }
 
     /// The entry that an engine would write now.
     fn entry(&self, at: usize) -> Endpoint {
         let engine = &self.engines[at];
-        let (name, born) = match self.says_start {
-            true => (format!("e{at}"), Some(Born(engine.starts))),
-            false => (format!("e{at}-{}", engine.starts), None),
+        let (name, born) = match self.reports_start {
+            true => (format!("e{at}"), Some(Born(engine.incarnation))),
+            false => (format!("e{at}-{}", engine.incarnation), None),
         };
         Endpoint {
             id: incarnations::id(&name, born),
             name: name.as_str().into(),
             born,
-            addr: ([127, 0, 0, 1], 1000 + engine.place as u16).into(),
+            addr: ([127, 0, 0, 1], 1000 + engine.index as u16).into(),
             layers: engine.layers,
-            leaving: engine.leaving(self.now),
+            leaving: engine.is_draining(self.now),
             ..endpoint(&name, "a", engine.kind, 0, 1)
         }
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        self.rng.random_bool(share)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
-    fn run(&mut self, long: Duration, trouble: f64) {
-        let until = self.now + long;
+    fn run(&mut self, duration: Duration, fault_rate: f64) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
-            self.engines_go_on(trouble);
+            self.advance_engines(fault_rate);
             self.deliver_entries();
-            self.ask_lost(trouble);
-            self.carry_out_late();
-            if self.chance(0.05 * trouble) {
-                self.known.clear();
+            self.poll_unresponsive(fault_rate);
+            self.execute_late_orders();
+            if self.chance(0.05 * fault_rate) {
+                self.states.clear();
                 self.unanswered.clear();
             }
-            self.place(trouble);
+            self.run_round(fault_rate);
         }
     }
 
-    /// Starts an engine of the same kind, which another is to be replaced by.
-    fn replace(&mut self, at: usize) {
+    /// Starts an engine of the same kind that is to replace another.
+    fn start_replacement(&mut self, at: usize) {
         let new = self.engines.len();
         let kind = self.engines[at].kind;
         self.engines.push(Engine::new(new, kind));
         self.write_entry(new, ms(100));
-        self.engines[at].leaves = Some(self.now + LEAVES);
+        self.engines[at].drains_at = Some(self.now + DRAIN_DELAY);
     }
 
-    /// An engine of those that stay.
+    /// A random engine that does not drain.
     fn staying(&mut self) -> usize {
-        let staying = (0..self.engines.len()).filter(|at| self.engines[*at].leaves.is_none());
+        let staying = (0..self.engines.len()).filter(|at| self.engines[*at].drains_at.is_none());
         let staying: Vec<usize> = staying.collect();
         staying[self.rng.random_range(0..staying.len())]
     }
 
     fn write_entry(&mut self, at: usize, lag: Duration) {
         let entry = self.entry(at);
-        let gone = self.engines[at].gone(self.now);
+        let gone_now = self.engines[at].is_gone(self.now);
         let id = entry.id.clone();
-        let entry = (!gone).then_some(entry);
+        let entry = (!gone_now).then_some(entry);
         self.entries.push((self.now + lag, id, entry));
     }
 
-    fn engines_go_on(&mut self, trouble: f64) {
-        if self.chance(0.02 * trouble) {
+    fn advance_engines(&mut self, fault_rate: f64) {
+        if self.chance(0.02 * fault_rate) {
             let at = self.staying();
-            self.replace(at);
+            self.start_replacement(at);
         }
         for at in 0..self.engines.len() {
             let now = self.now;
             let engine = &mut self.engines[at];
-            // Whoever runs it sees to it that the list says so.
-            if engine.leaves == Some(now) || engine.leaves.is_some_and(|at| at + SERVES == now) {
+            // The platform that runs the engine updates the list.
+            if engine.drains_at == Some(now)
+                || engine
+                    .drains_at
+                    .is_some_and(|at| at + DRAIN_DURATION == now)
+            {
                 self.write_entry(at, ms(500));
             }
             let engine = &mut self.engines[at];
-            if engine.gone(now) {
+            if engine.is_gone(now) {
                 continue;
             }
             if let Some((layers, _)) = engine.loads.filter(|(_, until)| *until <= now) {
                 engine.layers = Some(layers);
                 engine.loads = None;
             }
-            if self.chance(0.01 * trouble) {
-                self.start_again(at);
+            if self.chance(0.01 * fault_rate) {
+                self.restart(at);
             }
             if self.chance(0.15) {
                 let lag = ms(self.rng.random_range(0..1500));
-                let late = self.chance(0.1 * trouble);
-                let lag = if late { lag + ms(3000) } else { lag };
+                let delayed = self.chance(0.1 * fault_rate);
+                let lag = if delayed { lag + ms(3000) } else { lag };
                 self.write_entry(at, lag);
             }
         }
     }
 
-    fn start_again(&mut self, at: usize) {
+    fn restart(&mut self, at: usize) {
         let former = self.entry(at).id;
-        self.entries.push((self.now + LAPSES, former, None));
+        self.entries.push((self.now + ENTRY_EXPIRY, former, None));
         let engine = &mut self.engines[at];
-        engine.starts += 1;
+        engine.incarnation += 1;
         engine.layers = None;
         engine.loads = None;
         engine.orders = 0;
     }
 
-    /// Entries come in order of their writing for each start, but for those that are late.
+    /// Entries of an incarnation become visible in the order in which they were written, except
+    /// late ones.
     fn deliver_entries(&mut self) {
         let now = self.now;
         let (due, later) = self.entries.drain(..).partition(|(at, ..)| *at <= now);
@@ -228,41 +237,41 @@
                 continue;
             };
             let at = usize::from(entry.addr.port() - 1000);
-            // Nobody writes this entry any more.
-            if self.engines[at].gone(now) || self.entry(at).id != id {
-                self.entries.push((now + LAPSES, id, None));
+            // No more entries are written for this incarnation; its entry expires.
+            if self.engines[at].is_gone(now) || self.entry(at).id != id {
+                self.entries.push((now + ENTRY_EXPIRY, id, None));
             }
             self.directory.put(entry, now);
         }
     }
 
-    /// Engines that are lost are asked until they answer and hold what they are listed with.
-    fn ask_lost(&mut self, trouble: f64) {
-        let lost = self.directory.iter();
-        let lost = lost.filter(|e| self.directory.is_lost(&e.id));
-        for endpoint in lost.cloned().collect::<Vec<_>>() {
-            let told = self.ask(&endpoint, trouble);
-            if told.is_some_and(|told| told.layers == endpoint.layers) {
+    /// Polls unresponsive engines until they answer and hold the layers that they are listed with.
+    fn poll_unresponsive(&mut self, fault_rate: f64) {
+        let unresponsive = self.directory.iter();
+        let unresponsive = unresponsive.filter(|e| self.directory.is_lost(&e.id));
+        for endpoint in unresponsive.cloned().collect::<Vec<_>>() {
+            let report = self.poll(&endpoint, fault_rate);
+            if report.is_some_and(|report| report.layers == endpoint.layers) {
                 self.directory.succeeded(&endpoint.id);
             }
         }
     }
 
-    fn carry_out_late(&mut self) {
+    fn execute_late_orders(&mut self) {
         let now = self.now;
-        let (due, later) = self.late.drain(..).partition(|(at, ..)| *at <= now);
-        self.late = later;
+        let (due, later) = self.late_orders.drain(..).partition(|(at, ..)| *at <= now);
+        self.late_orders = later;
         for (_, at, order) in due {
             self.accept(at, &order);
         }
     }
 
-    /// The engine at a place takes an order, if it fits its count.
+    /// The engine at an index accepts an order if its count of orders is the expected one.
     fn accept(&mut self, at: usize, order: &Order) -> bool {
         let now = self.now;
         let model = engine();
         let engine = &mut self.engines[at];
-        if engine.gone(now) || engine.orders != order.expected_orders || engine.loads.is_some() {
+        if engine.is_gone(now) || engine.orders != order.expected_orders || engine.loads.is_some() {
             return false;
         }
         let accelerator = model.accelerator(engine.kind).expect("a kind");
@@ -274,18 +283,18 @@
         true
     }
 
-    /// What the process at an endpoint's address says, and which start it is.
-    fn ask(&mut self, endpoint: &Endpoint, trouble: f64) -> Option<LoadReport> {
-        if self.chance(0.1 * trouble) {
+    /// The report of the process at an endpoint's address, which also tells its incarnation.
+    fn poll(&mut self, endpoint: &Endpoint, fault_rate: f64) -> Option<LoadReport> {
+        if self.chance(0.1 * fault_rate) {
             return None;
         }
         let at = usize::from(endpoint.addr.port() - 1000);
-        if self.engines[at].gone(self.now) {
+        if self.engines[at].is_gone(self.now) {
             return None;
         }
         let entry = self.entry(at);
         let engine = &self.engines[at];
-        let told = LoadReport {
+        let report = LoadReport {
             layers: engine.layers,
             busy: engine.loads.is_some(),
             orders: engine.orders,
@@ -293,42 +302,43 @@
         if entry.born > endpoint.born {
             self.directory.put(entry, self.now);
         }
-        Some(told)
+        Some(report)
     }
 
-    /// The engines that are listed: those that stay, and those that leave.
+    /// The listed engines: those that stay, and those that drain.
     fn listed(&self) -> (Vec<Rc<Endpoint>>, Vec<Rc<Endpoint>>) {
         let mut listed: Vec<Rc<Endpoint>> = self.directory.iter().cloned().collect();
         listed.sort_by(|a, b| a.id.cmp(&b.id));
         listed.into_iter().partition(|e| !e.leaving)
     }
 
-    fn current(&self, id: &str) -> bool {
+    fn is_listed(&self, id: &str) -> bool {
         self.directory.get(id).is_some()
     }
 
-    /// One round of the host that places.
-    fn place(&mut self, trouble: f64) {
+    /// One round of the host that places layers.
+    fn run_round(&mut self, fault_rate: f64) {
         let (staying, leaving) = self.listed();
         let engines = ListedEngines {
             staying: &staying,
             draining: &leaving,
-            states: &self.known,
+            states: &self.states,
             directory: &self.directory,
         };
         if !self.planner.settled(&engines, false, self.now) {
             return;
         }
-        for endpoint in self.known.unknown_empty(&staying, self.now) {
-            let told = self.ask(&endpoint, trouble);
-            if self.current(&endpoint.id) {
-                self.known.record_empty_report(&endpoint.id, told, self.now);
+        for endpoint in self.states.unknown_empty(&staying, self.now) {
+            let report = self.poll(&endpoint, fault_rate);
+            if self.is_listed(&endpoint.id) {
+                self.states
+                    .record_empty_report(&endpoint.id, report, self.now);
             }
         }
-        // Asking and ordering take their time, in which anything may happen.
-        if self.chance(0.02 * trouble) {
+        // An engine may restart while others are polled and ordered.
+        if self.chance(0.02 * fault_rate) {
             let at = self.staying();
-            self.start_again(at);
+            self.restart(at);
             if self.chance(0.5) {
                 let entry = self.entry(at);
                 self.directory.put(entry, self.now);
@@ -337,53 +347,57 @@
         let engines = ListedEngines {
             staying: &staying,
             draining: &leaving,
-            states: &self.known,
+            states: &self.states,
             directory: &self.directory,
         };
         let placements = self.planner.plan(&engine(), &engines, self.now).placements;
-        for endpoint in self.known.unknown_movers(&staying, &placements) {
-            let told = self.ask(&endpoint, trouble);
-            if self.current(&endpoint.id) {
-                self.known.record_mover_report(&endpoint, told, self.now);
+        for endpoint in self.states.unknown_movers(&staying, &placements) {
+            let report = self.poll(&endpoint, fault_rate);
+            if self.is_listed(&endpoint.id) {
+                self.states.record_mover_report(&endpoint, report, self.now);
             }
         }
-        let orders = self.known.orders(&self.directory, &placements);
+        let orders = self.states.orders(&self.directory, &placements);
         for order in orders {
-            self.order(order, trouble);
+            self.order(order, fault_rate);
         }
-        self.known.retain_listed(&self.directory);
+        self.states.retain_listed(&self.directory);
     }
 
-    fn order(&mut self, order: Order, trouble: f64) {
+    fn order(&mut self, order: Order, fault_rate: f64) {
         let id = order.endpoint.id.clone();
         assert!(
-            self.current(&id),
-            "to a start that is known to be over: {id}"
+            self.is_listed(&id),
+            "order to an incarnation that is known to have terminated: {id}"
         );
-        let alone = self.unanswered.get(&id).copied().unwrap_or_default();
-        assert!(alone <= self.now, "{id} may still carry out an order");
-        self.ordered += 1;
-        self.moved += usize::from(order.endpoint.layers.is_some());
+        let blocked_until = self.unanswered.get(&id).copied().unwrap_or_default();
+        assert!(
+            blocked_until <= self.now,
+            "{id} may still carry out an order"
+        );
+        self.order_count += 1;
+        self.move_count += usize::from(order.endpoint.layers.is_some());
         let at = usize::from(order.endpoint.addr.port() - 1000);
         let outcome = match self.rng.random_range(0.0..1.0) {
-            x if x < 0.1 * trouble => {
-                let late = ms(self.rng.random_range(LATE));
-                self.late.push((self.now + late, at, order.clone()));
+            x if x < 0.1 * fault_rate => {
+                let delay = ms(self.rng.random_range(ORDER_DELAY_MS));
+                self.late_orders.push((self.now + delay, at, order.clone()));
                 OrderOutcome::Unknown
             }
-            x if x < 0.15 * trouble => OrderOutcome::Unknown,
+            x if x < 0.15 * fault_rate => OrderOutcome::Unknown,
             _ if self.accept(at, &order) => OrderOutcome::Accepted,
             _ => OrderOutcome::Refused,
         };
         if outcome == OrderOutcome::Unknown {
-            self.unanswered.insert(id, self.now + ms(LATE.end));
+            self.unanswered
+                .insert(id, self.now + ms(ORDER_DELAY_MS.end));
         }
-        self.known.record_outcome(&order, outcome, self.now);
+        self.states.record_outcome(&order, outcome, self.now);
     }
 
-    /// How many engines hold a layer, for the layer of which that is least.
-    fn held_least(&self) -> usize {
-        let serving = self.engines.iter().filter(|e| !e.gone(self.now));
+    /// The minimum number of holders over all layers.
+    fn min_holders(&self) -> usize {
+        let serving = self.engines.iter().filter(|e| !e.is_gone(self.now));
         let held: Vec<LayerRange> = serving.filter_map(|e| e.layers).collect();
         let holders = |layer| held.iter().filter(|l| l.contains(layer)).count();
         (0..engine().layers).map(holders).min().unwrap_or(0)
@@ -391,7 +405,7 @@
 }
 
 #[test]
-fn whatever_starts_again_the_layout_is_made_good_and_orders_go_where_they_were_meant() {
+fn after_random_faults_the_layout_is_restored_and_orders_reach_only_the_polled_incarnation() {
     let mut restarts = 0;
     let mut orders = 0;
     for seed in (0..60).chain([77]) {
@@ -399,42 +413,46 @@
         world.run(ms(8000), 0.0);
         world.run(ms(60_000), 1.0);
         world.run(ms(60_000), 0.0);
-        assert!(world.held_least() > 0, "seed {seed}");
-        let before = world.ordered;
+        assert!(world.min_holders() > 0, "seed {seed}");
+        let before = world.order_count;
         world.run(ms(10_000), 0.0);
-        assert_eq!(world.ordered, before, "seed {seed}: orders never end");
-        restarts += world.engines.iter().map(|e| e.starts - 1).sum::<u64>();
-        orders += world.ordered;
+        assert_eq!(
+            world.order_count, before,
+            "seed {seed}: a settled layout still gets orders"
+        );
+        restarts += world.engines.iter().map(|e| e.incarnation - 1).sum::<u64>();
+        orders += world.order_count;
     }
     assert!(restarts > 600 && orders > 1200, "{restarts}, {orders}");
 }
 
-/// Engines that are replaced one by one, the new one first, cost nobody else a move. Given the layers
-/// that helped most when they joined, they left a gap each time: 20 moves of loaded engines, and the
-/// second cover incomplete for 3.3 s of each 4 s.
+/// Guards against moves during a rolling replacement with the new engine first. If a new engine
+/// gets the layers that help most when it joins, each replacement leaves a gap: 20 moves of loaded
+/// engines, and the second cover incomplete for 3.3 s of each 4 s.
 #[test]
-fn engines_that_are_replaced_one_after_the_other_move_no_other() {
+fn replacing_engines_one_by_one_moves_no_other_engine() {
     const PAUSE_STEPS: usize = 40;
-    /// A load of 3.5 s begins 0.6 s after the old one has said that it leaves, and that serves for 2.5 s.
+    /// A load of 3.5 s starts 0.6 s after the old engine has announced that it drains, and that
+    /// serves for 2.5 s.
     const MISSING_STEPS: usize = 16;
-    let (mut moved, mut missing) = (0, 0);
+    let (mut move_count, mut missing) = (0, 0);
     for seed in 0..20 {
         let mut world = World::new(seed, &["l40s"; 8]);
         (0..8).for_each(|at| world.write_entry(at, ms(100)));
         world.run(ms(20_000), 0.0);
-        assert_eq!(world.held_least(), 2, "seed {seed}: two covers");
-        let before = world.moved;
+        assert_eq!(world.min_holders(), 2, "seed {seed}: two covers");
+        let before = world.move_count;
         for at in 0..8 {
-            world.replace(at);
+            world.start_replacement(at);
             for _ in 0..PAUSE_STEPS {
                 world.run(STEP, 0.0);
-                missing += usize::from(world.held_least() < 2);
+                missing += usize::from(world.min_holders() < 2);
             }
         }
         world.run(ms(20_000), 0.0);
-        assert_eq!(world.held_least(), 2, "seed {seed}: two covers again");
-        moved += world.moved - before;
+        assert_eq!(world.min_holders(), 2, "seed {seed}: two covers again");
+        move_count += world.move_count - before;
     }
-    assert_eq!(moved, 0);
+    assert_eq!(move_count, 0);
     assert!(missing <= 20 * 8 * MISSING_STEPS, "{missing}");
 }
--- a/crates/fleet/tests/settling.rs
+++ b/crates/fleet/tests/settling.rs
@@ -1,4 +1,5 @@
-//! Nothing is planned while a list of engines is only coming up, and nothing moves while it returns.
+//! No plan is made while the list of engines is still growing after a start, and no loaded layers
+//! move while a list comes back.
 
 mod common;
 
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn the_first_plan_waits_until_the_list_has_stood_still() {
+fn the_first_plan_waits_until_the_list_is_stable() {
     let mut planner = Planner::default();
     let all = [empty("e1"), empty("e2")];
     assert!(!settled(&mut planner, &[], false, ms(0)));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_list_that_never_stands_still_is_planned_with_in_the_end_and_sooner_when_requests_wait() {
+fn an_unstable_list_is_planned_with_after_a_bounded_time_and_sooner_when_requests_wait() {
     for (requests_waiting, last) in [(false, 5500), (true, 1000)] {
         let mut planner = Planner::default();
         let mut listed = Vec::new();
@@ -71,7 +72,7 @@
     assert!(settled(&mut Planner::default(), &held, false, ms(0)));
 }
 
-/// Engines that hold all layers once, and the first of them four times: a second cover is due.
+/// Engines of which one chain holds all layers, and four hold the first 20: a second cover is due.
 fn uneven() -> Vec<Rc<Endpoint>> {
     let held = [0, 20, 40, 60, 0, 0, 0];
     let one =
@@ -79,7 +80,7 @@
     held.iter().enumerate().map(one).map(Rc::new).collect()
 }
 
-/// How many engines are to move.
+/// The number of placements in the plan.
 fn moves(
     planner: &mut Planner,
     staying: &[Rc<Endpoint>],
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn nothing_moves_where_a_list_returns() {
+fn no_layers_move_where_a_list_comes_back() {
     let mut planner = Planner::default();
     let (directory, engines) = (Directory::default(), uneven());
     assert_eq!(moves(&mut planner, &engines[..6], &directory, ms(0)), 0);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn nothing_moves_where_an_engine_does_not_answer() {
+fn no_layers_move_where_an_engine_is_unresponsive() {
     let mut planner = Planner::default();
     let (mut directory, engines) = (Directory::default(), uneven());
     let spare = endpoint("e7", "a", "l40s", 0, 20);
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -1,8 +1,9 @@
-//! A new engine takes what the one that it stands for gives up.
+//! A new engine takes the layers of the draining engine that it replaces.
 //!
-//! With engines replaced one by one, the new one first, each was given what helped most when it joined.
-//! The layers of the one that left a second later were then missing, and engines that had just loaded
-//! moved to close the gap: a tenth of the requests were refused, with all engines well.
+//! Guards against gaps during a rolling replacement with the new engine first. If each new engine
+//! gets the layers that help most when it joins, the layers of the one that drains a second later
+//! are missing, and engines that have just loaded move to close the gap: a tenth of the requests
+//! are refused, although all engines are healthy.
 
 mod common;
 
@@ -22,7 +23,7 @@
 
 const LAYERS: u32 = 80;
 
-/// What an engine says that holds nothing.
+/// The report of an empty engine.
 const NOTHING: LoadReport = LoadReport {
     layers: None,
     busy: false,
@@ -62,44 +63,44 @@
     ]
 }
 
-/// What follows for new engines.
+/// The part of a plan that concerns new engines.
 #[derive(Debug, Default, PartialEq)]
-struct Follows {
+struct NewEngines {
     replacements: Vec<Placement>,
-    /// They are not planned with.
+    /// These are not among the candidates of the plan.
     waiting: Vec<Rc<str>>,
 }
 
-/// Plans for new engines that were asked, beside those that serve and those that leave.
+/// Plans for new engines that were polled, beside those that serve and those that drain.
 fn plan(
     replacements: &mut Replacements,
     new: &[Rc<Endpoint>],
     serving: &[Rc<Endpoint>],
     leaving: &[Rc<Endpoint>],
     now: Duration,
-) -> Follows {
-    let mut known = EngineStates::default();
+) -> NewEngines {
+    let mut states = EngineStates::default();
     for endpoint in new {
-        known.record_empty_report(&endpoint.id, Some(NOTHING), now);
+        states.record_empty_report(&endpoint.id, Some(NOTHING), now);
     }
     let staying: Vec<Rc<Endpoint>> = new.iter().chain(serving).cloned().collect();
     let directory = Directory::default();
     let engines = ListedEngines {
         staying: &staying,
         draining: leaving,
-        states: &known,
+        states: &states,
         directory: &directory,
     };
     let replacement = replacements.plan(LAYERS, &engines, now);
     let planned = |id: &Rc<str>| replacement.candidates.iter().any(|c| c.id == *id);
     assert!(!replacement.waiting.iter().any(planned));
-    Follows {
+    NewEngines {
         replacements: replacement.replacements,
         waiting: replacement.waiting,
     }
 }
 
-fn successor(id: &str, first: u32, end: u32) -> Placement {
+fn placement(id: &str, first: u32, end: u32) -> Placement {
     Placement {
         id: id.into(),
         layers: range(first, end),
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_new_engine_waits_for_one_of_its_kind_to_leave_and_takes_its_layers() {
+fn a_new_engine_waits_for_one_of_its_kind_to_drain_and_takes_its_layers() {
     let mut replacements = Replacements::default();
     let (new, serving) = ([empty("n", "l40s")], serving());
     let waits = plan(&mut replacements, &new, &serving, &[], ms(0));
@@ -116,30 +117,34 @@
         (0, vec!["n".into()])
     );
     let left = [leaving("s3", "l40s", 60, 80)];
-    let takes = plan(&mut replacements, &new, &serving[..2], &left, ms(1100));
-    assert_eq!(takes.replacements, [successor("n", 60, 80)]);
-    assert!(takes.waiting.is_empty());
+    let claims = plan(&mut replacements, &new, &serving[..2], &left, ms(1100));
+    assert_eq!(claims.replacements, [placement("n", 60, 80)]);
+    assert!(claims.waiting.is_empty());
 }
 
 #[test]
-fn nobody_waits_for_longer_than_a_moment() {
+fn the_wait_for_a_draining_engine_is_bounded() {
     let mut replacements = Replacements::default();
     let (new, serving) = ([empty("n", "l40s")], serving());
     plan(&mut replacements, &new, &serving, &[], ms(0));
     let later = plan(&mut replacements, &new, &serving, &[], ms(1800));
-    assert_eq!(later, Follows::default(), "it is placed as any other");
+    assert_eq!(
+        later,
+        NewEngines::default(),
+        "it is placed like any other engine"
+    );
 }
 
 #[test]
-fn nobody_waits_where_layers_are_missing() {
+fn no_engine_waits_where_layers_are_missing() {
     let mut replacements = Replacements::default();
     let (new, serving) = ([empty("n", "l40s")], serving());
     let gap = plan(&mut replacements, &new, &serving[1..], &[], ms(0));
-    assert_eq!(gap, Follows::default());
+    assert_eq!(gap, NewEngines::default());
 }
 
 #[test]
-fn nobody_waits_for_another_kind_or_in_another_data_centre() {
+fn no_engine_waits_for_another_kind_or_another_data_centre() {
     let mut replacements = Replacements::default();
     let other_kind = plan(
         &mut replacements,
@@ -148,13 +153,13 @@
         &[],
         ms(0),
     );
-    assert_eq!(other_kind, Follows::default());
+    assert_eq!(other_kind, NewEngines::default());
     let elsewhere = Rc::new(Endpoint {
         data_centre: "b".into(),
         ..(*empty("m", "l40s")).clone()
     });
     let elsewhere = plan(&mut replacements, &[elsewhere], &serving(), &[], ms(0));
-    assert_eq!(elsewhere, Follows::default());
+    assert_eq!(elsewhere, NewEngines::default());
     let left = Rc::new(Endpoint {
         data_centre: "b".into(),
         ..(*leaving("s2", "l40s", 41, 60)).clone()
@@ -166,19 +171,19 @@
         &[left],
         ms(0),
     );
-    assert_eq!(from_elsewhere, Follows::default());
+    assert_eq!(from_elsewhere, NewEngines::default());
     let left = [leaving("s1", "a100", 0, 41)];
     let new = [empty("n", "l40s")];
     let not_its = plan(&mut replacements, &new, &serving()[1..], &left, ms(0));
     assert_eq!(
         not_its,
-        Follows::default(),
-        "the gap is filled by whoever fits"
+        NewEngines::default(),
+        "the gap is filled like any other"
     );
 }
 
 #[test]
-fn each_engine_that_leaves_has_one_successor() {
+fn each_draining_engine_has_one_replacement() {
     let mut replacements = Replacements::default();
     let left = [leaving("s2", "l40s", 41, 60), leaving("s3", "l40s", 60, 80)];
     let new = [
@@ -190,19 +195,19 @@
     let first = plan(&mut replacements, &new, &serving[..1], &left, ms(0));
     assert_eq!(
         first.replacements,
-        [successor("n1", 41, 60), successor("n2", 60, 80)]
+        [placement("n1", 41, 60), placement("n2", 60, 80)]
     );
-    // The first has its order; the others are asked for once more.
+    // The first has its order; the others are planned for again.
     let loading = [serving[0].clone(), engine("n1", "l40s", 41, 60)];
     let again = plan(&mut replacements, &new[1..], &loading, &left, ms(100));
-    assert_eq!(again.replacements, [successor("n2", 60, 80)]);
-    // A successor that is gone leaves its place to another.
+    assert_eq!(again.replacements, [placement("n2", 60, 80)]);
+    // If a replacement is gone, another engine takes the layers.
     let third = plan(&mut replacements, &new[2..], &loading, &left, ms(200));
-    assert_eq!(third.replacements, [successor("n3", 60, 80)]);
+    assert_eq!(third.replacements, [placement("n3", 60, 80)]);
 }
 
 #[test]
-fn an_engine_that_left_and_is_listed_once_more_has_no_second_successor() {
+fn a_drained_engine_that_is_listed_once_more_has_no_second_replacement() {
     let mut replacements = Replacements::default();
     let left = [leaving("s3", "l40s", 60, 80)];
     let serving = serving();
@@ -214,7 +219,7 @@
         engine("n1", "l40s", 60, 80),
     ];
     plan(&mut replacements, &[], &loading, &[], ms(3000));
-    // Its last entry was on its way for long.
+    // The last entry of the drained engine arrives late.
     let second = [empty("n2", "l40s")];
     let again = plan(&mut replacements, &second, &loading, &left, ms(4000));
     assert_eq!(again.replacements, []);
@@ -227,57 +232,61 @@
     plan(&mut replacements, &[], &serving, &[], ms(0));
     let new = [empty("n1", "l40s"), empty("n2", "l40s")];
     let joined = plan(&mut replacements, &new, &serving[..3], &[], ms(1000));
-    assert_eq!(joined.waiting, ["n2".into()], "one stands for what is lost");
+    assert_eq!(
+        joined.waiting,
+        ["n2".into()],
+        "one replaces the lost engine"
+    );
     let again = plan(&mut replacements, &new, &serving[..3], &[], ms(1100));
-    assert_eq!(again, joined, "and the same one");
+    assert_eq!(again, joined, "the same engine as before");
     let late = plan(&mut replacements, &new[1..], &serving, &[], ms(40_000));
-    assert_eq!(late, Follows::default());
+    assert_eq!(late, NewEngines::default());
 }
 
 #[test]
-fn an_engine_that_joins_after_another_kind_is_lost_does_not_wait_either() {
+fn an_engine_that_joins_after_one_of_another_kind_is_lost_does_not_wait() {
     let mut replacements = Replacements::default();
     let serving = [serving(), vec![engine("s4", "a100", 0, 41)]].concat();
     plan(&mut replacements, &[], &serving, &[], ms(0));
     let new = [empty("n1", "l40s")];
     let joined = plan(&mut replacements, &new, &serving[..3], &[], ms(1000));
-    assert_eq!(joined, Follows::default());
+    assert_eq!(joined, NewEngines::default());
 }
 
 #[test]
-fn an_engine_that_is_back_is_not_missed() {
+fn an_engine_that_is_listed_again_is_not_replaced() {
     let mut replacements = Replacements::default();
     let serving = [serving(), vec![engine("s4", "l40s", 41, 60)]].concat();
     plan(&mut replacements, &[], &serving, &[], ms(0));
     plan(&mut replacements, &[], &serving[..3], &[], ms(1000));
     plan(&mut replacements, &[], &serving, &[], ms(2000));
     let new = [empty("n1", "l40s")];
-    let follows = plan(&mut replacements, &new, &serving, &[], ms(3000));
-    assert_eq!(follows.waiting, ["n1".into()]);
+    let planned = plan(&mut replacements, &new, &serving, &[], ms(3000));
+    assert_eq!(planned.waiting, ["n1".into()]);
 }
 
 #[test]
-fn a_host_that_watched_knows_what_is_lost_when_it_gives_the_orders() {
+fn a_host_that_observed_a_loss_plans_with_it_once_it_gives_the_orders() {
     let mut replacements = Replacements::default();
-    let known = EngineStates::default();
+    let states = EngineStates::default();
     let directory = Directory::default();
     let all = [serving(), vec![engine("s4", "l40s", 41, 60)]].concat();
     for staying in [&all[..], &all[..3]] {
         let engines = ListedEngines {
             staying,
             draining: &[],
-            states: &known,
+            states: &states,
             directory: &directory,
         };
         replacements.observe(&engines, ms(0));
     }
     let new = [empty("n1", "l40s")];
-    let follows = plan(&mut replacements, &new, &all[..3], &[], ms(1000));
-    assert_eq!(follows, Follows::default());
+    let planned = plan(&mut replacements, &new, &all[..3], &[], ms(1000));
+    assert_eq!(planned, NewEngines::default());
 }
 
 #[test]
-fn an_engine_that_has_said_that_it_leaves_is_not_missed() {
+fn an_engine_that_drained_does_not_count_as_vanished() {
     let mut replacements = Replacements::default();
     let left = [leaving("s3", "l40s", 60, 80)];
     let serving = [serving(), vec![engine("s4", "l40s", 60, 80)]].concat();
@@ -285,14 +294,14 @@
     let rest: Vec<Rc<Endpoint>> = serving.iter().filter(|e| *e.id != *"s3").cloned().collect();
     plan(&mut replacements, &[], &rest, &left, ms(1000));
     let next = [empty("n1", "l40s")];
-    let follows = plan(&mut replacements, &next, &rest, &[], ms(4000));
-    assert_eq!(follows.waiting, ["n1".into()]);
+    let planned = plan(&mut replacements, &next, &rest, &[], ms(4000));
+    assert_eq!(planned.waiting, ["n1".into()]);
 }
 
-/// A host that took over the orders just then did not know of the loss, had the new engine wait, and
-/// moved two fast engines meanwhile.
+/// Guards against moves while an engine waits. A host that takes over the lease after a loss does
+/// not know of the loss: it has the new engine wait, and must not move loaded engines meanwhile.
 #[test]
-fn nothing_moves_while_an_engine_waits() {
+fn no_layers_move_while_an_engine_waits() {
     let listed = |range: LayerRange, id: &str| engine(id, "l40s", range.first, range.end);
     let held = [
         (0, 20),
@@ -308,15 +317,15 @@
         .map(|(at, (first, end))| listed(range(*first, *end), &format!("s{at}")))
         .collect();
     let moves = |planner: &mut Planner, new: &[Rc<Endpoint>], now: Duration| {
-        let mut known = EngineStates::default();
+        let mut states = EngineStates::default();
         for endpoint in new {
-            known.record_empty_report(&endpoint.id, Some(NOTHING), now);
+            states.record_empty_report(&endpoint.id, Some(NOTHING), now);
         }
         let staying: Vec<Rc<Endpoint>> = serving.iter().chain(new).cloned().collect();
         let engines = ListedEngines {
             staying: &staying,
             draining: &[],
-            states: &known,
+            states: &states,
             directory: &Directory::default(),
         };
         let plan = planner.plan(&common::engine(), &engines, now);
