--- a/crates/fleet/src/adaptive_timeout.rs
+++ b/crates/fleet/src/adaptive_timeout.rs
@@ -62,7 +62,8 @@
 }
 
 impl RunTiming {
-    /// The next step after a silence; `since_probe` is how long ago the stages of the chain were probed.
+    /// The next step after a silence; `since_probe` is how long ago the stages of the chain were
+    /// probed.
     pub fn next_step(&self, silence: Duration, since_probe: Option<Duration>) -> Step {
         let timeout = self.timeout();
         if silence >= timeout {
--- a/crates/fleet/src/placement/moves.rs
+++ b/crates/fleet/src/placement/moves.rs
@@ -23,10 +23,11 @@
 const HORIZON_S: f64 = 15.0;
 /// The number of requests for which an endpoint that joins keeps memory.
 const TYPICAL_REQUESTS: f64 = 32.0;
-/// The minimum ratio of requests served, with to without a load, for which layers are chosen by it.
+/// The minimum ratio of the requests served with a load to those without it, for a range to be
+/// chosen by the requests served.
 const MIN_LOAD_GAIN: f64 = 1.02;
-/// The minimum ratio of requests served, with to without a move, for which a loaded endpoint moves.
-/// It leaves a margin, as the expected rate of chains is only an estimate of what they serve.
+/// The minimum ratio of the requests served with a move to those without it, for a loaded endpoint
+/// to move. It leaves a margin, as the expected rate of chains is only an estimate.
 const MIN_MOVE_GAIN: f64 = 1.25;
 /// The maximum number of moves at once where no chain is left.
 const MAX_MOVES: usize = 6;
