--- a/crates/fleet/src/placement/engine_states.rs
+++ b/crates/fleet/src/placement/engine_states.rs
@@ -92,7 +92,7 @@
     }
 
     /// Engines that are listed as empty and of which nothing else is known (any more); these are to
-    /// be polled. If there are more than [`MAX_POLLED_ENGINES`], only those of the first data
+    /// be polled. If there are more than `MAX_POLLED_ENGINES`, only those of the first data
     /// centres are returned, so that these get orders before the last are polled.
     pub fn unknown_empty(
         &mut self,
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -229,8 +229,8 @@
         ("l40s", 66, 80),
     ]);
     let orders = plan(&candidates);
-    let most = orders.iter().map(|o| layers_to_load(&candidates, o)).max();
-    assert!(most.is_some_and(|n| n <= 17), "{orders:?}");
+    let max = orders.iter().map(|o| layers_to_load(&candidates, o)).max();
+    assert!(max.is_some_and(|n| n <= 17), "{orders:?}");
     let mut repaired = candidates.clone();
     apply(&mut repaired, &orders);
     assert_eq!(covers(&repaired, "a"), 1, "{orders:?}");
@@ -269,10 +269,10 @@
     candidates.push(candidate(8, "a", "a100"));
     settle(&mut candidates);
     let fast = |c: &&Candidate| *c.accelerator != *"l4";
-    let most = candidates.iter().filter(fast).filter_map(|c| c.held_layers);
-    let most = most.map(|held| held.count()).max();
+    let max = candidates.iter().filter(fast).filter_map(|c| c.held_layers);
+    let max = max.map(|held| held.count()).max();
     assert!(
-        most.is_some_and(|n| n <= 26),
+        max.is_some_and(|n| n <= 26),
         "free capacity for requests: {candidates:?}"
     );
 }
@@ -321,15 +321,15 @@
         };
         (0..n).map(one).collect()
     };
-    let asked = |engines: &[Rc<Endpoint>]| {
-        let asked = EngineStates::default().unknown_empty(engines, ms(0));
-        let of = |centre: &str| asked.iter().filter(|e| &*e.data_centre == centre).count();
+    let polled = |engines: &[Rc<Endpoint>]| {
+        let polled = EngineStates::default().unknown_empty(engines, ms(0));
+        let of = |centre: &str| polled.iter().filter(|e| &*e.data_centre == centre).count();
         [of("a"), of("b"), of("c")]
     };
     let few = [near("a", 30), near("b", 38), near("c", 30)].concat();
-    assert_eq!(asked(&few), [30, 38, 30]);
+    assert_eq!(polled(&few), [30, 38, 30]);
     let many = [near("a", 330), near("b", 330), near("c", 330)].concat();
-    assert_eq!(asked(&many), [128, 0, 0]);
+    assert_eq!(polled(&many), [128, 0, 0]);
     let one = near("c", 1000);
-    assert_eq!(asked(&one), [0, 0, 128]);
+    assert_eq!(polled(&one), [0, 0, 128]);
 }
--- a/crates/fleet/tests/placing_orders.rs
+++ b/crates/fleet/tests/placing_orders.rs
@@ -318,10 +318,10 @@
 
     /// One round of the host that places layers.
     fn run_round(&mut self, fault_rate: f64) {
-        let (staying, leaving) = self.listed();
+        let (staying, draining) = self.listed();
         let engines = ListedEngines {
             staying: &staying,
-            draining: &leaving,
+            draining: &draining,
             states: &self.states,
             directory: &self.directory,
         };
@@ -346,7 +346,7 @@
         }
         let engines = ListedEngines {
             staying: &staying,
-            draining: &leaving,
+            draining: &draining,
             states: &self.states,
             directory: &self.directory,
         };
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -46,7 +46,7 @@
     })
 }
 
-fn leaving(id: &str, kind: &str, first: u32, end: u32) -> Rc<Endpoint> {
+fn draining(id: &str, kind: &str, first: u32, end: u32) -> Rc<Endpoint> {
     let leaving = true;
     Rc::new(Endpoint {
         leaving,
@@ -76,7 +76,7 @@
     replacements: &mut Replacements,
     new: &[Rc<Endpoint>],
     serving: &[Rc<Endpoint>],
-    leaving: &[Rc<Endpoint>],
+    draining: &[Rc<Endpoint>],
     now: Duration,
 ) -> NewEngines {
     let mut states = EngineStates::default();
@@ -87,7 +87,7 @@
     let directory = Directory::default();
     let engines = ListedEngines {
         staying: &staying,
-        draining: leaving,
+        draining,
         states: &states,
         directory: &directory,
     };
@@ -116,8 +116,8 @@
         (waits.replacements.len(), waits.waiting),
         (0, vec!["n".into()])
     );
-    let left = [leaving("s3", "l40s", 60, 80)];
-    let claims = plan(&mut replacements, &new, &serving[..2], &left, ms(1100));
+    let drained = [draining("s3", "l40s", 60, 80)];
+    let claims = plan(&mut replacements, &new, &serving[..2], &drained, ms(1100));
     assert_eq!(claims.replacements, [placement("n", 60, 80)]);
     assert!(claims.waiting.is_empty());
 }
@@ -160,21 +160,21 @@
     });
     let elsewhere = plan(&mut replacements, &[elsewhere], &serving(), &[], ms(0));
     assert_eq!(elsewhere, NewEngines::default());
-    let left = Rc::new(Endpoint {
+    let drained = Rc::new(Endpoint {
         data_centre: "b".into(),
-        ..(*leaving("s2", "l40s", 41, 60)).clone()
+        ..(*draining("s2", "l40s", 41, 60)).clone()
     });
     let from_elsewhere = plan(
         &mut replacements,
         &[empty("n", "l40s")],
         &[],
-        &[left],
+        &[drained],
         ms(0),
     );
     assert_eq!(from_elsewhere, NewEngines::default());
-    let left = [leaving("s1", "a100", 0, 41)];
+    let drained = [draining("s1", "a100", 0, 41)];
     let new = [empty("n", "l40s")];
-    let not_its = plan(&mut replacements, &new, &serving()[1..], &left, ms(0));
+    let not_its = plan(&mut replacements, &new, &serving()[1..], &drained, ms(0));
     assert_eq!(
         not_its,
         NewEngines::default(),
@@ -185,34 +185,37 @@
 #[test]
 fn each_draining_engine_has_one_replacement() {
     let mut replacements = Replacements::default();
-    let left = [leaving("s2", "l40s", 41, 60), leaving("s3", "l40s", 60, 80)];
+    let drained = [
+        draining("s2", "l40s", 41, 60),
+        draining("s3", "l40s", 60, 80),
+    ];
     let new = [
         empty("n1", "l40s"),
         empty("n2", "l40s"),
         empty("n3", "l40s"),
     ];
     let serving = serving();
-    let first = plan(&mut replacements, &new, &serving[..1], &left, ms(0));
+    let first = plan(&mut replacements, &new, &serving[..1], &drained, ms(0));
     assert_eq!(
         first.replacements,
         [placement("n1", 41, 60), placement("n2", 60, 80)]
     );
     // The first has its order; the others are planned for again.
     let loading = [serving[0].clone(), engine("n1", "l40s", 41, 60)];
-    let again = plan(&mut replacements, &new[1..], &loading, &left, ms(100));
+    let again = plan(&mut replacements, &new[1..], &loading, &drained, ms(100));
     assert_eq!(again.replacements, [placement("n2", 60, 80)]);
     // If a replacement is gone, another engine takes the layers.
-    let third = plan(&mut replacements, &new[2..], &loading, &left, ms(200));
+    let third = plan(&mut replacements, &new[2..], &loading, &drained, ms(200));
     assert_eq!(third.replacements, [placement("n3", 60, 80)]);
 }
 
 #[test]
 fn a_drained_engine_that_is_listed_once_more_has_no_second_replacement() {
     let mut replacements = Replacements::default();
-    let left = [leaving("s3", "l40s", 60, 80)];
+    let drained = [draining("s3", "l40s", 60, 80)];
     let serving = serving();
     let first = [empty("n1", "l40s")];
-    plan(&mut replacements, &first, &serving[..2], &left, ms(0));
+    plan(&mut replacements, &first, &serving[..2], &drained, ms(0));
     let loading = [
         serving[0].clone(),
         serving[1].clone(),
@@ -221,7 +224,7 @@
     plan(&mut replacements, &[], &loading, &[], ms(3000));
     // The last entry of the drained engine arrives late.
     let second = [empty("n2", "l40s")];
-    let again = plan(&mut replacements, &second, &loading, &left, ms(4000));
+    let again = plan(&mut replacements, &second, &loading, &drained, ms(4000));
     assert_eq!(again.replacements, []);
 }
 
@@ -288,11 +291,11 @@
 #[test]
 fn an_engine_that_drained_does_not_count_as_vanished() {
     let mut replacements = Replacements::default();
-    let left = [leaving("s3", "l40s", 60, 80)];
+    let drained = [draining("s3", "l40s", 60, 80)];
     let serving = [serving(), vec![engine("s4", "l40s", 60, 80)]].concat();
     plan(&mut replacements, &[], &serving, &[], ms(0));
     let rest: Vec<Rc<Endpoint>> = serving.iter().filter(|e| *e.id != *"s3").cloned().collect();
-    plan(&mut replacements, &[], &rest, &left, ms(1000));
+    plan(&mut replacements, &[], &rest, &drained, ms(1000));
     let next = [empty("n1", "l40s")];
     let planned = plan(&mut replacements, &next, &rest, &[], ms(4000));
     assert_eq!(planned.waiting, ["n1".into()]);
