--- a/crates/fleet/src/placement/value.rs
+++ b/crates/fleet/src/placement/value.rs
@@ -9,8 +9,8 @@
 
 /// The value of a covered layer where there is no chain, in requests per second: next to nothing.
 const COVERED_LAYER_VALUE: f64 = 0.001;
-/// The gain of a further holder for a layer without any, in units of the slowdown factor of a
-/// single holder.
+/// The gain of a further holder for a layer that nobody holds; for a layer with one holder the gain
+/// is the slowdown factor of that holder.
 const UNHELD_LAYER_GAIN: f64 = 1000.0;
 
 /// One stage of a chain, run by a holder.
