--- a/crates/entry/src/control/engines.rs
+++ b/crates/entry/src/control/engines.rs
@@ -351,7 +351,7 @@
     fn note_standing(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let near = |e: &&routing::Endpoint| e.data_centre == self.me.data_centre;
         let listed = self.list.iter().flatten().filter(near);
-        let listed = listed.filter(|e| e.leaving);
+        let listed = listed.filter(|e| e.draining);
         let listed = listed.map(|e| sign(&e.id, 0, SignKind::List));
         let wanted = self.intents.iter();
         let wanted = wanted.map(|id| sign(id, 0, SignKind::Operator));
--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/hosts.rs
@@ -179,7 +179,7 @@
         layers,
         accelerator,
         layer_us,
-        leaving: lent.leaving,
+        draining: lent.leaving,
         in_flight: 0,
         health: routing::Health::Up,
     }
@@ -202,7 +202,7 @@
         data_centre: endpoint.data_centre.clone(),
         target: endpoint.target.clone(),
         role,
-        leaving: endpoint.leaving,
+        leaving: endpoint.draining,
     }
 }
 
@@ -243,7 +243,7 @@
         accelerator: accelerator.to_owned(),
         // The list says nothing of it: the router learns it from the endpoint's loads.
         layer_us: 0.0,
-        leaving: listed.leaving,
+        draining: listed.leaving,
         in_flight: 0,
         health: routing::Health::Up,
     })
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -130,7 +130,7 @@
         let listed = listed.iter().map(|e| ListedEndpoint {
             id: e.id.clone(),
             addr: e.addr,
-            leaving: e.leaving,
+            leaving: e.draining,
         });
         self.tell(Event::Endpoints(listed.collect()));
     }
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -32,7 +32,7 @@
     endpoint: EndpointId,
     attempt: u32,
     start: u32,
-    work: routing::Work,
+    work: routing::StepSize,
     sent: Duration,
     /// Lasts as long as the step.
     _span: tracing::Span,
@@ -68,7 +68,7 @@
         let now = self.host.now();
         let mut router = self.host.router.borrow_mut();
         for step in self.underway.drain(..) {
-            router.ended(now, &step.endpoint, routing::Outcome::Dropped);
+            router.ended(now, &step.endpoint, routing::Outcome::Abandoned);
         }
         self.host.step_times.set(self.generation.times());
     }
@@ -169,7 +169,7 @@
             StepEnd::Answered(result) => {
                 if let Some(step) = self.take_underway(&endpoint, result.attempt, result.start) {
                     let outcome = outcome_of(&result, now.saturating_sub(step.sent));
-                    if outcome == routing::Outcome::Leaving {
+                    if outcome == routing::Outcome::Draining {
                         self.host.endpoint_refused(&endpoint);
                     }
                     let mut router = self.host.router.borrow_mut();
@@ -301,7 +301,7 @@
             attempt,
         );
         let traceparent = context::traceparent(&span);
-        let work = routing::Work {
+        let work = routing::StepSize {
             layers: step.layers,
             positions: step.inputs.len() as u32,
         };
@@ -422,7 +422,7 @@
     match &result.outcome {
         wire::StepOutcome::Done { .. } => routing::Outcome::Ok { latency },
         wire::StepOutcome::Refused { reason, .. } => match reason {
-            wire::StepRefusal::Leaving => routing::Outcome::Leaving,
+            wire::StepRefusal::Leaving => routing::Outcome::Draining,
             wire::StepRefusal::Busy => routing::Outcome::Busy,
             // The endpoint is well; it only holds another state of the request than was thought.
             _ => routing::Outcome::Ok { latency },
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -154,7 +154,7 @@
             control::News::Loads(reports) => self.take_loads(&reports),
             control::News::CacheEvents(endpoint, events) => {
                 let mut router = self.router.borrow_mut();
-                router.cache_events(self.now(), &endpoint, &events);
+                router.apply_cache_events(self.now(), &endpoint, &events);
             }
             control::News::Peers(peers) => self.take_peers(peers),
             control::News::Asked(inbound) => self.answer_peer(inbound),
@@ -244,13 +244,13 @@
         table.replace_all(listed);
         // A sign may come before the endpoint is listed, and outlives a change of its address.
         for endpoint in self.leaving.borrow().iter() {
-            table.set_leaving(endpoint, true);
+            table.set_draining(endpoint, true);
         }
     }
 
     fn take_leaving(&self, endpoint: EndpointId, leaving: bool) {
         let mut router = self.router.borrow_mut();
-        router.table_mut().set_leaving(&endpoint, leaving);
+        router.table_mut().set_draining(&endpoint, leaving);
         let mut known = self.leaving.borrow_mut();
         match leaving {
             true => known.insert(endpoint),
@@ -262,7 +262,7 @@
         let now = self.now();
         let mut router = self.router.borrow_mut();
         for report in reports {
-            router.load(now, report);
+            router.apply_load_report(now, report);
         }
     }
 
--- a/crates/entry/src/retries.rs
+++ b/crates/entry/src/retries.rs
@@ -17,7 +17,7 @@
 impl Retries {
     /// Notes a first try of `owner`.
     pub fn request(&self, owner: &WorkspaceName, now: Duration) {
-        self.with(owner, now, |budget| budget.request(now));
+        self.with(owner, now, |budget| budget.record_first_attempt(now));
     }
 
     /// Takes one retry of `owner` from its budget, if there is one left.
--- a/crates/entry/tests/orders.rs
+++ b/crates/entry/tests/orders.rs
@@ -72,7 +72,7 @@
             layers: NONE,
             accelerator: String::new(),
             layer_us: 0.0,
-            leaving: false,
+            draining: false,
             in_flight: 0,
             health: routing::Health::Up,
         });
--- a/crates/entry/tests/reports.rs
+++ b/crates/entry/tests/reports.rs
@@ -44,7 +44,7 @@
 fn leaving(fleet: &Fleet) -> Vec<Option<bool>> {
     let hosts = fleet.nodes.iter().map(|n| {
         let router = n.host.router.borrow();
-        router.table().get(&id(SPARE)).map(|e| e.leaving)
+        router.table().get(&id(SPARE)).map(|e| e.draining)
     });
     hosts.collect()
 }
--- a/crates/routing/benches/choice.rs
+++ b/crates/routing/benches/choice.rs
@@ -5,7 +5,7 @@
 use criterion::{BenchmarkId, Criterion};
 use dragonflyrill_engines::wire;
 use dragonflyrill_routing::{
-    ChainQuery, Outcome, Router, Work,
+    ChainQuery, Outcome, Router, StepSize,
     baseline::{LeastReported, Policy, RoundRobin},
     prefix_blocks,
 };
@@ -56,7 +56,7 @@
         let hops = rule
             .choose(now, black_box(&query))
             .expect("all layers are held");
-        let work = Work {
+        let work = StepSize {
             layers: hops[0].layers,
             positions: 300,
         };
@@ -75,7 +75,7 @@
         let mut router = Router::new(fleet::data_centre(0), 1);
         let engines = fleet::engines(n, data_centres);
         router.table_mut().replace_all(engines.clone());
-        let work = Work {
+        let work = StepSize {
             layers: engines[0].layers,
             positions: 1,
         };
--- a/crates/routing/benches/compare/engine.rs
+++ b/crates/routing/benches/compare/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use dragonflyrill_engines::wire::{CacheEvent, CacheEvents, LoadReport};
-use dragonflyrill_routing::{BLOCK, Endpoint};
+use dragonflyrill_routing::{BLOCK_POSITIONS, Endpoint};
 
 const MAX_BATCH: usize = 32;
 const MAX_SESSIONS: usize = 64;
@@ -69,7 +69,7 @@
     }
 
     /// Begins the next batch if it can; answers how many microseconds that takes.
-    pub(crate) fn begin(&mut self) -> Option<u64> {
+    pub(crate) fn start_batch(&mut self) -> Option<u64> {
         let idle = self.running.is_empty() && !self.queue.is_empty();
         if !idle || matches!(self.fault, Fault::Dead | Fault::Frozen) {
             return None;
@@ -80,7 +80,7 @@
         let mut extra = 0;
         for i in 0..n {
             let prefix = std::mem::take(&mut self.running[i].prefix);
-            let cached = self.store(&prefix) * BLOCK as u32;
+            let cached = self.cache_prefix(&prefix) * BLOCK_POSITIONS as u32;
             extra += (self.running[i].positions - 1).saturating_sub(cached);
         }
         let slow = if self.fault == Fault::Slow { 10.0 } else { 1.0 };
@@ -89,24 +89,24 @@
     }
 
     /// Caches the blocks; answers how many leading ones were cached before.
-    fn store(&mut self, prefix: &[u64]) -> u32 {
+    fn cache_prefix(&mut self, prefix: &[u64]) -> u32 {
         let hits = prefix.iter().take_while(|b| self.cache.contains(b)).count();
         for block in prefix {
             match self.cache.iter().position(|b| b == block) {
                 Some(at) => drop(self.cache.remove(at)),
-                None => self.note(*block, true),
+                None => self.record_event(*block, true),
             }
             self.cache.push_back(*block);
         }
         while self.cache.len() > CACHE_BLOCKS {
             if let Some(oldest) = self.cache.pop_front() {
-                self.note(oldest, false);
+                self.record_event(oldest, false);
             }
         }
         hits as u32
     }
 
-    fn note(&mut self, block: u64, stored: bool) {
+    fn record_event(&mut self, block: u64, stored: bool) {
         self.seq += 1;
         // One event in ten is lost.
         if !self.seq.is_multiple_of(10) {
@@ -115,12 +115,12 @@
         }
     }
 
-    pub(crate) fn free(&mut self, request: usize) {
+    pub(crate) fn end_session(&mut self, request: usize) {
         self.sessions.remove(&request);
     }
 
     /// Dies: all it held is lost. Answers the steps that are lost with it.
-    pub(crate) fn die(&mut self) -> Vec<Step> {
+    pub(crate) fn crash(&mut self) -> Vec<Step> {
         self.fault = Fault::Dead;
         self.incarnation += 1;
         self.sessions.clear();
--- a/crates/routing/benches/compare/main.rs
+++ b/crates/routing/benches/compare/main.rs
@@ -12,18 +12,18 @@
 
 use crate::{
     engine::{Engine, Fault},
-    world::{Arrival, Figures, Trouble, World},
+    simulation::{Arrival, FaultWindow, RunResults, Simulation},
 };
 
 mod engine;
 #[path = "../fleet.rs"]
 mod fleet;
-mod world;
+mod simulation;
 
 const ENGINES: usize = 60;
 const DATA_CENTRES: usize = 3;
 const HOSTS: usize = 8;
-const SECONDS: u64 = 20;
+const RUN_SECONDS: u64 = 20;
 const SEED: u64 = 7;
 /// Runs at once; each is deterministic by itself.
 const THREADS: usize = 4;
@@ -93,33 +93,33 @@
 
 /// Who calls: applications, and the positions that all prompts of one application share.
 #[derive(Clone, Copy)]
-struct Callers {
+struct Workload {
     apps: u64,
-    shared: usize,
+    shared_positions: usize,
 }
 
 /// Prompts that all engines can cache.
-const FEW: Callers = Callers {
+const FEW_APPS: Workload = Workload {
     apps: 40,
-    shared: 256,
+    shared_positions: 256,
 };
 /// Prompts that no engine can cache all of.
-const MANY: Callers = Callers {
+const MANY_APPS: Workload = Workload {
     apps: 200,
-    shared: 2048,
+    shared_positions: 2048,
 };
 
 /// Poisson arrivals; each application has its own beginning of the prompt.
-fn arrivals(per_second: f64, callers: Callers) -> Vec<Arrival> {
+fn arrivals(per_second: f64, workload: Workload) -> Vec<Arrival> {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(SEED);
     let model = fleet::model();
     let (mut at, mut all) = (0.0, Vec::new());
-    while at < SECONDS as f64 {
+    while at < RUN_SECONDS as f64 {
         at += -(1.0 - rng.random::<f64>()).ln() / per_second;
         // Few applications are much used.
-        let app = (callers.apps as f64 * rng.random::<f64>().powi(2)) as u64;
+        let app = (workload.apps as f64 * rng.random::<f64>().powi(2)) as u64;
         let own = rng.random_range(16..400);
-        let mut prompt = vec![app; callers.shared];
+        let mut prompt = vec![app; workload.shared_positions];
         prompt.extend((0..own).map(|_| rng.random::<u64>()));
         all.push(Arrival {
             at: (at * 1e6) as u64,
@@ -132,7 +132,7 @@
     all
 }
 
-fn run(rule: &Rule, arrivals: &[Arrival], troubles: &[Trouble]) -> Figures {
+fn run(rule: &Rule, arrivals: &[Arrival], fault_windows: &[FaultWindow]) -> RunResults {
     let sites: Vec<_> = (0..HOSTS).map(|i| i % DATA_CENTRES).collect();
     let hosts = sites
         .iter()
@@ -143,14 +143,14 @@
         .into_iter()
         .map(Engine::new)
         .collect();
-    World::new(hosts, sites, DATA_CENTRES, engines).run(arrivals, troubles)
+    Simulation::new(hosts, sites, DATA_CENTRES, engines).run(arrivals, fault_windows)
 }
 
-fn print(name: &str, f: &Figures) {
+fn print(name: &str, f: &RunResults) {
     let ms = |h: &hdrhistogram::Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1e3;
     println!(
         "  {name:<16} {:>7.1} {:>6} {:>7} {:>6} {:>7}   {:>7.1} {:>7.1} {:>7.1}   {:>6.1} {:>6.1} {:>6.1}",
-        f.good as f64 / SECONDS as f64,
+        f.good as f64 / RUN_SECONDS as f64,
         f.late,
         f.refused,
         f.failed,
@@ -158,67 +158,70 @@
         ms(&f.first_token, 0.5),
         ms(&f.first_token, 0.95),
         ms(&f.first_token, 0.99),
-        ms(&f.between, 0.5),
-        ms(&f.between, 0.95),
-        ms(&f.between, 0.99),
+        ms(&f.between_tokens, 0.5),
+        ms(&f.between_tokens, 0.95),
+        ms(&f.between_tokens, 0.99),
     );
 }
 
 fn main() {
-    let only = std::env::args().skip(1).find(|a| !a.starts_with('-'));
-    let trouble = |engine, fault| Trouble {
+    let filter = std::env::args().skip(1).find(|a| !a.starts_with('-'));
+    let fault_window = |engine, fault| FaultWindow {
         engine,
         fault,
         from: 5_000_000,
         until: 11_000_000,
     };
     // Engines 0 to 3 are the fastest kind in data centre 0, one for each stage.
-    let scenarios: [(&str, f64, Callers, Vec<Trouble>); 8] = [
-        ("light", 40.0, FEW, vec![]),
-        ("busy", 120.0, FEW, vec![]),
-        ("prefixes", 120.0, MANY, vec![]),
-        ("full", 480.0, FEW, vec![]),
-        ("overload", 1_440.0, FEW, vec![]),
+    let scenarios: [(&str, f64, Workload, Vec<FaultWindow>); 8] = [
+        ("light", 40.0, FEW_APPS, vec![]),
+        ("busy", 120.0, FEW_APPS, vec![]),
+        ("prefixes", 120.0, MANY_APPS, vec![]),
+        ("full", 480.0, FEW_APPS, vec![]),
+        ("overload", 1_440.0, FEW_APPS, vec![]),
         (
             "kill",
             120.0,
-            FEW,
-            vec![trouble(0, Fault::Dead), trouble(5, Fault::Dead)],
+            FEW_APPS,
+            vec![fault_window(0, Fault::Dead), fault_window(5, Fault::Dead)],
         ),
         (
             "freeze",
             120.0,
-            FEW,
-            vec![trouble(0, Fault::Frozen), trouble(5, Fault::Frozen)],
+            FEW_APPS,
+            vec![
+                fault_window(0, Fault::Frozen),
+                fault_window(5, Fault::Frozen),
+            ],
         ),
         (
             "slow",
             120.0,
-            FEW,
-            vec![trouble(0, Fault::Slow), trouble(5, Fault::Slow)],
+            FEW_APPS,
+            vec![fault_window(0, Fault::Slow), fault_window(5, Fault::Slow)],
         ),
     ];
     println!(
-        "{HOSTS} hosts, {ENGINES} engines, {SECONDS} s; good answers a second; late, refused, failed, replaced;"
+        "{HOSTS} hosts, {ENGINES} engines, {RUN_SECONDS} s; good answers a second; late, refused, failed, replaced;"
     );
     println!("first token and between tokens, p50 p95 p99 in ms");
-    for (name, per_second, callers, troubles) in scenarios {
-        if only.as_ref().is_some_and(|o| !o.contains(name)) {
+    for (name, per_second, workload, fault_windows) in scenarios {
+        if filter.as_ref().is_some_and(|o| !o.contains(name)) {
             continue;
         }
         println!("{name}: {per_second} requests/s");
-        let arrivals = arrivals(per_second, callers);
+        let arrivals = arrivals(per_second, workload);
         for rules in rules().chunks(THREADS) {
-            let figures: Vec<_> = thread::scope(|scope| {
-                let (arrivals, troubles) = (&arrivals, &troubles);
-                let start = |rule| scope.spawn(move || run(rule, arrivals, troubles));
+            let results: Vec<_> = thread::scope(|scope| {
+                let (arrivals, fault_windows) = (&arrivals, &fault_windows);
+                let start = |rule| scope.spawn(move || run(rule, arrivals, fault_windows));
                 let runs: Vec<_> = rules.iter().map(|(_, rule)| start(rule)).collect();
                 runs.into_iter()
                     .map(|r| r.join().expect("a run doesn't panic"))
                     .collect()
             });
-            for ((rule_name, _), figures) in rules.iter().zip(&figures) {
-                print(rule_name, figures);
+            for ((rule_name, _), results) in rules.iter().zip(&results) {
+                print(rule_name, results);
             }
         }
     }
--- a/crates/routing/benches/compare/world.rs
+++ b/crates/routing/benches/compare/simulation.rs
@@ -8,7 +8,7 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_engines::wire;
-use dragonflyrill_routing::{ChainQuery, Outcome, Work, baseline::Policy};
+use dragonflyrill_routing::{ChainQuery, Outcome, StepSize, baseline::Policy};
 use hdrhistogram::Histogram;
 
 use crate::{
@@ -16,15 +16,15 @@
     fleet,
 };
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 /// Load reports and cache events reach the hosts this often, and this late.
-const REPORTS: u64 = SECOND;
-const REPORT_LAG: u64 = SECOND / 2;
-const STEP_TIMEOUT: u64 = 2 * SECOND;
+const REPORT_PERIOD_US: u64 = SECOND_US;
+const REPORT_LAG_US: u64 = SECOND_US / 2;
+const STEP_TIMEOUT_US: u64 = 2 * SECOND_US;
 const MAX_RETRIES: u32 = 3;
 /// An answer is of use if it begins and ends within these.
-const FIRST_TOKEN_BOUND: u64 = 2 * SECOND;
-const WHOLE_BOUND: u64 = 20 * SECOND;
+const MAX_FIRST_TOKEN_US: u64 = 2 * SECOND_US;
+const MAX_REQUEST_US: u64 = 20 * SECOND_US;
 
 /// One request, as it arrives.
 #[derive(Debug, Clone)]
@@ -38,7 +38,7 @@
 
 /// A fault of one engine for some time.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Trouble {
+pub(crate) struct FaultWindow {
     pub(crate) engine: usize,
     pub(crate) fault: Fault,
     pub(crate) from: u64,
@@ -49,13 +49,13 @@
     engine: usize,
     layers: wire::Layers,
     /// Whether it holds nothing of the request yet.
-    fresh: bool,
+    needs_prefill: bool,
 }
 
 struct Request {
     arrival: Arrival,
     hops: Vec<Hop>,
-    at_hop: usize,
+    hop_index: usize,
     attempt: u32,
     generated: u32,
     retries: u32,
@@ -69,7 +69,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    AtEngine {
+    ArriveAtEngine {
         engine: usize,
         request: usize,
         attempt: u32,
@@ -81,53 +81,53 @@
     Answer {
         request: usize,
         attempt: u32,
-        end: End,
+        end: StepEnd,
     },
     Timeout {
         request: usize,
         attempt: u32,
         sent: u64,
     },
-    Report,
-    Deliver(usize),
-    Trouble(usize),
-    Recover(usize),
+    CollectReports,
+    DeliverReports(usize),
+    FaultStart(usize),
+    FaultEnd(usize),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
+enum StepEnd {
     Done,
     Busy,
-    Lost,
+    Failed,
 }
 
 /// What came out of a run.
-pub(crate) struct Figures {
+pub(crate) struct RunResults {
     pub(crate) good: u64,
     pub(crate) late: u64,
     pub(crate) refused: u64,
     pub(crate) failed: u64,
     pub(crate) retries: u64,
     pub(crate) first_token: Histogram<u64>,
-    pub(crate) between: Histogram<u64>,
+    pub(crate) between_tokens: Histogram<u64>,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     hosts: Vec<Box<dyn Policy>>,
     sites: Vec<usize>,
     engines: Vec<Engine>,
     by_id: BTreeMap<EndpointId, usize>,
     links: BTreeMap<(usize, usize), (u64, f64)>,
     requests: Vec<Request>,
-    troubles: Vec<Trouble>,
+    fault_windows: Vec<FaultWindow>,
     reports: Vec<Vec<(wire::LoadReport, wire::CacheEvents)>>,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     seq: u64,
     now: u64,
-    figures: Figures,
+    results: RunResults,
 }
 
-impl World {
+impl Simulation {
     /// `hosts[i]` is in data centre `sites[i]`.
     pub(crate) fn new(
         hosts: Vec<Box<dyn Policy>>,
@@ -154,7 +154,7 @@
             links.insert((a, b), cost);
             links.insert((b, a), cost);
         }
-        let histogram = || Histogram::new_with_max(600 * SECOND, 3).expect("three digits");
+        let histogram = || Histogram::new_with_max(600 * SECOND_US, 3).expect("three digits");
         Self {
             hosts,
             sites,
@@ -162,40 +162,41 @@
             by_id,
             links,
             requests: Vec::new(),
-            troubles: Vec::new(),
+            fault_windows: Vec::new(),
             reports: Vec::new(),
             queue: BinaryHeap::new(),
             seq: 0,
             now: 0,
-            figures: Figures {
+            results: RunResults {
                 good: 0,
                 late: 0,
                 refused: 0,
                 failed: 0,
                 retries: 0,
                 first_token: histogram(),
-                between: histogram(),
+                between_tokens: histogram(),
             },
         }
     }
 
     /// Runs all arrivals to their ends.
-    pub(crate) fn run(mut self, arrivals: &[Arrival], troubles: &[Trouble]) -> Figures {
-        self.troubles = troubles.to_vec();
-        for (i, trouble) in troubles.iter().enumerate() {
-            self.push(trouble.from, Event::Trouble(i));
-            self.push(trouble.until, Event::Recover(i));
+    pub(crate) fn run(mut self, arrivals: &[Arrival], fault_windows: &[FaultWindow]) -> RunResults {
+        self.fault_windows = fault_windows.to_vec();
+        for (i, fault_window) in fault_windows.iter().enumerate() {
+            self.push(fault_window.from, Event::FaultStart(i));
+            self.push(fault_window.until, Event::FaultEnd(i));
         }
         for (i, arrival) in arrivals.iter().enumerate() {
             self.push(arrival.at, Event::Arrive(i));
         }
-        let last = arrivals.last().map_or(0, |a| a.at) + WHOLE_BOUND;
-        (0..last / REPORTS).for_each(|i| self.push(i * REPORTS, Event::Report));
+        let last = arrivals.last().map_or(0, |a| a.at) + MAX_REQUEST_US;
+        (0..last / REPORT_PERIOD_US)
+            .for_each(|i| self.push(i * REPORT_PERIOD_US, Event::CollectReports));
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             self.now = at;
             self.handle(event, arrivals);
         }
-        self.figures
+        self.results
     }
 
     fn push(&mut self, at: u64, event: Event) {
@@ -210,11 +211,11 @@
     fn handle(&mut self, event: Event, arrivals: &[Arrival]) {
         match event {
             Event::Arrive(i) => self.arrive(arrivals[i].clone()),
-            Event::AtEngine {
+            Event::ArriveAtEngine {
                 engine,
                 request,
                 attempt,
-            } => self.at_engine(engine, request, attempt),
+            } => self.arrive_at_engine(engine, request, attempt),
             Event::BatchDone {
                 engine,
                 incarnation,
@@ -231,15 +232,15 @@
             } => {
                 let r = &self.requests[request];
                 if !r.done && r.attempt == attempt && r.sent == sent {
-                    self.answer(request, attempt, End::Lost);
+                    self.answer(request, attempt, StepEnd::Failed);
                 }
             }
-            Event::Report => self.report(),
-            Event::Deliver(i) => self.deliver(i),
-            Event::Trouble(i) => self.trouble(i),
-            Event::Recover(i) => {
-                self.engines[self.troubles[i].engine].fault = Fault::None;
-                self.begin(self.troubles[i].engine);
+            Event::CollectReports => self.collect_reports(),
+            Event::DeliverReports(i) => self.deliver_reports(i),
+            Event::FaultStart(i) => self.start_fault(i),
+            Event::FaultEnd(i) => {
+                self.engines[self.fault_windows[i].engine].fault = Fault::None;
+                self.start_batch(self.fault_windows[i].engine);
             }
         }
     }
@@ -251,7 +252,7 @@
         };
         let request = Request {
             hops: Vec::new(),
-            at_hop: 0,
+            hop_index: 0,
             attempt: 0,
             generated: 0,
             retries: 0,
@@ -271,7 +272,7 @@
             }
             None => {
                 self.requests[id].done = true;
-                self.figures.refused += 1;
+                self.results.refused += 1;
             }
         }
     }
@@ -291,7 +292,7 @@
         let hops = hops.into_iter().map(|h| Hop {
             engine: self.by_id[&h.endpoint],
             layers: h.layers,
-            fresh: true,
+            needs_prefill: true,
         });
         Some(hops.collect())
     }
@@ -311,20 +312,20 @@
         let now = self.time();
         let r = &mut self.requests[id];
         r.sent = self.now;
-        let hop = &r.hops[r.at_hop];
+        let hop = &r.hops[r.hop_index];
         let (host, engine, attempt) = (r.arrival.host, hop.engine, r.attempt);
         let endpoint = self.engines[engine].listed.id.clone();
         self.hosts[host].sent(now, &endpoint);
         let bytes = f64::from(self.positions(id)) * 8192.0;
-        let enters = if self.requests[id].at_hop > 0 {
+        let bytes_in = if self.requests[id].hop_index > 0 {
             bytes
         } else {
             0.0
         };
-        let at = self.now + self.link_us(host, engine, enters);
+        let at = self.now + self.link_us(host, engine, bytes_in);
         self.push(
             at,
-            Event::AtEngine {
+            Event::ArriveAtEngine {
                 engine,
                 request: id,
                 attempt,
@@ -332,7 +333,7 @@
         );
         let sent = self.now;
         self.push(
-            self.now + STEP_TIMEOUT,
+            self.now + STEP_TIMEOUT_US,
             Event::Timeout {
                 request: id,
                 attempt,
@@ -343,24 +344,24 @@
 
     fn positions(&self, id: usize) -> u32 {
         let r = &self.requests[id];
-        match r.hops[r.at_hop].fresh {
+        match r.hops[r.hop_index].needs_prefill {
             true => r.arrival.prompt + r.generated,
             false => 1,
         }
     }
 
-    fn at_engine(&mut self, engine: usize, id: usize, attempt: u32) {
+    fn arrive_at_engine(&mut self, engine: usize, id: usize, attempt: u32) {
         let r = &self.requests[id];
         if r.done || r.attempt != attempt {
             return;
         }
-        let hop = &r.hops[r.at_hop];
+        let hop = &r.hops[r.hop_index];
         let step = Step {
             request: id,
             attempt,
             layers: hop.layers.end - hop.layers.first,
             positions: self.positions(id),
-            prefix: match hop.fresh {
+            prefix: match hop.needs_prefill {
                 true => r.arrival.prefix.clone(),
                 false => Vec::new(),
             },
@@ -373,25 +374,25 @@
                 Event::Answer {
                     request: id,
                     attempt,
-                    end: End::Lost,
+                    end: StepEnd::Failed,
                 },
             );
         } else if self.engines[engine].accept(step) {
-            self.begin(engine);
+            self.start_batch(engine);
         } else {
             self.push(
                 back,
                 Event::Answer {
                     request: id,
                     attempt,
-                    end: End::Busy,
+                    end: StepEnd::Busy,
                 },
             );
         }
     }
 
-    fn begin(&mut self, engine: usize) {
-        if let Some(us) = self.engines[engine].begin() {
+    fn start_batch(&mut self, engine: usize) {
+        if let Some(us) = self.engines[engine].start_batch() {
             let incarnation = self.engines[engine].incarnation;
             self.push(
                 self.now + us.max(1),
@@ -409,13 +410,13 @@
         }
         if self.engines[engine].fault == Fault::Frozen {
             // What is done comes out when it thaws.
-            let thaw = self
-                .troubles
+            let unfrozen_at = self
+                .fault_windows
                 .iter()
                 .find(|t| t.engine == engine)
                 .map_or(0, |t| t.until);
             self.push(
-                thaw + 1,
+                unfrozen_at + 1,
                 Event::BatchDone {
                     engine,
                     incarnation,
@@ -425,8 +426,8 @@
         }
         for step in std::mem::take(&mut self.engines[engine].running) {
             let r = &self.requests[step.request];
-            let leaves = r.at_hop + 1 < r.hops.len();
-            let bytes = if leaves {
+            let is_relayed = r.hop_index + 1 < r.hops.len();
+            let bytes = if is_relayed {
                 f64::from(step.positions) * 8192.0
             } else {
                 0.0
@@ -438,55 +439,55 @@
                 Event::Answer {
                     request,
                     attempt,
-                    end: End::Done,
+                    end: StepEnd::Done,
                 },
             );
         }
-        self.begin(engine);
+        self.start_batch(engine);
     }
 
-    fn answer(&mut self, id: usize, attempt: u32, end: End) {
+    fn answer(&mut self, id: usize, attempt: u32, end: StepEnd) {
         let r = &self.requests[id];
         if r.done || r.attempt != attempt {
             return;
         }
-        let hop = &r.hops[r.at_hop];
+        let hop = &r.hops[r.hop_index];
         let endpoint = self.engines[hop.engine].listed.id.clone();
-        let work = Work {
+        let work = StepSize {
             layers: hop.layers,
             positions: self.positions(id),
         };
         let outcome = match end {
-            End::Done => Outcome::Ok {
+            StepEnd::Done => Outcome::Ok {
                 latency: Duration::from_micros(self.now - r.sent),
             },
-            End::Busy => Outcome::Busy,
-            End::Lost => Outcome::Failed,
+            StepEnd::Busy => Outcome::Busy,
+            StepEnd::Failed => Outcome::Failed,
         };
         let (host, now) = (r.arrival.host, self.time());
         self.hosts[host].ended(now, &endpoint, outcome, work);
         match end {
-            End::Done => self.advance(id),
-            End::Busy | End::Lost => self.replace(id),
+            StepEnd::Done => self.advance(id),
+            StepEnd::Busy | StepEnd::Failed => self.replace_engine(id),
         }
     }
 
     fn advance(&mut self, id: usize) {
         let r = &mut self.requests[id];
-        let at_hop = r.at_hop;
-        r.hops[at_hop].fresh = false;
-        r.at_hop += 1;
-        if r.at_hop < r.hops.len() {
+        let hop_index = r.hop_index;
+        r.hops[hop_index].needs_prefill = false;
+        r.hop_index += 1;
+        if r.hop_index < r.hops.len() {
             return self.dispatch(id);
         }
-        r.at_hop = 0;
+        r.hop_index = 0;
         let waited = self.now - r.last_token;
         match r.generated {
             0 => {
                 r.first_token_us = waited;
-                self.figures.first_token.saturating_record(waited);
+                self.results.first_token.saturating_record(waited);
             }
-            _ => self.figures.between.saturating_record(waited),
+            _ => self.results.between_tokens.saturating_record(waited),
         }
         r.last_token = self.now;
         r.generated += 1;
@@ -500,56 +501,56 @@
         let r = &mut self.requests[id];
         r.done = true;
         let in_time =
-            r.first_token_us <= FIRST_TOKEN_BOUND && self.now - r.arrival.at <= WHOLE_BOUND;
+            r.first_token_us <= MAX_FIRST_TOKEN_US && self.now - r.arrival.at <= MAX_REQUEST_US;
         match in_time {
-            true => self.figures.good += 1,
-            false => self.figures.late += 1,
+            true => self.results.good += 1,
+            false => self.results.late += 1,
         }
-        self.free(id);
+        self.end_session(id);
     }
 
-    fn free(&mut self, id: usize) {
+    fn end_session(&mut self, id: usize) {
         let now = self.time();
         let r = &self.requests[id];
         for hop in &r.hops {
-            self.engines[hop.engine].free(id);
+            self.engines[hop.engine].end_session(id);
             let endpoint = self.engines[hop.engine].listed.id.clone();
             self.hosts[r.arrival.host].released(now, &endpoint);
         }
     }
 
     /// Puts other engines in the place of the current hop's.
-    fn replace(&mut self, id: usize) {
+    fn replace_engine(&mut self, id: usize) {
         let now = self.time();
         let r = &mut self.requests[id];
         r.retries += 1;
         r.attempt += 1;
-        self.figures.retries += 1;
-        let hop = &r.hops[r.at_hop];
+        self.results.retries += 1;
+        let hop = &r.hops[r.hop_index];
         let (layers, engine, host) = (hop.layers, hop.engine, r.arrival.host);
-        let lost = self.engines[engine].listed.id.clone();
-        r.avoid.push(lost.clone());
+        let failed_endpoint = self.engines[engine].listed.id.clone();
+        r.avoid.push(failed_endpoint.clone());
         let found = match r.retries <= MAX_RETRIES {
             true => self.choose(id, layers),
             false => None,
         };
-        self.engines[engine].free(id);
+        self.engines[engine].end_session(id);
         match found {
             Some(hops) => {
-                self.hosts[host].released(now, &lost);
+                self.hosts[host].released(now, &failed_endpoint);
                 let r = &mut self.requests[id];
-                r.hops.splice(r.at_hop..=r.at_hop, hops);
+                r.hops.splice(r.hop_index..=r.hop_index, hops);
                 self.dispatch(id);
             }
             None => {
                 self.requests[id].done = true;
-                self.figures.failed += 1;
-                self.free(id);
+                self.results.failed += 1;
+                self.end_session(id);
             }
         }
     }
 
-    fn report(&mut self) {
+    fn collect_reports(&mut self) {
         let live = self
             .engines
             .iter_mut()
@@ -557,40 +558,40 @@
         let reports = live.map(|e| (e.report(), e.take_events())).collect();
         self.reports.push(reports);
         self.push(
-            self.now + REPORT_LAG,
-            Event::Deliver(self.reports.len() - 1),
+            self.now + REPORT_LAG_US,
+            Event::DeliverReports(self.reports.len() - 1),
         );
     }
 
-    fn deliver(&mut self, i: usize) {
+    fn deliver_reports(&mut self, i: usize) {
         let now = self.time();
         for (report, events) in std::mem::take(&mut self.reports[i]) {
             let report = wire::LoadReport {
-                age_ms: (REPORT_LAG / 1_000) as u32,
+                age_ms: (REPORT_LAG_US / 1_000) as u32,
                 ..report
             };
             let endpoint = EndpointId::try_from(report.endpoint.as_str()).expect("a name");
             for host in &mut self.hosts {
-                host.load(now, &report);
-                host.cache_events(now, &endpoint, &events);
+                host.apply_load_report(now, &report);
+                host.apply_cache_events(now, &endpoint, &events);
             }
         }
     }
 
-    fn trouble(&mut self, i: usize) {
-        let Trouble { engine, fault, .. } = self.troubles[i];
+    fn start_fault(&mut self, i: usize) {
+        let FaultWindow { engine, fault, .. } = self.fault_windows[i];
         if fault != Fault::Dead {
             self.engines[engine].fault = fault;
             return;
         }
-        for step in self.engines[engine].die() {
+        for step in self.engines[engine].crash() {
             let (request, attempt) = (step.request, step.attempt);
             self.push(
                 self.now + 500,
                 Event::Answer {
                     request,
                     attempt,
-                    end: End::Lost,
+                    end: StepEnd::Failed,
                 },
             );
         }
--- a/crates/routing/benches/fleet.rs
+++ b/crates/routing/benches/fleet.rs
@@ -40,7 +40,7 @@
             },
             accelerator: String::new(),
             layer_us: KINDS[(i / stages / data_centres) % KINDS.len()],
-            leaving: false,
+            draining: false,
             in_flight: 0,
             health: Health::Up,
         }
--- a/crates/routing/benches/state.rs
+++ b/crates/routing/benches/state.rs
@@ -41,7 +41,7 @@
             events: vec![stored],
         };
         for engine in &engines {
-            router.cache_events(Duration::ZERO, &engine.id, &events);
+            router.apply_cache_events(Duration::ZERO, &engine.id, &events);
         }
         let full = resident() - before;
         println!("{n:>9} {:>12} {:>19}", plain / n, full / n);
--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -4,31 +4,33 @@
 use xxhash_rust::xxh3;
 
 /// Positions in one prefix block.
-pub const BLOCK: usize = 32;
+pub const BLOCK_POSITIONS: usize = 32;
 /// Leading blocks that decide which endpoints are preferred.
-const LEADING: usize = 2;
+const KEY_BLOCKS: usize = 2;
 /// Members of a group among which rendezvous hashing decides.
-const WINDOW: usize = 16;
+const RENDEZVOUS_WINDOW: usize = 16;
 
 /// The hashes of the whole blocks of `prompt`, each chained to the one before.
 ///
 /// Equal hashes mean equal models and equal prompts up to the block's end.
 pub fn prefix_blocks(model: &TargetName, prompt: &[u64]) -> Vec<u64> {
     let seed = xxh3::xxh3_64(model.as_str().as_bytes());
-    let blocks = prompt.chunks_exact(BLOCK).scan(seed, |chain, block| {
-        let mut bytes = [0; BLOCK * size_of::<u64>()];
-        for (to, position) in bytes.chunks_exact_mut(size_of::<u64>()).zip(block) {
-            to.copy_from_slice(&position.to_le_bytes());
-        }
-        *chain = xxh3::xxh3_64_with_seed(&bytes, *chain);
-        Some(*chain)
-    });
+    let blocks = prompt
+        .chunks_exact(BLOCK_POSITIONS)
+        .scan(seed, |chain, block| {
+            let mut bytes = [0; BLOCK_POSITIONS * size_of::<u64>()];
+            for (to, position) in bytes.chunks_exact_mut(size_of::<u64>()).zip(block) {
+                to.copy_from_slice(&position.to_le_bytes());
+            }
+            *chain = xxh3::xxh3_64_with_seed(&bytes, *chain);
+            Some(*chain)
+        });
     blocks.collect()
 }
 
 /// What decides a prompt's preferred endpoints; `None` for a prompt shorter than a block.
 pub(crate) fn key(prefix: &[u64]) -> Option<u64> {
-    prefix.iter().take(LEADING).next_back().copied()
+    prefix.iter().take(KEY_BLOCKS).next_back().copied()
 }
 
 /// A member of a group, ordered by the hash of its id.
@@ -48,14 +50,14 @@
 pub(crate) fn preferred(
     ring: &[Member],
     key: u64,
-    mut fit: impl FnMut(u32) -> bool,
+    mut is_eligible: impl FnMut(u32) -> bool,
 ) -> Option<u32> {
     let start = ring.partition_point(|m| m.hash < key);
-    let window = (0..ring.len().min(WINDOW)).map(|i| ring[(start + i) % ring.len()]);
+    let window = (0..ring.len().min(RENDEZVOUS_WINDOW)).map(|i| ring[(start + i) % ring.len()]);
     let mut best: Option<(u64, u32)> = None;
     for member in window {
         let weight = mix(member.hash ^ key);
-        if best.is_none_or(|(b, _)| weight > b) && fit(member.slot) {
+        if best.is_none_or(|(b, _)| weight > b) && is_eligible(member.slot) {
             best = Some((weight, member.slot));
         }
     }
--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -6,7 +6,7 @@
 use dragonflyrill_engines::wire;
 
 use crate::{
-    ChainQuery, EndpointTable, Hop, NoEndpoint, Outcome, Role, Router, Shortage, Work,
+    ChainQuery, EndpointTable, Hop, NoEndpoint, Outcome, Role, Router, Shortage, StepSize,
     table::Endpoint,
 };
 
@@ -19,13 +19,26 @@
     /// As [`Router::sent`].
     fn sent(&mut self, _now: Duration, _endpoint: &EndpointId) {}
     /// As [`Router::ended_step`].
-    fn ended(&mut self, _now: Duration, _endpoint: &EndpointId, _outcome: Outcome, _work: Work) {}
+    fn ended(
+        &mut self,
+        _now: Duration,
+        _endpoint: &EndpointId,
+        _outcome: Outcome,
+        _work: StepSize,
+    ) {
+    }
     /// As [`Router::released`].
     fn released(&mut self, _now: Duration, _endpoint: &EndpointId) {}
     /// As [`Router::load`].
-    fn load(&mut self, _now: Duration, _report: &wire::LoadReport) {}
+    fn apply_load_report(&mut self, _now: Duration, _report: &wire::LoadReport) {}
     /// As [`Router::cache_events`].
-    fn cache_events(&mut self, _now: Duration, _endpoint: &EndpointId, _ev: &wire::CacheEvents) {}
+    fn apply_cache_events(
+        &mut self,
+        _now: Duration,
+        _endpoint: &EndpointId,
+        _ev: &wire::CacheEvents,
+    ) {
+    }
 }
 
 impl Policy for Router {
@@ -41,7 +54,7 @@
         self.sent(now, endpoint);
     }
 
-    fn ended(&mut self, now: Duration, endpoint: &EndpointId, outcome: Outcome, work: Work) {
+    fn ended(&mut self, now: Duration, endpoint: &EndpointId, outcome: Outcome, work: StepSize) {
         self.ended_step(now, endpoint, outcome, work);
     }
 
@@ -49,12 +62,12 @@
         self.released(now, endpoint);
     }
 
-    fn load(&mut self, now: Duration, report: &wire::LoadReport) {
-        self.load(now, report);
+    fn apply_load_report(&mut self, now: Duration, report: &wire::LoadReport) {
+        self.apply_load_report(now, report);
     }
 
-    fn cache_events(&mut self, now: Duration, endpoint: &EndpointId, ev: &wire::CacheEvents) {
-        self.cache_events(now, endpoint, ev);
+    fn apply_cache_events(&mut self, now: Duration, endpoint: &EndpointId, ev: &wire::CacheEvents) {
+        self.apply_cache_events(now, endpoint, ev);
     }
 }
 
@@ -64,7 +77,7 @@
     /// Endpoints there go before all others.
     local: Option<DataCentre>,
     table: EndpointTable,
-    turn: usize,
+    next_index: usize,
 }
 
 impl RoundRobin {
@@ -83,10 +96,10 @@
     }
 
     fn choose(&mut self, _now: Duration, query: &ChainQuery<'_>) -> Result<Vec<Hop>, NoEndpoint> {
-        let turn = self.turn;
-        self.turn += 1;
+        let next_index = self.next_index;
+        self.next_index += 1;
         cover(&self.table, query, self.local.as_ref(), |usable| {
-            usable[turn % usable.len()]
+            usable[next_index % usable.len()]
         })
     }
 }
@@ -124,7 +137,7 @@
         })
     }
 
-    fn load(&mut self, _now: Duration, report: &wire::LoadReport) {
+    fn apply_load_report(&mut self, _now: Duration, report: &wire::LoadReport) {
         let load = report.running + report.waiting;
         self.reported.insert(report.endpoint.clone(), load);
     }
@@ -144,7 +157,7 @@
             e.role == Role::Engine
                 && e.target == *query.model
                 && e.layers.range().contains(&next)
-                && e.takes_new_work()
+                && e.accepts_new_work()
                 && !query.avoid.contains(&e.id)
         });
         let mut usable: Vec<_> = usable.collect();
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -13,7 +13,7 @@
     cfg: RetryBudgetConfig,
     /// Retries at hand, 0 to `cfg.burst`.
     tokens: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
 /// The numbers of a [`RetryBudget`].
@@ -43,18 +43,18 @@
         Self {
             cfg,
             tokens: cfg.burst,
-            filled: now,
+            refilled_at: now,
         }
     }
 
     /// Notes a first try.
-    pub fn request(&mut self, now: Duration) {
-        self.fill(now, self.cfg.ratio);
+    pub fn record_first_attempt(&mut self, now: Duration) {
+        self.refill(now, self.cfg.ratio);
     }
 
     /// Takes one retry from the budget; answers whether there was one.
     pub fn try_retry(&mut self, now: Duration) -> bool {
-        self.fill(now, 0.0);
+        self.refill(now, 0.0);
         let allowed = self.tokens >= 1.0;
         if allowed {
             self.tokens -= 1.0;
@@ -62,9 +62,9 @@
         allowed
     }
 
-    fn fill(&mut self, now: Duration, earned: f64) {
-        let seconds = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+    fn refill(&mut self, now: Duration, earned: f64) {
+        let seconds = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         let tokens = self.tokens + earned + seconds * self.cfg.per_second;
         self.tokens = tokens.min(self.cfg.burst);
     }
@@ -94,8 +94,8 @@
     /// With `retry_after`, never less than it, and spread over up to a further backoff.
     pub fn wait(&self, retry: u32, retry_after: Option<Duration>, rng: &mut impl Rng) -> Duration {
         let factor = 2_u32.saturating_pow(retry.min(16));
-        let most = self.base.saturating_mul(factor).min(self.max);
-        let jitter = most.mul_f64(rng.random_range(0.0..=1.0));
+        let max_jitter = self.base.saturating_mul(factor).min(self.max);
+        let jitter = max_jitter.mul_f64(rng.random_range(0.0..=1.0));
         retry_after.unwrap_or_default() + jitter
     }
 }
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -14,13 +14,13 @@
 };
 
 /// Members looked at before a data centre's part of a group is taken to have none to offer.
-const MAX_SCAN: usize = 64;
+const MAX_SCANNED_MEMBERS: usize = 64;
 /// Cost of a probe, so that it is taken.
-const PROBE_US: f64 = 1e-3;
+const PROBE_COST_US: f64 = 1e-3;
 
 /// How much work there is.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Size<'a> {
+pub(crate) struct RequestSize<'a> {
     /// Positions in the prompt.
     pub(crate) prompt: f64,
     /// Tokens to generate.
@@ -29,7 +29,7 @@
     pub(crate) prefix: &'a [u64],
 }
 
-impl Size<'_> {
+impl RequestSize<'_> {
     /// One call of a service.
     pub(crate) const CALL: Self = Self {
         prompt: 1.0,
@@ -40,11 +40,11 @@
 
 /// What an endpoint is wanted for.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Want<'a> {
+pub(crate) struct ChoiceContext<'a> {
     pub(crate) now: Duration,
     /// Where this host is.
     pub(crate) home: Site,
-    pub(crate) size: Size<'a>,
+    pub(crate) size: RequestSize<'a>,
     /// Places of endpoints not to use.
     pub(crate) avoid: &'a [u32],
 }
@@ -66,20 +66,20 @@
 
 /// Whether an endpoint may be given work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fit {
+enum Eligibility {
     Good,
     /// Only if there is none better.
     Suspect,
     /// It is at its limit.
-    Full,
-    No,
+    AtLimit,
+    Excluded,
 }
 
 /// What was found in a group beside candidates.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Found {
+pub(crate) struct GatherResult {
     /// Whether an endpoint was passed over because it is at its limit.
-    pub(crate) full: bool,
+    pub(crate) at_limit: bool,
 }
 
 /// Gathers candidates.
@@ -88,66 +88,66 @@
     pub(crate) links: &'a Links,
     pub(crate) tuning: &'a Tuning,
     pub(crate) rng: &'a mut R,
-    pub(crate) want: Want<'a>,
+    pub(crate) context: ChoiceContext<'a>,
     pub(crate) out: &'a mut Vec<Candidate>,
 }
 
 impl<R: Rng> Gatherer<'_, R> {
     /// Adds candidates of `group` to `out`.
-    pub(crate) fn gather(&mut self, id: GroupId) -> Found {
+    pub(crate) fn gather(&mut self, id: GroupId) -> GatherResult {
         let table = self.table;
         let group = table.index.get(id);
-        let mut found = Found::default();
+        let mut result = GatherResult::default();
         let Some(near) = self.nearest(group, None) else {
-            return found;
+            return result;
         };
-        let before = self.out.len();
+        let first_near = self.out.len();
         let (samples, remote) = (self.tuning.samples, self.tuning.remote_samples);
-        let good = self.add_site(id, group, near, samples, &mut found);
-        self.probe(id, group, near);
-        let is_home = near == self.want.home;
+        let good = self.add_site(id, group, near, samples, &mut result);
+        self.add_probe(id, group, near);
+        let is_home = near == self.context.home;
         if group.sites.len() == 1 || (is_home && good && !self.may_spill(group)) {
-            return found;
+            return result;
         }
         // A full data centre spills, but within the share: else its load would fill the others.
-        if is_home && found.full && !self.may_spill(group) {
-            return found;
+        if is_home && result.at_limit && !self.may_spill(group) {
+            return result;
         }
         let spill_from = self.out.len();
         if let Some(next) = self.nearest(group, Some(near)) {
-            self.add_site(id, group, next, remote, &mut found);
+            self.add_site(id, group, next, remote, &mut result);
         }
         if group.sites.len() > 2 {
             let any = self.rng.random_range(0..group.sites.len());
             let site = group.sites.keys().nth(any).copied();
             if let Some(site) = site.filter(|s| *s != near) {
-                self.add_site(id, group, site, remote, &mut found);
+                self.add_site(id, group, site, remote, &mut result);
             }
         }
-        if is_home && (good || found.full) {
-            self.drop_far(spill_from);
+        if is_home && (good || result.at_limit) {
+            self.drop_costly_crossings(spill_from);
         }
-        if is_home && before < spill_from {
+        if is_home && first_near < spill_from {
             let factor = match group.spilling {
-                true => self.tuning.spill_stop,
-                false => self.tuning.spill_start,
+                true => self.tuning.spill_stop_ratio,
+                false => self.tuning.spill_start_ratio,
             };
             for candidate in &mut self.out[spill_from..] {
                 candidate.layer_us *= factor;
             }
         }
-        found
+        result
     }
 
     /// Drops candidates from `from` on whose crossing costs far more than their work: a caller
     /// does better to come back when there is room nearer.
-    fn drop_far(&mut self, from: usize) {
+    fn drop_costly_crossings(&mut self, from: usize) {
         let mut kept = from;
         for i in from..self.out.len() {
             let candidate = self.out[i];
             let layers = candidate.layers.end - candidate.layers.first;
             let work = candidate.layer_us * f64::from(layers.max(1));
-            if self.crossing_us(candidate.site) <= self.tuning.spill_crossing * work {
+            if self.crossing_us(candidate.site) <= self.tuning.max_crossing_ratio * work {
                 self.out[kept] = candidate;
                 kept += 1;
             }
@@ -157,14 +157,17 @@
 
     /// Cost of the way from this host to `site` and back for the whole work.
     fn crossing_us(&self, site: Site) -> f64 {
-        let (link, size) = (self.links.between(self.want.home, site), self.want.size);
+        let (link, size) = (
+            self.links.between(self.context.home, site),
+            self.context.size,
+        );
         let bytes = (size.prompt + size.decode) * self.tuning.activation_bytes;
         2.0 * ((1.0 + size.decode) * link.latency_us + bytes * link.us_per_byte)
     }
 
     /// The nearest data centre with members, other than `except`.
     fn nearest(&self, group: &Group, except: Option<Site>) -> Option<Site> {
-        let home = self.want.home;
+        let home = self.context.home;
         if except.is_none() && group.sites.contains_key(&home) {
             return Some(home);
         }
@@ -176,8 +179,8 @@
     }
 
     fn may_spill(&self, group: &Group) -> bool {
-        let away = group.own_away_from(self.want.home);
-        f64::from(away) < 1.0 + self.tuning.remote_share * f64::from(group.own())
+        let away = group.own_load_outside(self.context.home);
+        f64::from(away) < 1.0 + self.tuning.max_remote_share * f64::from(group.own_load())
     }
 
     /// Adds candidates of one data centre; answers whether a good one was among them.
@@ -186,20 +189,20 @@
         id: GroupId,
         group: &Group,
         site: Site,
-        wanted: usize,
-        found: &mut Found,
+        count: usize,
+        result: &mut GatherResult,
     ) -> bool {
         let ring = &group.sites[&site];
         if !self.tuning.mechanisms.power_of_two {
-            return self.best_of_all(id, group, ring, found);
+            return self.best_of_all(id, group, ring, result);
         }
         let from = self.out.len();
         let preferred = self.preferred(group, ring);
         if let Some(slot) = preferred {
             self.add(id, group, slot, true);
         }
-        let more = from + wanted + usize::from(preferred.is_some());
-        self.sample(id, group, ring, from..more, found)
+        let more = from + count + usize::from(preferred.is_some());
+        self.sample(id, group, ring, from..more, result)
     }
 
     /// The member that the prompt's prefix prefers, unless it is loaded beyond the bound.
@@ -207,13 +210,13 @@
         if !self.tuning.mechanisms.affinity {
             return None;
         }
-        let key = affinity::key(self.want.size.prefix)?;
-        let mean = f64::from(group.own()) / group.len as f64;
+        let key = affinity::key(self.context.size.prefix)?;
+        let mean = f64::from(group.own_load()) / group.len as f64;
         let bound = (self.tuning.load_bound * (mean + 1.0)).ceil();
         affinity::preferred(ring, key, |at| {
             let slot = self.table.slot(at);
-            let own = slot.measured.own(slot.endpoint.in_flight);
-            own + 1.0 <= bound && self.fit(group, at) == Fit::Good
+            let own = slot.stats.own_load(slot.endpoint.in_flight);
+            own + 1.0 <= bound && self.eligibility(group, at) == Eligibility::Good
         })
     }
 
@@ -224,36 +227,36 @@
         id: GroupId,
         group: &Group,
         ring: &[Member],
-        room: Range<usize>,
-        found: &mut Found,
+        range: Range<usize>,
+        result: &mut GatherResult,
     ) -> bool {
         // Independent draws first; then one after the other, so that none is missed.
-        let draws = match ring.len() > 2 * room.len() {
-            true => 2 * room.len(),
+        let draws = match ring.len() > 2 * range.len() {
+            true => 2 * range.len(),
             false => 0,
         };
         let mut suspect = None;
         let start = self.rng.random_range(0..ring.len());
-        for i in 0..draws + ring.len().min(MAX_SCAN) {
+        for i in 0..draws + ring.len().min(MAX_SCANNED_MEMBERS) {
             let at = match i < draws {
                 true => self.rng.random_range(0..ring.len()),
                 false => (start + i) % ring.len(),
             };
             let slot = ring[at].slot;
-            if self.out[room.start..].iter().any(|c| c.slot == slot) {
+            if self.out[range.start..].iter().any(|c| c.slot == slot) {
                 continue;
             }
-            match self.fit(group, slot) {
-                Fit::Good => self.add(id, group, slot, false),
-                Fit::Suspect => suspect = Some(slot),
-                Fit::Full => found.full = true,
-                Fit::No => {}
+            match self.eligibility(group, slot) {
+                Eligibility::Good => self.add(id, group, slot, false),
+                Eligibility::Suspect => suspect = Some(slot),
+                Eligibility::AtLimit => result.at_limit = true,
+                Eligibility::Excluded => {}
             }
-            if self.out.len() >= room.end {
+            if self.out.len() >= range.end {
                 return true;
             }
         }
-        let good = self.out.len() > room.start;
+        let good = self.out.len() > range.start;
         if let Some(slot) = suspect.filter(|_| !good) {
             self.add(id, group, slot, false);
         }
@@ -266,16 +269,16 @@
         id: GroupId,
         group: &Group,
         ring: &[Member],
-        found: &mut Found,
+        result: &mut GatherResult,
     ) -> bool {
         let from = self.out.len();
         let preferred = self.preferred(group, ring);
         let mut good = false;
         for member in ring {
-            let fit = self.fit(group, member.slot);
-            found.full |= fit == Fit::Full;
-            good |= fit == Fit::Good;
-            if fit == Fit::Good || fit == Fit::Suspect {
+            let eligibility = self.eligibility(group, member.slot);
+            result.at_limit |= eligibility == Eligibility::AtLimit;
+            good |= eligibility == Eligibility::Good;
+            if eligibility == Eligibility::Good || eligibility == Eligibility::Suspect {
                 self.add(id, group, member.slot, preferred == Some(member.slot));
             }
         }
@@ -289,11 +292,14 @@
     }
 
     /// Adds an ejected member that is due for its one probe.
-    fn probe(&mut self, id: GroupId, group: &Group, near: Site) {
+    fn add_probe(&mut self, id: GroupId, group: &Group, near: Site) {
         let due = group.ejected.iter().copied().find(|at| {
             let slot = self.table.slot(*at);
-            let due = slot.measured.record.wants_probe(self.want.now, self.tuning);
-            due && slot.site == near && !self.want.avoid.contains(at)
+            let due = slot
+                .stats
+                .breaker
+                .is_probe_due(self.context.now, self.tuning);
+            due && slot.site == near && !self.context.avoid.contains(at)
         });
         let Some(at) = due else { return };
         self.out.push(Candidate {
@@ -302,34 +308,34 @@
             site: near,
             layers: group.layers,
             fixed_us: 0.0,
-            layer_us: PROBE_US,
+            layer_us: PROBE_COST_US,
             probe: true,
         });
     }
 
-    fn fit(&self, group: &Group, at: u32) -> Fit {
-        let (now, tuning) = (self.want.now, self.tuning);
-        if self.want.avoid.contains(&at) {
-            return Fit::No;
+    fn eligibility(&self, group: &Group, at: u32) -> Eligibility {
+        let (now, tuning) = (self.context.now, self.tuning);
+        if self.context.avoid.contains(&at) {
+            return Eligibility::Excluded;
         }
         let slot = self.table.slot(at);
-        let measured = &slot.measured;
-        let ejected = measured.record.is_ejected();
-        if ejected && group.ejected.len() <= group.ejected_cap(tuning.max_ejected) {
-            return Fit::No;
+        let stats = &slot.stats;
+        let ejected = stats.breaker.is_ejected();
+        if ejected && group.ejected.len() <= group.max_ejected(tuning.max_ejected_share) {
+            return Eligibility::Excluded;
         }
         if tuning.mechanisms.concurrency {
-            let limit = measured.limiter.limit() * measured.ramp(now, tuning);
-            let own = measured.own(slot.endpoint.in_flight);
-            if own >= limit.max(1.0) || measured.out_of_sessions(now, tuning) {
-                return Fit::Full;
+            let limit = stats.limiter.limit() * stats.ramp_share(now, tuning);
+            let own = stats.own_load(slot.endpoint.in_flight);
+            if own >= limit.max(1.0) || stats.out_of_sessions(now, tuning) {
+                return Eligibility::AtLimit;
             }
         }
         let health = tuning.mechanisms.health;
-        let doubtful = measured.record.is_suspect(now, tuning) || measured.is_silent(now, tuning);
+        let doubtful = stats.breaker.is_suspect(now, tuning) || stats.is_silent(now, tuning);
         match ejected || (health && doubtful) {
-            true => Fit::Suspect,
-            false => Fit::Good,
+            true => Eligibility::Suspect,
+            false => Eligibility::Good,
         }
     }
 
--- a/crates/routing/src/chain.rs
+++ b/crates/routing/src/chain.rs
@@ -3,9 +3,9 @@
 use dragonflyrill_engines::wire;
 
 use crate::{
-    candidates::{Candidate, Want},
+    candidates::{Candidate, ChoiceContext},
     links::{Links, Site},
-    tuning::{Drive, Tuning},
+    tuning::{ActivationPath, Tuning},
 };
 
 const NONE: u32 = u32::MAX;
@@ -26,7 +26,7 @@
 
 /// One candidate with the layers it is to run.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Part {
+pub(crate) struct Stage {
     /// Index of the candidate.
     pub(crate) candidate: usize,
     /// Its layers.
@@ -42,7 +42,7 @@
     /// The first node at each boundary.
     heads: Vec<u32>,
     /// The plan found, last part first.
-    pub(crate) parts: Vec<Part>,
+    pub(crate) stages: Vec<Stage>,
 }
 
 /// No chain covers the layer.
@@ -55,7 +55,7 @@
 pub(crate) struct Problem<'a> {
     pub(crate) layers: wire::Layers,
     pub(crate) candidates: &'a [Candidate],
-    pub(crate) want: Want<'a>,
+    pub(crate) context: ChoiceContext<'a>,
     pub(crate) links: &'a Links,
     pub(crate) tuning: &'a Tuning,
 }
@@ -63,7 +63,7 @@
 impl Planner {
     /// Finds the cheapest cover of the layers, each exactly once, no candidate twice.
     pub(crate) fn plan(&mut self, problem: &Problem<'_>) -> Result<(), Uncovered> {
-        self.parts.clear();
+        self.stages.clear();
         self.prepare(problem);
         let last = self.boundaries.len() - 1;
         for at in 0..last {
@@ -77,26 +77,26 @@
         let mut node = self.heads[last];
         while node != NONE {
             let end = &self.nodes[node as usize];
-            let cost = end.cost + problem.leave_us(end.site);
+            let cost = end.cost + problem.final_return_cost_us(end.site);
             if best.is_none_or(|(b, _)| cost < b) {
                 best = Some((cost, node));
             }
             node = end.next;
         }
         match best {
-            Some((_, node)) => self.trace(node),
+            Some((_, node)) => self.collect_stages(node),
             None => return Err(self.uncovered()),
         }
         Ok(())
     }
 
     fn prepare(&mut self, problem: &Problem<'_>) {
-        let wanted = problem.layers;
+        let layers = problem.layers;
         self.boundaries.clear();
-        self.boundaries.extend([wanted.first, wanted.end]);
+        self.boundaries.extend([layers.first, layers.end]);
         for candidate in problem.candidates {
-            let ends = [candidate.layers.first, candidate.layers.end];
-            let inner = ends.into_iter().filter(|l| wanted.range().contains(l));
+            let edges = [candidate.layers.first, candidate.layers.end];
+            let inner = edges.into_iter().filter(|l| layers.range().contains(l));
             self.boundaries.extend(inner);
         }
         self.boundaries.sort_unstable();
@@ -106,7 +106,7 @@
         self.nodes.clear();
         self.nodes.push(Node {
             cost: 0.0,
-            site: problem.want.home,
+            site: problem.context.home,
             candidate: NONE,
             prev: NONE,
             boundary: 0,
@@ -124,19 +124,19 @@
             if !covers || self.uses(problem, node, candidate.slot) {
                 continue;
             }
-            let enter = problem.enter_us(from.site, candidate.site, layer);
-            let base = from.cost + candidate.fixed_us + enter;
+            let entry_cost = problem.entry_cost_us(from.site, candidate.site, layer);
+            let base = from.cost + candidate.fixed_us + entry_cost;
             for to in at + 1..self.boundaries.len() {
                 let end = self.boundaries[to];
                 if end > candidate.layers.end {
                     break;
                 }
                 let run = candidate.layer_us * f64::from(end - layer);
-                let back = problem.back_us(candidate.site, end);
+                let return_cost = problem.return_cost_us(candidate.site, end);
                 self.relax(
                     problem,
                     Node {
-                        cost: base + run + back,
+                        cost: base + run + return_cost,
                         site: candidate.site,
                         candidate: i as u32,
                         prev: node,
@@ -150,12 +150,12 @@
 
     /// Keeps `new` if nothing cheaper ends at the same boundary and place.
     fn relax(&mut self, problem: &Problem<'_>, new: Node) {
-        let place_counts = problem.tuning.drive == Drive::Direct;
+        let site_matters = problem.tuning.activation_path == ActivationPath::Direct;
         let head = self.heads[new.boundary as usize];
         let mut node = head;
         while node != NONE {
             let old = &mut self.nodes[node as usize];
-            if !place_counts || old.site == new.site {
+            if !site_matters || old.site == new.site {
                 if new.cost < old.cost {
                     *old = Node {
                         next: old.next,
@@ -182,12 +182,12 @@
         false
     }
 
-    fn trace(&mut self, mut node: u32) {
+    fn collect_stages(&mut self, mut node: u32) {
         while node != NONE {
             let n = self.nodes[node as usize];
             if n.candidate != NONE {
                 let first = self.nodes[n.prev as usize].boundary;
-                self.parts.push(Part {
+                self.stages.push(Stage {
                     candidate: n.candidate as usize,
                     layers: wire::Layers {
                         first: self.boundaries[first as usize],
@@ -210,38 +210,40 @@
 
 impl Problem<'_> {
     /// Cost of getting from `from` into the endpoint that begins at `layer`.
-    fn enter_us(&self, from: Site, to: Site, layer: u32) -> f64 {
-        let from = match self.tuning.drive {
-            Drive::Relayed => self.want.home,
-            Drive::Direct => from,
+    fn entry_cost_us(&self, from: Site, to: Site, layer: u32) -> f64 {
+        let from = match self.tuning.activation_path {
+            ActivationPath::Relayed => self.context.home,
+            ActivationPath::Direct => from,
         };
-        self.cross_us(from, to, layer > self.layers.first)
+        self.crossing_cost_us(from, to, layer > self.layers.first)
     }
 
     /// Cost of getting back to the host after each endpoint, where the host relays.
-    fn back_us(&self, from: Site, layer: u32) -> f64 {
-        match self.tuning.drive {
-            Drive::Relayed => self.cross_us(from, self.want.home, layer < self.layers.end),
-            Drive::Direct => 0.0,
+    fn return_cost_us(&self, from: Site, layer: u32) -> f64 {
+        match self.tuning.activation_path {
+            ActivationPath::Relayed => {
+                self.crossing_cost_us(from, self.context.home, layer < self.layers.end)
+            }
+            ActivationPath::Direct => 0.0,
         }
     }
 
     /// Cost of getting back to the host after the last endpoint, where the host doesn't relay.
-    fn leave_us(&self, from: Site) -> f64 {
-        match self.tuning.drive {
-            Drive::Relayed => 0.0,
-            Drive::Direct => self.cross_us(from, self.want.home, false),
+    fn final_return_cost_us(&self, from: Site) -> f64 {
+        match self.tuning.activation_path {
+            ActivationPath::Relayed => 0.0,
+            ActivationPath::Direct => self.crossing_cost_us(from, self.context.home, false),
         }
     }
 
     /// Cost of one crossing for the prompt and for each generated token.
-    fn cross_us(&self, from: Site, to: Site, activations: bool) -> f64 {
+    fn crossing_cost_us(&self, from: Site, to: Site, activations: bool) -> f64 {
         let link = self.links.between(from, to);
-        let want = &self.want.size;
+        let size = &self.context.size;
         let bytes = match activations {
-            true => (want.prompt + want.decode) * self.tuning.activation_bytes,
+            true => (size.prompt + size.decode) * self.tuning.activation_bytes,
             false => 0.0,
         };
-        (1.0 + want.decode) * link.latency_us + bytes * link.us_per_byte
+        (1.0 + size.decode) * link.latency_us + bytes * link.us_per_byte
     }
 }
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -5,21 +5,21 @@
 use crate::tuning::LimitRule;
 
 /// The limit of an endpoint not measured yet.
-const START: f64 = 16.0;
-const MIN: f64 = 2.0;
-const MAX: f64 = 512.0;
+const INITIAL_LIMIT: f64 = 16.0;
+const MIN_LIMIT: f64 = 2.0;
+const MAX_LIMIT: f64 = 512.0;
 /// The latency may rise to this many times its floor before the limit shrinks.
-const TOLERANCE: f64 = 3.0;
+const LATENCY_TOLERANCE: f64 = 3.0;
 /// Samples that decide one move, at least.
-const SAMPLES: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 /// Time between moves, at least: chains last longer than steps, and a move has to show.
-const PERIOD: Duration = Duration::from_millis(250);
+const MIN_UPDATE_PERIOD: Duration = Duration::from_millis(250);
 /// How much the floor rises with each move, so that a lasting change is accepted in the end.
 const FLOOR_RISE: f64 = 1.005;
 /// What a refusal leaves of the load that was refused.
-const REFUSED: f64 = 0.9;
+const REFUSAL_FACTOR: f64 = 0.9;
 /// No growth for this long after a refusal.
-const HOLD: Duration = Duration::from_secs(1);
+const GROWTH_PAUSE: Duration = Duration::from_secs(1);
 
 /// The concurrency limit of one endpoint, for this host's work alone.
 #[derive(Debug, Clone)]
@@ -35,24 +35,24 @@
     nominal: f64,
     samples: u32,
     /// Whether the limit was nearly reached since the last move.
-    used: bool,
-    moved: Duration,
-    refused: Option<Duration>,
-    climb: Climb,
+    nearly_reached: bool,
+    updated_at: Duration,
+    refused_at: Option<Duration>,
+    climber: HillClimber,
 }
 
 impl Default for Limiter {
     fn default() -> Self {
         Self {
-            limit: START,
+            limit: INITIAL_LIMIT,
             floor: f64::INFINITY,
             latency: 0.0,
             nominal: 0.0,
             samples: 0,
-            used: false,
-            moved: Duration::ZERO,
-            refused: None,
-            climb: Climb::default(),
+            nearly_reached: false,
+            updated_at: Duration::ZERO,
+            refused_at: None,
+            climber: HillClimber::default(),
         }
     }
 }
@@ -65,7 +65,7 @@
 
     /// Notes that work of a `nominal` time above 0 was answered after `latency` (in any one unit),
     /// with `load` at once. A latency up to the nominal time is always good enough.
-    pub(crate) fn answered(
+    pub(crate) fn record_answer(
         &mut self,
         now: Duration,
         rule: LimitRule,
@@ -76,102 +76,106 @@
         self.latency += latency.max(nominal);
         self.nominal += nominal;
         self.samples += 1;
-        self.used |= load * 2.0 >= self.limit;
-        let period = now.saturating_sub(self.moved);
-        if self.samples < SAMPLES || period < PERIOD {
+        self.nearly_reached |= load * 2.0 >= self.limit;
+        let period = now.saturating_sub(self.updated_at);
+        if self.samples < MIN_SAMPLES || period < MIN_UPDATE_PERIOD {
             return;
         }
         let mean = self.latency / self.nominal;
-        let wanted = match rule {
+        let new_limit = match rule {
             LimitRule::Gradient => self.gradient(mean),
             LimitRule::HillClimb => {
                 let rate = f64::from(self.samples) / period.as_secs_f64();
-                self.climb.step(self.limit, rate / mean, mean, self.used)
+                self.climber
+                    .next_limit(self.limit, rate / mean, mean, self.nearly_reached)
             }
         };
-        let held = self.refused.is_some_and(|at| now < at + HOLD);
-        if !held || wanted < self.limit {
-            self.limit = wanted.clamp(MIN, MAX);
+        let growth_paused = self.refused_at.is_some_and(|at| now < at + GROWTH_PAUSE);
+        if !growth_paused || new_limit < self.limit {
+            self.limit = new_limit.clamp(MIN_LIMIT, MAX_LIMIT);
         }
         (self.latency, self.nominal) = (0.0, 0.0);
-        (self.samples, self.used) = (0, false);
-        self.moved = now;
+        (self.samples, self.nearly_reached) = (0, false);
+        self.updated_at = now;
     }
 
     /// Notes that the endpoint refused work as too much, with `load` at once.
-    pub(crate) fn refused(&mut self, now: Duration, load: f64) {
+    pub(crate) fn record_refusal(&mut self, now: Duration, load: f64) {
         // Refusals that were under way together count once.
-        if self.refused.is_none_or(|at| now >= at + PERIOD) {
-            self.limit = (self.limit.min(load) * REFUSED).max(MIN);
-            self.refused = Some(now);
+        if self
+            .refused_at
+            .is_none_or(|at| now >= at + MIN_UPDATE_PERIOD)
+        {
+            self.limit = (self.limit.min(load) * REFUSAL_FACTOR).max(MIN_LIMIT);
+            self.refused_at = Some(now);
         }
     }
 
     fn gradient(&mut self, mean: f64) -> f64 {
         self.floor = (self.floor * FLOOR_RISE).min(mean);
-        let gradient = (TOLERANCE * self.floor / mean).clamp(0.5, 1.0);
-        if !self.used && gradient >= 1.0 {
+        let gradient = (LATENCY_TOLERANCE * self.floor / mean).clamp(0.5, 1.0);
+        if !self.nearly_reached && gradient >= 1.0 {
             return self.limit;
         }
-        let wanted = gradient * self.limit + self.limit.sqrt();
-        0.8 * self.limit + 0.2 * wanted
+        let new_limit = gradient * self.limit + self.limit.sqrt();
+        0.8 * self.limit + 0.2 * new_limit
     }
 }
 
 /// Size of one step of the climb.
-const STEP: f64 = 1.15;
+const CLIMB_FACTOR: f64 = 1.15;
 /// Turns after which the climb rests at its place.
-const TURNS: u32 = 3;
+const MAX_REVERSALS: u32 = 3;
 /// Drift and threshold of the change detector, relative to the mean.
-const DRIFT: f64 = 0.1;
-const CHANGED: f64 = 1.0;
+const CUSUM_DRIFT: f64 = 0.1;
+const CUSUM_THRESHOLD: f64 = 1.0;
 
 /// Hill climbing on throughput over latency; starts over when the latency shifts.
 ///
 /// After the self-tuning in Li, Van Roy and Romano, "Speculative Transaction Processing in
 /// Geo-Replicated Data Stores", 2017, which names a CUSUM detector for the restart.
 #[derive(Debug, Clone, Default)]
-struct Climb {
-    last: f64,
-    down: bool,
-    turns: u32,
+struct HillClimber {
+    last_utility: f64,
+    descending: bool,
+    reversals: u32,
     /// Mean latency while at rest; 0 before.
-    usual: f64,
-    above: f64,
-    below: f64,
+    reference_latency: f64,
+    cusum_above: f64,
+    cusum_below: f64,
 }
 
-impl Climb {
+impl HillClimber {
     /// The next limit, after a period with the given worth and mean latency.
-    fn step(&mut self, limit: f64, worth: f64, mean: f64, used: bool) -> f64 {
-        if self.turns >= TURNS {
+    fn next_limit(&mut self, limit: f64, utility: f64, mean: f64, nearly_reached: bool) -> f64 {
+        if self.reversals >= MAX_REVERSALS {
             if !self.has_changed(mean) {
                 return limit;
             }
             *self = Self::default();
         }
-        if !used {
+        if !nearly_reached {
             return limit;
         }
-        if worth < self.last {
-            self.down = !self.down;
-            self.turns += 1;
+        if utility < self.last_utility {
+            self.descending = !self.descending;
+            self.reversals += 1;
         }
-        self.last = worth;
-        match self.down {
-            true => limit / STEP,
-            false => limit * STEP,
+        self.last_utility = utility;
+        match self.descending {
+            true => limit / CLIMB_FACTOR,
+            false => limit * CLIMB_FACTOR,
         }
     }
 
     /// CUSUM in both directions.
     fn has_changed(&mut self, mean: f64) -> bool {
-        if self.usual == 0.0 {
-            self.usual = mean;
+        if self.reference_latency == 0.0 {
+            self.reference_latency = mean;
         }
-        let off = mean / self.usual - 1.0;
-        self.above = (self.above + off - DRIFT).max(0.0);
-        self.below = (self.below - off - DRIFT).max(0.0);
-        self.above > CHANGED || self.below > CHANGED
+        let deviation = mean / self.reference_latency - 1.0;
+        self.cusum_above = (self.cusum_above + deviation - CUSUM_DRIFT).max(0.0);
+        self.cusum_below = (self.cusum_below - deviation - CUSUM_DRIFT).max(0.0);
+        self.cusum_above > CUSUM_THRESHOLD || self.cusum_below > CUSUM_THRESHOLD
     }
 }
--- a/crates/routing/src/measured.rs
+++ b/crates/routing/src/endpoint_stats.rs
@@ -4,28 +4,28 @@
 
 use dragonflyrill_engines::wire;
 
-use crate::{Tuning, concurrency::Limiter, health::Record, sketch::Sketch, table::Role};
+use crate::{Tuning, concurrency::Limiter, health::CircuitBreaker, sketch::Sketch, table::Role};
 
 /// Weight of the newest latency in the mean.
-const WEIGHT: f64 = 0.1;
+const LATENCY_WEIGHT: f64 = 0.1;
 /// Weight of the newest slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.2;
 /// The least share of its work that an endpoint in slow start gets.
-const RAMP_FLOOR: f64 = 0.1;
+const MIN_RAMP_SHARE: f64 = 0.1;
 /// Work chosen but never released is forgotten after one to two of these.
-const FORGET: Duration = Duration::from_secs(120);
+const SESSION_ROTATION_PERIOD: Duration = Duration::from_secs(120);
 /// Unanswered work makes suspect after this many mean latencies.
-const SILENT_LATENCIES: f64 = 8.0;
+const SILENCE_LATENCY_FACTOR: f64 = 8.0;
 
 /// A load report, as far as it counts.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Report {
+pub(crate) struct ReportedLoad {
     /// When its figures were taken, by this host's clock.
-    pub(crate) at: Duration,
+    pub(crate) taken_at: Duration,
     /// The load that came from elsewhere.
     pub(crate) foreign: f64,
     /// This host's own load when the report came.
-    own: f64,
+    own_at_receipt: f64,
     /// Sessions held for others.
     foreign_sessions: u32,
     max_sessions: u32,
@@ -34,51 +34,51 @@
 /// Chains chosen through an endpoint and not yet released.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Sessions {
-    fresh: u32,
-    old: u32,
-    turned: Duration,
+    recent_count: u32,
+    older_count: u32,
+    rotated_at: Duration,
 }
 
 impl Sessions {
     /// How many there are.
     pub(crate) fn count(&self) -> u32 {
-        self.fresh + self.old
+        self.recent_count + self.older_count
     }
 
     fn add(&mut self, now: Duration) {
-        if now >= self.turned + FORGET {
+        if now >= self.rotated_at + SESSION_ROTATION_PERIOD {
             *self = Self {
-                fresh: 0,
-                old: self.fresh,
-                turned: now,
+                recent_count: 0,
+                older_count: self.recent_count,
+                rotated_at: now,
             };
         }
-        self.fresh += 1;
+        self.recent_count += 1;
     }
 
     fn release(&mut self) {
-        match self.old {
-            0 => self.fresh = self.fresh.saturating_sub(1),
-            _ => self.old -= 1,
+        match self.older_count {
+            0 => self.recent_count = self.recent_count.saturating_sub(1),
+            _ => self.older_count -= 1,
         }
     }
 }
 
 /// What this host measured of one endpoint; starts fresh with each life of it.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Measured {
+pub(crate) struct EndpointStats {
     /// Which life it is, once a report told.
     pub(crate) incarnation: Option<u64>,
     /// When slow start began; `None` when it isn't in slow start.
-    pub(crate) ramp: Option<Duration>,
+    pub(crate) ramp_started_at: Option<Duration>,
     /// The outcomes of its calls.
-    pub(crate) record: Record,
+    pub(crate) breaker: CircuitBreaker,
     /// Its concurrency limit.
     pub(crate) limiter: Limiter,
     /// Chains through it.
     pub(crate) sessions: Sessions,
     /// Its last load report.
-    pub(crate) report: Option<Report>,
+    pub(crate) report: Option<ReportedLoad>,
     /// Mean latency of its calls in microseconds; 0 before the first.
     pub(crate) latency_us: f64,
     /// Mean latency over the nominal time of the same work; 0 before the first.
@@ -89,31 +89,31 @@
     pub(crate) sketch: Option<Sketch>,
 }
 
-impl Measured {
+impl EndpointStats {
     /// Notes that work was sent.
     pub(crate) fn sent(&mut self, now: Duration) {
         self.silent_since.get_or_insert(now);
     }
 
     /// Notes any answer or failure, after which `in_flight` calls remain.
-    pub(crate) fn heard(&mut self, now: Duration, in_flight: u32) {
+    pub(crate) fn call_ended(&mut self, now: Duration, in_flight: u32) {
         self.silent_since = (in_flight > 0).then_some(now);
     }
 
     /// Notes that a chain through it was chosen.
-    pub(crate) fn chosen(&mut self, now: Duration) {
+    pub(crate) fn chain_chosen(&mut self, now: Duration) {
         self.sessions.add(now);
     }
 
     /// Notes that a chain through it ended.
-    pub(crate) fn released(&mut self) {
+    pub(crate) fn chain_released(&mut self) {
         self.sessions.release();
     }
 
     /// Takes in the latency of work that nominally takes `nominal_us`.
-    pub(crate) fn answered(&mut self, latency: Duration, nominal_us: f64) -> f64 {
+    pub(crate) fn record_latency(&mut self, latency: Duration, nominal_us: f64) -> f64 {
         let us = latency.as_secs_f64() * 1e6;
-        self.latency_us = mean(self.latency_us, us, WEIGHT);
+        self.latency_us = mean(self.latency_us, us, LATENCY_WEIGHT);
         let ratio = match nominal_us > 0.0 {
             true => us / nominal_us,
             false => us,
@@ -123,7 +123,7 @@
     }
 
     /// Takes in a load report; answers the load that came from elsewhere.
-    pub(crate) fn reported(
+    pub(crate) fn record_report(
         &mut self,
         now: Duration,
         report: &wire::LoadReport,
@@ -139,10 +139,10 @@
         };
         let foreign = foreign.max(0.0);
         let age = Duration::from_millis(u64::from(report.age_ms));
-        self.report = Some(Report {
-            at: now.saturating_sub(age),
+        self.report = Some(ReportedLoad {
+            taken_at: now.saturating_sub(age),
             foreign,
-            own: self.own(in_flight),
+            own_at_receipt: self.own_load(in_flight),
             foreign_sessions,
             max_sessions: report.max_sessions,
         });
@@ -150,7 +150,7 @@
     }
 
     /// Load of this host's own work.
-    pub(crate) fn own(&self, in_flight: u32) -> f64 {
+    pub(crate) fn own_load(&self, in_flight: u32) -> f64 {
         f64::from(self.sessions.count().max(in_flight))
     }
 
@@ -161,22 +161,22 @@
     /// hosts see the same report and choose alike, each change of this host's own load since is
     /// taken to have happened at the others in proportion, `others` being their load for each unit
     /// of this host's: so the hosts don't herd on the endpoint that a report praised.
-    pub(crate) fn load(
+    pub(crate) fn estimated_load(
         &self,
         now: Duration,
         in_flight: u32,
-        usual: f64,
-        others: f64,
+        mean_foreign: f64,
+        foreign_per_own: f64,
         tuning: &Tuning,
     ) -> f64 {
-        let own = self.own(in_flight);
-        let foreign = self.report.map_or(usual, |r| {
-            let age = now.saturating_sub(r.at).as_secs_f64();
+        let own = self.own_load(in_flight);
+        let foreign = self.report.map_or(mean_foreign, |r| {
+            let age = now.saturating_sub(r.taken_at).as_secs_f64();
             let half = tuning.report_half_life.as_secs_f64();
             let weight = half / (half + age);
-            let followed = (own - r.own) * others * tuning.herd_factor;
-            let reported = (r.foreign + followed).max(0.0);
-            weight * reported + (1.0 - weight) * usual
+            let assumed_change = (own - r.own_at_receipt) * foreign_per_own * tuning.herd_factor;
+            let reported = (r.foreign + assumed_change).max(0.0);
+            weight * reported + (1.0 - weight) * mean_foreign
         });
         own + foreign
     }
@@ -184,27 +184,30 @@
     /// Whether the last report, if recent, leaves no session free.
     pub(crate) fn out_of_sessions(&self, now: Duration, tuning: &Tuning) -> bool {
         self.report.is_some_and(|r| {
-            let recent = now < r.at + tuning.report_half_life;
+            let recent = now < r.taken_at + tuning.report_half_life;
             let held = r.foreign_sessions + self.sessions.count();
             recent && r.max_sessions > 0 && held >= r.max_sessions
         })
     }
 
     /// The share of its usual work that it gets, up to 1.
-    pub(crate) fn ramp(&self, now: Duration, tuning: &Tuning) -> f64 {
-        let Some(began) = self.ramp else { return 1.0 };
+    pub(crate) fn ramp_share(&self, now: Duration, tuning: &Tuning) -> f64 {
+        let Some(started_at) = self.ramp_started_at else {
+            return 1.0;
+        };
         if !tuning.mechanisms.slow_start {
             return 1.0;
         }
-        let part = now.saturating_sub(began).as_secs_f64() / tuning.slow_start.as_secs_f64();
-        part.clamp(RAMP_FLOOR, 1.0)
+        let share = now.saturating_sub(started_at).as_secs_f64() / tuning.slow_start.as_secs_f64();
+        share.clamp(MIN_RAMP_SHARE, 1.0)
     }
 
     /// Whether it has left work unanswered for suspiciously long.
     pub(crate) fn is_silent(&self, now: Duration, tuning: &Tuning) -> bool {
         self.silent_since.is_some_and(|since| {
-            let usual = Duration::from_secs_f64(SILENT_LATENCIES * self.latency_us / 1e6);
-            now.saturating_sub(since) > tuning.silence.max(usual)
+            let latency_bound =
+                Duration::from_secs_f64(SILENCE_LATENCY_FACTOR * self.latency_us / 1e6);
+            now.saturating_sub(since) > tuning.min_silence.max(latency_bound)
         })
     }
 
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -6,19 +6,19 @@
 use dragonflyrill_engines::wire;
 
 use crate::{
-    Endpoint, Outcome, Router, Work, cost,
-    health::Verdict,
-    router::Told,
+    Endpoint, Outcome, Router, StepSize, cost,
+    health::BreakerAction,
+    router::DrainNotice,
     table::{Health, Role, Slot},
     tuning::Tuning,
 };
 
 /// Weight of one answer in a group's mean slowdown.
-const GROUP_WEIGHT: f64 = 0.02;
+const GROUP_SLOWDOWN_WEIGHT: f64 = 0.02;
 /// Latency in microseconds of a service's call that is always good enough.
-const GOOD_CALL_US: f64 = 1_000.0;
+const ACCEPTABLE_CALL_US: f64 = 1_000.0;
 /// Least weight of one report in a group's mean load.
-const REPORT_WEIGHT: f64 = 0.05;
+const MIN_REPORT_WEIGHT: f64 = 0.05;
 
 impl Router {
     /// Notes that work was sent to an endpoint.
@@ -28,7 +28,7 @@
         };
         self.change_load(at, |slot| {
             slot.endpoint.in_flight += 1;
-            slot.measured.sent(now);
+            slot.stats.sent(now);
         });
     }
 
@@ -43,7 +43,7 @@
         now: Duration,
         endpoint: &EndpointId,
         outcome: Outcome,
-        work: Work,
+        work: StepSize,
     ) {
         self.ended_work(now, endpoint, outcome, Some(work));
     }
@@ -53,14 +53,14 @@
     /// To be called once for each chosen [`crate::Hop`] if [`Tuning::count_chains`] is set.
     pub fn released(&mut self, _now: Duration, endpoint: &EndpointId) {
         if let Some(at) = self.table.find(endpoint) {
-            self.change_load(at, |slot| slot.measured.released());
+            self.change_load(at, |slot| slot.stats.chain_released());
         }
     }
 
     /// Takes in an endpoint's report of its load.
     ///
     /// A report of another life than the known one makes all that was measured void.
-    pub fn load(&mut self, now: Duration, report: &wire::LoadReport) {
+    pub fn apply_load_report(&mut self, now: Duration, report: &wire::LoadReport) {
         let Ok(id) = EndpointId::try_from(report.endpoint.as_str()) else {
             log::warn!("routing: A load report names {:?}.", report.endpoint);
             return;
@@ -68,23 +68,28 @@
         let Some(at) = self.table.find(&id) else {
             return;
         };
-        self.note_incarnation(now, at, report.incarnation);
+        self.check_incarnation(now, at, report.incarnation);
         let slot = self.table.slot_mut(at);
         let (role, in_flight) = (slot.endpoint.role, slot.endpoint.in_flight);
-        let foreign = slot.measured.reported(now, report, role, in_flight);
+        let foreign = slot.stats.record_report(now, report, role, in_flight);
         let group = slot.group;
         let group = self.table.index.get_mut(group);
-        let weight = (1.0 / group.len.max(1) as f64).max(REPORT_WEIGHT);
-        group.usual_foreign += weight * (foreign - group.usual_foreign);
+        let weight = (1.0 / group.len.max(1) as f64).max(MIN_REPORT_WEIGHT);
+        group.mean_foreign_load += weight * (foreign - group.mean_foreign_load);
     }
 
     /// Takes in changes of an endpoint's prefix cache.
-    pub fn cache_events(&mut self, _now: Duration, endpoint: &EndpointId, ev: &wire::CacheEvents) {
+    pub fn apply_cache_events(
+        &mut self,
+        _now: Duration,
+        endpoint: &EndpointId,
+        ev: &wire::CacheEvents,
+    ) {
         let Some(at) = self.table.find(endpoint) else {
             return;
         };
-        let measured = &mut self.table.slot_mut(at).measured;
-        let sketch = measured.sketch.get_or_insert_default();
+        let stats = &mut self.table.slot_mut(at).stats;
+        let sketch = stats.sketch.get_or_insert_default();
         for event in &ev.events {
             match event.stored {
                 true => sketch.insert(event.block),
@@ -95,23 +100,26 @@
 
     pub(crate) fn change_load(&mut self, at: u32, change: impl FnOnce(&mut Slot)) {
         let slot = self.table.slot_mut(at);
-        let before = slot.counted();
+        let before = slot.own_load();
         change(slot);
-        let (after, group, site) = (slot.counted(), slot.group, slot.site);
+        let (after, group, site) = (slot.own_load(), slot.group, slot.site);
         if before != after {
-            self.table.index.get_mut(group).shift(site, before, after);
+            self.table
+                .index
+                .get_mut(group)
+                .change_own_load(site, before, after);
         }
     }
 
-    fn note_incarnation(&mut self, now: Duration, at: u32, incarnation: u64) {
+    fn check_incarnation(&mut self, now: Duration, at: u32, incarnation: u64) {
         let slot = self.table.slot_mut(at);
-        match slot.measured.incarnation {
+        match slot.stats.incarnation {
             Some(known) if known == incarnation => {}
-            None => slot.measured.incarnation = Some(incarnation),
+            None => slot.stats.incarnation = Some(incarnation),
             Some(_) => {
                 log::info!("routing: {} began a new life.", slot.endpoint.id);
-                self.table.renew(at, incarnation);
-                self.table.slot_mut(at).measured.ramp = Some(now);
+                self.table.reset_incarnation(at, incarnation);
+                self.table.slot_mut(at).stats.ramp_started_at = Some(now);
             }
         }
     }
@@ -121,96 +129,101 @@
         now: Duration,
         endpoint: &EndpointId,
         outcome: Outcome,
-        work: Option<Work>,
+        work: Option<StepSize>,
     ) {
         let Some(at) = self.table.find(endpoint) else {
             return;
         };
         self.change_load(at, |slot| {
             slot.endpoint.in_flight = slot.endpoint.in_flight.saturating_sub(1);
-            slot.measured.heard(now, slot.endpoint.in_flight);
+            slot.stats.call_ended(now, slot.endpoint.in_flight);
         });
         match outcome {
-            Outcome::Ok { latency } => self.note_answer(now, at, latency, work),
-            Outcome::Busy => self.note_refusal(now, at),
-            Outcome::Leaving => self.note_leaving(now, at),
-            Outcome::Failed => self.note_failure(now, at),
-            Outcome::Dropped => {}
+            Outcome::Ok { latency } => self.handle_answer(now, at, latency, work),
+            Outcome::Busy => self.handle_refusal(now, at),
+            Outcome::Draining => self.handle_draining(now, at),
+            Outcome::Failed => self.handle_failure(now, at),
+            Outcome::Abandoned => {}
         }
     }
 
-    fn note_answer(&mut self, now: Duration, at: u32, latency: Duration, work: Option<Work>) {
+    fn handle_answer(&mut self, now: Duration, at: u32, latency: Duration, work: Option<StepSize>) {
         let (tuning, slot) = (&self.tuning, self.table.slot_mut(at));
         let nominal = nominal_us(&slot.endpoint, work, tuning);
-        let ratio = slot.measured.answered(latency, nominal);
-        let own = slot.measured.own(slot.endpoint.in_flight) + 1.0;
+        let ratio = slot.stats.record_latency(latency, nominal);
+        let own = slot.stats.own_load(slot.endpoint.in_flight) + 1.0;
         let us = latency.as_secs_f64() * 1e6;
-        let usual = if nominal > 0.0 { nominal } else { GOOD_CALL_US };
-        let limiter = &mut slot.measured.limiter;
-        limiter.answered(now, tuning.limit_rule, us, usual, own);
-        let verdict = slot.measured.record.ok(now, tuning);
+        let reference_us = if nominal > 0.0 {
+            nominal
+        } else {
+            ACCEPTABLE_CALL_US
+        };
+        let limiter = &mut slot.stats.limiter;
+        limiter.record_answer(now, tuning.limit_rule, us, reference_us, own);
+        let action = slot.stats.breaker.record_success(now, tuning);
         let id = slot.group;
         let group = self.table.index.get_mut(id);
         group.slowdown = match group.slowdown == 0.0 {
             true => ratio,
-            false => group.slowdown + GROUP_WEIGHT * (ratio - group.slowdown),
+            false => group.slowdown + GROUP_SLOWDOWN_WEIGHT * (ratio - group.slowdown),
         };
-        if verdict == Verdict::Return {
-            self.take_back(now, at);
+        if action == BreakerAction::Restore {
+            self.restore_endpoint(now, at);
         }
     }
 
-    fn take_back(&mut self, now: Duration, at: u32) {
+    fn restore_endpoint(&mut self, now: Duration, at: u32) {
         let slot = self.table.slot_mut(at);
         log::info!("routing: {} is taken back.", slot.endpoint.id);
-        slot.measured.record.restore(now);
-        slot.measured.ramp = Some(now);
+        slot.stats.breaker.restore(now);
+        slot.stats.ramp_started_at = Some(now);
         slot.endpoint.health = Health::Up;
         let id = slot.group;
         self.table.index.get_mut(id).ejected.retain(|s| *s != at);
     }
 
-    fn note_failure(&mut self, now: Duration, at: u32) {
+    fn handle_failure(&mut self, now: Duration, at: u32) {
         let (tuning, slot) = (&self.tuning, self.table.slot_mut(at));
-        let verdict = slot.measured.record.failed(now, tuning);
+        let action = slot.stats.breaker.record_failure(now, tuning);
         let id = slot.group;
-        let leaving = slot.endpoint.leaving;
-        if verdict != Verdict::Eject || leaving || !tuning.mechanisms.health {
+        let draining = slot.endpoint.draining;
+        if action != BreakerAction::Eject || draining || !tuning.mechanisms.health {
             return;
         }
         let group = self.table.index.get_mut(id);
-        if group.ejected.len() >= group.ejected_cap(tuning.max_ejected) {
+        if group.ejected.len() >= group.max_ejected(tuning.max_ejected_share) {
             return;
         }
         group.ejected.push(at);
         let slot = self.table.slot_mut(at);
-        slot.measured.record.eject(now, tuning);
+        slot.stats.breaker.eject(now, tuning);
         slot.endpoint.health = Health::Ejected;
         log::warn!("routing: {} is ejected.", slot.endpoint.id);
     }
 
-    fn note_refusal(&mut self, now: Duration, at: u32) {
+    fn handle_refusal(&mut self, now: Duration, at: u32) {
         let slot = self.table.slot_mut(at);
-        let own = slot.measured.own(slot.endpoint.in_flight);
-        slot.measured.limiter.refused(now, own);
+        let own = slot.stats.own_load(slot.endpoint.in_flight);
+        slot.stats.limiter.record_refusal(now, own);
     }
 
-    fn note_leaving(&mut self, now: Duration, at: u32) {
-        self.table.sign(at, |signs| signs.told = Some(now));
+    fn handle_draining(&mut self, now: Duration, at: u32) {
+        self.table
+            .update_signs(at, |signs| signs.reported_at = Some(now));
         let endpoint = self.table.slot(at).endpoint.id.clone();
-        self.told.push_back(Told {
+        self.drain_notices.push_back(DrainNotice {
             endpoint,
-            when: now,
+            received_at: now,
         });
     }
 }
 
 /// The nominal time of `work` at an idle endpoint; 0 if nothing is known of it.
-fn nominal_us(endpoint: &Endpoint, work: Option<Work>, tuning: &Tuning) -> f64 {
+fn nominal_us(endpoint: &Endpoint, work: Option<StepSize>, tuning: &Tuning) -> f64 {
     if endpoint.role == Role::Service {
         return 0.0;
     }
-    let work = work.unwrap_or(Work {
+    let work = work.unwrap_or(StepSize {
         layers: endpoint.layers,
         positions: 1,
     });
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -33,11 +33,11 @@
     /// Ejected members, in the order of their ejection.
     pub(crate) ejected: Vec<u32>,
     /// This host's load on all endpoints of the group, leaving ones included.
-    own: u32,
+    own_load: u32,
     /// The same by data centre.
-    own_by_site: BTreeMap<Site, u32>,
+    own_load_by_site: BTreeMap<Site, u32>,
     /// Mean load that members report from elsewhere.
-    pub(crate) usual_foreign: f64,
+    pub(crate) mean_foreign_load: f64,
     /// Mean slowdown of members; 0 before the first answer.
     pub(crate) slowdown: f64,
     /// Whether work goes to other data centres although this one has members.
@@ -51,33 +51,33 @@
             sites: BTreeMap::new(),
             len: 0,
             ejected: Vec::new(),
-            own: 0,
-            own_by_site: BTreeMap::new(),
-            usual_foreign: 0.0,
+            own_load: 0,
+            own_load_by_site: BTreeMap::new(),
+            mean_foreign_load: 0.0,
             slowdown: 0.0,
             spilling: false,
         }
     }
 
     /// Changes this host's load at `site` from `before` to `after`.
-    pub(crate) fn shift(&mut self, site: Site, before: u32, after: u32) {
-        self.own = (self.own + after).saturating_sub(before);
-        let here = self.own_by_site.entry(site).or_default();
+    pub(crate) fn change_own_load(&mut self, site: Site, before: u32, after: u32) {
+        self.own_load = (self.own_load + after).saturating_sub(before);
+        let here = self.own_load_by_site.entry(site).or_default();
         *here = (*here + after).saturating_sub(before);
     }
 
     /// This host's load on the group.
-    pub(crate) fn own(&self) -> u32 {
-        self.own
+    pub(crate) fn own_load(&self) -> u32 {
+        self.own_load
     }
 
     /// The part of [`Group::own`] that is not at `home`.
-    pub(crate) fn own_away_from(&self, home: Site) -> u32 {
-        self.own - self.own_by_site.get(&home).copied().unwrap_or(0)
+    pub(crate) fn own_load_outside(&self, home: Site) -> u32 {
+        self.own_load - self.own_load_by_site.get(&home).copied().unwrap_or(0)
     }
 
     /// The most members that may be ejected: a share, but one of any two or more.
-    pub(crate) fn ejected_cap(&self, share: f64) -> usize {
+    pub(crate) fn max_ejected(&self, share: f64) -> usize {
         match self.len {
             0 | 1 => 0,
             n => ((n as f64 * share) as usize).max(1),
@@ -112,7 +112,7 @@
     }
 
     /// The groups of a target, empty ones included.
-    pub(crate) fn of(&self, role: Role, target: &TargetName) -> &[GroupId] {
+    pub(crate) fn groups_of(&self, role: Role, target: &TargetName) -> &[GroupId] {
         let by_target = match role {
             Role::Engine => &self.engines,
             Role::Service => &self.services,
@@ -130,7 +130,7 @@
     }
 
     /// Adds a member, once.
-    pub(crate) fn join(&mut self, id: GroupId, site: Site, member: Member) {
+    pub(crate) fn add_member(&mut self, id: GroupId, site: Site, member: Member) {
         let group = self.get_mut(id);
         let ring = group.sites.entry(site).or_default();
         if let Err(at) = ring.binary_search(&member) {
@@ -140,7 +140,7 @@
     }
 
     /// Takes a member out, if it is in.
-    pub(crate) fn part(&mut self, id: GroupId, site: Site, member: Member) {
+    pub(crate) fn remove_member(&mut self, id: GroupId, site: Site, member: Member) {
         let group = self.get_mut(id);
         group.ejected.retain(|slot| *slot != member.slot);
         let Some(ring) = group.sites.get_mut(&site) else {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -25,11 +25,11 @@
 mod chain;
 mod concurrency;
 mod cost;
+mod endpoint_stats;
 mod events;
 mod health;
 mod index;
 mod links;
-mod measured;
 mod router;
 mod sketch;
 
@@ -38,11 +38,11 @@
 use dragonflyrill_catalogue::{EndpointId, TargetName};
 use dragonflyrill_engines::wire;
 
-pub use affinity::{BLOCK, prefix_blocks};
+pub use affinity::{BLOCK_POSITIONS, prefix_blocks};
 pub use budget::{Backoff, RetryBudget};
 pub use router::Router;
 pub use table::{Endpoint, EndpointTable, Health, Role};
-pub use tuning::{Drive, LimitRule, Mechanisms, Tuning};
+pub use tuning::{ActivationPath, LimitRule, Mechanisms, Tuning};
 
 /// One endpoint's part of a chosen chain.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 
 /// The size of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Work {
+pub struct StepSize {
     /// The layers run.
     pub layers: wire::Layers,
     /// The positions run.
@@ -111,9 +111,9 @@
     /// It refused: busy.
     Busy,
     /// It refused: it is leaving.
-    Leaving,
+    Draining,
     /// It failed, or did not answer in time.
     Failed,
     /// This host gave the work up; nothing is known of the endpoint.
-    Dropped,
+    Abandoned,
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     ChainQuery, Hop, NoEndpoint, Shortage,
-    candidates::{Candidate, Gatherer, Size, Want},
+    candidates::{Candidate, ChoiceContext, Gatherer, RequestSize},
     chain::{Planner, Problem, Uncovered},
     index::GroupId,
     links::{Links, Site},
@@ -22,25 +22,25 @@
 /// Groups among which one chain is planned; more are sampled.
 const MAX_GROUPS: usize = 24;
 /// Bounds of the time after which to come back to full endpoints.
-const MIN_RETRY: Duration = Duration::from_millis(20);
-const MAX_RETRY: Duration = Duration::from_secs(5);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Mean latencies after which to come back.
-const RETRY_LATENCIES: f64 = 4.0;
+const RETRY_AFTER_LATENCIES: f64 = 4.0;
 
 /// That an endpoint said itself that it is leaving.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct DrainNotice {
     pub(crate) endpoint: EndpointId,
-    pub(crate) when: Duration,
+    pub(crate) received_at: Duration,
 }
 
 /// What a choice is made of.
-struct Asked<'a> {
+struct RequestDemand<'a> {
     role: Role,
     target: &'a TargetName,
     /// Empty for a service.
     layers: wire::Layers,
-    size: Size<'a>,
+    size: RequestSize<'a>,
 }
 
 /// Chooses endpoints. One per host; holds no sockets and reads no clock.
@@ -57,12 +57,12 @@
     started: bool,
     intents: Vec<EndpointEntry>,
     /// Endpoints that said themselves that they are leaving, oldest first.
-    pub(crate) told: VecDeque<Told>,
+    pub(crate) drain_notices: VecDeque<DrainNotice>,
     planner: Planner,
     candidates: Vec<Candidate>,
     avoid: Vec<u32>,
     /// Layers of groups that were passed over as full.
-    full: Vec<wire::Layers>,
+    full_layers: Vec<wire::Layers>,
 }
 
 impl Router {
@@ -82,11 +82,11 @@
             rng: rand_pcg::Pcg64Mcg::seed_from_u64(seed),
             started: false,
             intents: Vec::new(),
-            told: VecDeque::new(),
+            drain_notices: VecDeque::new(),
             planner: Planner::default(),
             candidates: Vec::new(),
             avoid: Vec::new(),
-            full: Vec::new(),
+            full_layers: Vec::new(),
         }
     }
 
@@ -108,7 +108,7 @@
     /// Replaces what operators want of endpoints. One without an entry serves.
     pub fn set_intents(&mut self, intents: &[EndpointEntry]) {
         self.intents = intents.to_vec();
-        for at in self.table.places() {
+        for at in self.table.slot_indices() {
             self.apply_intent(at);
         }
     }
@@ -126,9 +126,9 @@
         if query.layers.first >= query.layers.end {
             return Ok(Vec::new());
         }
-        self.refresh(now);
-        self.note_avoided(query.avoid);
-        let groups = self.table.index.of(Role::Engine, query.model).len();
+        self.apply_table_changes(now);
+        self.resolve_avoided(query.avoid);
+        let groups = self.table.index.groups_of(Role::Engine, query.model).len();
         let planned = self.plan(now, query, MAX_GROUPS);
         let planned = match planned {
             // The sample may have missed the group that was needed.
@@ -136,17 +136,17 @@
             planned => planned,
         };
         planned.map_err(|e| self.shortage(e.layer))?;
-        let hops = self.planner.parts.iter().rev().map(|part| {
-            let candidate = &self.candidates[part.candidate];
+        let hops = self.planner.stages.iter().rev().map(|stage| {
+            let candidate = &self.candidates[stage.candidate];
             Hop {
                 endpoint: self.table.slot(candidate.slot).endpoint.id.clone(),
-                layers: part.layers,
+                layers: stage.layers,
             }
         });
         let hops = hops.collect();
-        for i in 0..self.planner.parts.len() {
-            let chosen = self.candidates[self.planner.parts[i].candidate];
-            self.note_chosen(now, chosen);
+        for i in 0..self.planner.stages.len() {
+            let chosen = self.candidates[self.planner.stages[i].candidate];
+            self.record_choice(now, chosen);
         }
         Ok(hops)
     }
@@ -162,16 +162,16 @@
         service: &TargetName,
         avoid: &[EndpointId],
     ) -> Result<EndpointId, NoEndpoint> {
-        self.refresh(now);
-        self.note_avoided(avoid);
+        self.apply_table_changes(now);
+        self.resolve_avoided(avoid);
         let none = wire::Layers { first: 0, end: 0 };
-        let asked = Asked {
+        let demand = RequestDemand {
             role: Role::Service,
             target: service,
             layers: none,
-            size: Size::CALL,
+            size: RequestSize::CALL,
         };
-        self.gather(now, &asked, usize::MAX);
+        self.gather(now, &demand, usize::MAX);
         let (links, home) = (&self.links, self.home);
         let cost =
             |c: &Candidate| c.fixed_us + c.layer_us + 2.0 * links.between(home, c.site).latency_us;
@@ -182,53 +182,54 @@
         let Some(chosen) = best.copied() else {
             return Err(self.shortage(0));
         };
-        self.note_chosen(now, chosen);
+        self.record_choice(now, chosen);
         Ok(self.table.slot(chosen.slot).endpoint.id.clone())
     }
 
     /// Takes up what changed in the table.
-    fn refresh(&mut self, now: Duration) {
+    fn apply_table_changes(&mut self, now: Duration) {
         if self.table.has_added() {
             for at in self.table.take_added() {
                 self.apply_intent(at);
                 if self.started {
-                    self.table.slot_mut(at).measured.ramp = Some(now);
+                    self.table.slot_mut(at).stats.ramp_started_at = Some(now);
                 }
             }
             self.started = true;
         }
         self.links.sync(&self.table.sites);
-        self.lapse(now);
+        self.expire_drain_notices(now);
     }
 
     /// Forgets words of leaving that the list didn't confirm in time.
-    fn lapse(&mut self, now: Duration) {
-        while let Some(told) = self.told.front() {
-            if now < told.when + self.tuning.leaving_hold {
+    fn expire_drain_notices(&mut self, now: Duration) {
+        while let Some(notice) = self.drain_notices.front() {
+            if now < notice.received_at + self.tuning.drain_notice_lifetime {
                 return;
             }
-            if let Some(at) = self.table.find(&told.endpoint) {
-                let when = told.when;
+            if let Some(at) = self.table.find(&notice.endpoint) {
+                let received_at = notice.received_at;
                 let signs = self.table.slot(at).signs;
-                if signs.told == Some(when) && !signs.listed {
-                    self.table.sign(at, |signs| signs.told = None);
-                    self.table.slot_mut(at).measured.ramp = Some(now);
+                if signs.reported_at == Some(received_at) && !signs.listed {
+                    self.table
+                        .update_signs(at, |signs| signs.reported_at = None);
+                    self.table.slot_mut(at).stats.ramp_started_at = Some(now);
                 }
             }
-            self.told.pop_front();
+            self.drain_notices.pop_front();
         }
     }
 
     fn apply_intent(&mut self, at: u32) {
         let slot = self.table.slot(at);
         let known = self.intents.iter().find(|e| e.id == slot.endpoint.id);
-        let leave = known.is_some_and(|e| e.intent == EndpointIntent::Leave);
-        if slot.signs.intent != leave {
-            self.table.sign(at, |signs| signs.intent = leave);
+        let draining = known.is_some_and(|e| e.intent == EndpointIntent::Leave);
+        if slot.signs.intent != draining {
+            self.table.update_signs(at, |signs| signs.intent = draining);
         }
     }
 
-    fn note_avoided(&mut self, avoid: &[EndpointId]) {
+    fn resolve_avoided(&mut self, avoid: &[EndpointId]) {
         self.avoid.clear();
         let known = avoid.iter().filter_map(|id| self.table.find(id));
         self.avoid.extend(known);
@@ -240,21 +241,21 @@
         query: &ChainQuery<'_>,
         max_groups: usize,
     ) -> Result<(), Uncovered> {
-        let asked = Asked {
+        let demand = RequestDemand {
             role: Role::Engine,
             target: query.model,
             layers: query.layers,
-            size: Size {
+            size: RequestSize {
                 prompt: f64::from(query.prompt_tokens),
                 decode: f64::from(query.max_tokens),
                 prefix: query.prefix,
             },
         };
-        self.gather(now, &asked, max_groups);
+        self.gather(now, &demand, max_groups);
         let problem = Problem {
             layers: query.layers,
             candidates: &self.candidates,
-            want: want(now, self.home, asked.size, &self.avoid),
+            context: choice_context(now, self.home, demand.size, &self.avoid),
             links: &self.links,
             tuning: &self.tuning,
         };
@@ -262,15 +263,16 @@
     }
 
     /// Gathers candidates from at most `max_groups` groups that overlap the asked layers.
-    fn gather(&mut self, now: Duration, asked: &Asked<'_>, max_groups: usize) {
+    fn gather(&mut self, now: Duration, demand: &RequestDemand<'_>, max_groups: usize) {
         self.candidates.clear();
-        self.full.clear();
-        let (role, layers) = (asked.role, asked.layers);
+        self.full_layers.clear();
+        let (role, layers) = (demand.role, demand.layers);
         let overlaps = |id: &GroupId| {
-            let held = self.table.index.get(*id).layers;
-            role == Role::Service || (held.first < layers.end && held.end > layers.first)
+            let group_layers = self.table.index.get(*id).layers;
+            role == Role::Service
+                || (group_layers.first < layers.end && group_layers.end > layers.first)
         };
-        let groups = self.table.index.of(role, asked.target);
+        let groups = self.table.index.groups_of(role, demand.target);
         let sampled: Vec<GroupId>;
         let groups = match groups.len() > max_groups {
             false => groups,
@@ -285,20 +287,20 @@
             links: &self.links,
             tuning: &self.tuning,
             rng: &mut self.rng,
-            want: want(now, self.home, asked.size, &self.avoid),
+            context: choice_context(now, self.home, demand.size, &self.avoid),
             out: &mut self.candidates,
         };
         for id in groups.iter().filter(|id| overlaps(id)) {
             let found = gatherer.gather(*id);
-            if found.full {
-                self.full.push(self.table.index.get(*id).layers);
+            if found.at_limit {
+                self.full_layers.push(self.table.index.get(*id).layers);
             }
         }
     }
 
     fn shortage(&mut self, layer: u32) -> NoEndpoint {
         let covers = |l: &wire::Layers| l.first == l.end || l.range().contains(&layer);
-        let shortage = match self.full.iter().any(covers) {
+        let shortage = match self.full_layers.iter().any(covers) {
             true => Shortage::Full {
                 retry_after: self.retry_after(),
             },
@@ -311,21 +313,25 @@
     fn retry_after(&mut self) -> Duration {
         let slowest = self.candidates.iter().map(|c| {
             let slot = self.table.slot(c.slot);
-            slot.measured.latency_us
+            slot.stats.latency_us
         });
-        let us = slowest.fold(0.0, f64::max) * RETRY_LATENCIES;
+        let us = slowest.fold(0.0, f64::max) * RETRY_AFTER_LATENCIES;
         let spread = self.rng.random_range(0.5..1.5);
-        Duration::from_secs_f64(us * spread / 1e6 + MIN_RETRY.as_secs_f64() * spread)
-            .clamp(MIN_RETRY / 2, MAX_RETRY)
+        Duration::from_secs_f64(us * spread / 1e6 + MIN_RETRY_AFTER.as_secs_f64() * spread)
+            .clamp(MIN_RETRY_AFTER / 2, MAX_RETRY_AFTER)
     }
 
-    fn note_chosen(&mut self, now: Duration, chosen: Candidate) {
+    fn record_choice(&mut self, now: Duration, chosen: Candidate) {
         if chosen.probe {
-            self.table.slot_mut(chosen.slot).measured.record.probe(now);
+            self.table
+                .slot_mut(chosen.slot)
+                .stats
+                .breaker
+                .start_probe(now);
         }
         let role = self.table.slot(chosen.slot).endpoint.role;
         if self.tuning.count_chains && role == Role::Engine {
-            self.change_load(chosen.slot, |slot| slot.measured.chosen(now));
+            self.change_load(chosen.slot, |slot| slot.stats.chain_chosen(now));
         }
         let group = self.table.index.get_mut(chosen.group);
         if group.sites.contains_key(&self.home) {
@@ -334,8 +340,13 @@
     }
 }
 
-fn want<'a>(now: Duration, home: Site, size: Size<'a>, avoid: &'a [u32]) -> Want<'a> {
-    Want {
+fn choice_context<'a>(
+    now: Duration,
+    home: Site,
+    size: RequestSize<'a>,
+    avoid: &'a [u32],
+) -> ChoiceContext<'a> {
+    ChoiceContext {
         now,
         home,
         size,
--- a/crates/routing/src/sketch.rs
+++ b/crates/routing/src/sketch.rs
@@ -25,18 +25,21 @@
 impl Sketch {
     /// Notes that `block` was stored.
     pub(crate) fn insert(&mut self, block: u64) {
-        let (set, print) = place(block);
+        let (set, fingerprint) = locate(block);
         let ways = &mut self.sets[set];
-        let at = ways.iter().position(|p| *p == print).unwrap_or(WAYS - 1);
+        let at = ways
+            .iter()
+            .position(|p| *p == fingerprint)
+            .unwrap_or(WAYS - 1);
         ways[..=at].rotate_right(1);
-        ways[0] = print;
+        ways[0] = fingerprint;
     }
 
     /// Notes that `block` was evicted.
     pub(crate) fn remove(&mut self, block: u64) {
-        let (set, print) = place(block);
+        let (set, fingerprint) = locate(block);
         let ways = &mut self.sets[set];
-        if let Some(at) = ways.iter().position(|p| *p == print) {
+        if let Some(at) = ways.iter().position(|p| *p == fingerprint) {
             ways[at..].rotate_left(1);
             ways[WAYS - 1] = 0;
         }
@@ -44,13 +47,13 @@
 
     /// Whether `block` is probably cached.
     pub(crate) fn contains(&self, block: u64) -> bool {
-        let (set, print) = place(block);
-        self.sets[set].contains(&print)
+        let (set, fingerprint) = locate(block);
+        self.sets[set].contains(&fingerprint)
     }
 }
 
 /// The set and the fingerprint of `block`, which is a good hash already.
-fn place(block: u64) -> (usize, u16) {
-    let print = (block >> 48) as u16;
-    (block as usize % SETS, print.max(1))
+fn locate(block: u64) -> (usize, u16) {
+    let fingerprint = (block >> 48) as u16;
+    (block as usize % SETS, fingerprint.max(1))
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     affinity::Member,
+    endpoint_stats::EndpointStats,
     index::{GroupId, GroupKey, Index},
     links::{Site, Sites},
-    measured::Measured,
 };
 
 /// What an endpoint is.
@@ -53,7 +53,7 @@
     /// Nominal microseconds for one layer of one token; 0 for a service.
     pub layer_us: f64,
     /// Whether it takes no new work. In the table: by any sign, not by the list alone.
-    pub leaving: bool,
+    pub draining: bool,
     /// Calls of this host that it hasn't answered.
     pub in_flight: u32,
     /// Whether calls to it go well.
@@ -62,27 +62,27 @@
 
 impl Endpoint {
     /// Whether new work may be sent.
-    pub fn takes_new_work(&self) -> bool {
-        !self.leaving && self.health == Health::Up
+    pub fn accepts_new_work(&self) -> bool {
+        !self.draining && self.health == Health::Up
     }
 }
 
 /// The signs that an endpoint is leaving. Any one is enough.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct LeavingSigns {
+pub(crate) struct DrainSigns {
     /// The list says so.
     pub(crate) listed: bool,
     /// An operator says so.
     pub(crate) intent: bool,
     /// It said so itself, then.
-    pub(crate) told: Option<Duration>,
+    pub(crate) reported_at: Option<Duration>,
     /// Another host says so.
-    pub(crate) shared: bool,
+    pub(crate) reported_by_host: bool,
 }
 
-impl LeavingSigns {
+impl DrainSigns {
     fn any(&self) -> bool {
-        self.listed || self.intent || self.told.is_some() || self.shared
+        self.listed || self.intent || self.reported_at.is_some() || self.reported_by_host
     }
 }
 
@@ -90,8 +90,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Slot {
     pub(crate) endpoint: Endpoint,
-    pub(crate) measured: Measured,
-    pub(crate) signs: LeavingSigns,
+    pub(crate) stats: EndpointStats,
+    pub(crate) signs: DrainSigns,
     pub(crate) group: GroupId,
     pub(crate) site: Site,
     pub(crate) member: Member,
@@ -120,7 +120,7 @@
     pub fn upsert(&mut self, listed: Endpoint) {
         let known = self.by_id.get(&listed.id).copied();
         match known {
-            Some(at) if self.same_life(at, &listed) => self.relist(at, listed),
+            Some(at) if self.is_same_endpoint(at, &listed) => self.update_listed(at, listed),
             Some(at) => {
                 let intent = self.slot(at).signs.intent;
                 let id = listed.id.clone();
@@ -133,12 +133,12 @@
 
     /// Makes the table hold just `listed`: the others are forgotten.
     pub fn replace_all(&mut self, listed: Vec<Endpoint>) {
-        let mut gone: FxHashMap<EndpointId, u32> = self.by_id.clone();
+        let mut missing: FxHashMap<EndpointId, u32> = self.by_id.clone();
         for endpoint in listed {
-            gone.remove(&endpoint.id);
+            missing.remove(&endpoint.id);
             self.upsert(endpoint);
         }
-        for id in gone.keys() {
+        for id in missing.keys() {
             self.remove(id);
         }
     }
@@ -150,7 +150,7 @@
         };
         self.ordered.remove(id);
         self.added.retain(|a| *a != at);
-        self.withdraw(at);
+        self.remove_from_group(at);
         self.slots[at as usize] = None;
         self.free.push(at);
     }
@@ -159,12 +159,12 @@
     ///
     /// An unknown endpoint is passed over. The sign is forgotten with the endpoint, and when its
     /// address changes.
-    pub fn set_leaving(&mut self, id: &EndpointId, leaving: bool) {
+    pub fn set_draining(&mut self, id: &EndpointId, draining: bool) {
         let Some(at) = self.find(id) else {
             return;
         };
-        if self.slot(at).signs.shared != leaving {
-            self.sign(at, |signs| signs.shared = leaving);
+        if self.slot(at).signs.reported_by_host != draining {
+            self.update_signs(at, |signs| signs.reported_by_host = draining);
         }
     }
 
@@ -213,63 +213,63 @@
     }
 
     /// The places of all endpoints.
-    pub(crate) fn places(&self) -> Vec<u32> {
+    pub(crate) fn slot_indices(&self) -> Vec<u32> {
         self.ordered.values().copied().collect()
     }
 
     /// Changes the signs of leaving, and with them whether new work goes there.
-    pub(crate) fn sign(&mut self, at: u32, change: impl FnOnce(&mut LeavingSigns)) {
+    pub(crate) fn update_signs(&mut self, at: u32, change: impl FnOnce(&mut DrainSigns)) {
         let slot = self.slot_mut(at);
         change(&mut slot.signs);
-        slot.endpoint.leaving = slot.signs.any();
-        self.place(at);
+        slot.endpoint.draining = slot.signs.any();
+        self.update_membership(at);
     }
 
     /// Forgets what was measured in an earlier life.
-    pub(crate) fn renew(&mut self, at: u32, incarnation: u64) {
+    pub(crate) fn reset_incarnation(&mut self, at: u32, incarnation: u64) {
         let slot = self.slot_mut(at);
-        let sessions = slot.measured.sessions;
-        slot.measured = Measured {
+        let sessions = slot.stats.sessions;
+        slot.stats = EndpointStats {
             incarnation: Some(incarnation),
             sessions,
-            ..Measured::default()
+            ..EndpointStats::default()
         };
         slot.endpoint.health = Health::Up;
         let group = slot.group;
         self.index.get_mut(group).ejected.retain(|slot| *slot != at);
-        self.sign(at, |signs| signs.told = None);
+        self.update_signs(at, |signs| signs.reported_at = None);
     }
 
-    fn same_life(&self, at: u32, listed: &Endpoint) -> bool {
+    fn is_same_endpoint(&self, at: u32, listed: &Endpoint) -> bool {
         let known = &self.slot(at).endpoint;
         known.addr == listed.addr && known.role == listed.role
     }
 
-    fn relist(&mut self, at: u32, listed: Endpoint) {
+    fn update_listed(&mut self, at: u32, listed: Endpoint) {
         let slot = self.slot_mut(at);
-        if slot.is_listed_as(&listed) {
+        if slot.matches_listing(&listed) {
             slot.endpoint.layer_us = listed.layer_us;
             slot.endpoint.accelerator = listed.accelerator;
             return;
         }
-        self.withdraw(at);
+        self.remove_from_group(at);
         let group = self.index.intern(group_key(&listed));
         let site = self.sites.intern(&listed.data_centre);
         let slot = self.slot_mut(at);
-        if slot.signs.listed && !listed.leaving {
-            slot.signs.told = None;
+        if slot.signs.listed && !listed.draining {
+            slot.signs.reported_at = None;
         }
-        slot.signs.listed = listed.leaving;
+        slot.signs.listed = listed.draining;
         let (in_flight, health) = (slot.endpoint.in_flight, slot.endpoint.health);
         slot.endpoint = Endpoint {
             in_flight,
             health,
-            leaving: slot.signs.any(),
+            draining: slot.signs.any(),
             ..listed
         };
         (slot.group, slot.site) = (group, site);
-        self.count(at);
-        self.place(at);
+        self.add_load_to_group(at);
+        self.update_membership(at);
     }
 
     fn insert(&mut self, listed: Endpoint, intent: bool) {
@@ -277,11 +277,11 @@
             self.slots.push(None);
             self.slots.len() as u32 - 1
         });
-        let signs = LeavingSigns {
-            listed: listed.leaving,
+        let signs = DrainSigns {
+            listed: listed.draining,
             intent,
-            told: None,
-            shared: false,
+            reported_at: None,
+            reported_by_host: false,
         };
         let hash = xxh3::xxh3_64(listed.id.as_str().as_bytes());
         self.by_id.insert(listed.id.clone(), at);
@@ -290,29 +290,29 @@
             group: self.index.intern(group_key(&listed)),
             site: self.sites.intern(&listed.data_centre),
             member: Member { hash, slot: at },
-            measured: Measured::default(),
+            stats: EndpointStats::default(),
             signs,
             endpoint: Endpoint {
                 in_flight: 0,
                 health: Health::Up,
-                leaving: signs.any(),
+                draining: signs.any(),
                 ..listed
             },
         };
         self.slots[at as usize] = Some(Box::new(slot));
         self.added.push(at);
-        self.place(at);
+        self.update_membership(at);
     }
 
     /// Puts an endpoint among those that take new work, or takes it out.
-    fn place(&mut self, at: u32) {
+    fn update_membership(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, member) = (slot.group, slot.site, slot.member);
-        let ejected = slot.measured.record.is_ejected();
-        match slot.endpoint.leaving {
-            true => self.index.part(group, site, member),
+        let ejected = slot.stats.breaker.is_ejected();
+        match slot.endpoint.draining {
+            true => self.index.remove_member(group, site, member),
             false => {
-                self.index.join(group, site, member);
+                self.index.add_member(group, site, member);
                 let list = &mut self.index.get_mut(group).ejected;
                 if ejected && !list.contains(&at) {
                     list.push(at);
@@ -322,35 +322,35 @@
     }
 
     /// Takes an endpoint out of its group, with its load.
-    fn withdraw(&mut self, at: u32) {
+    fn remove_from_group(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, member) = (slot.group, slot.site, slot.member);
-        let own = slot.counted();
-        self.index.part(group, site, member);
-        self.index.get_mut(group).shift(site, own, 0);
+        let own = slot.own_load();
+        self.index.remove_member(group, site, member);
+        self.index.get_mut(group).change_own_load(site, own, 0);
     }
 
     /// Counts an endpoint's load into its group.
-    fn count(&mut self, at: u32) {
+    fn add_load_to_group(&mut self, at: u32) {
         let slot = self.slot(at);
-        let (group, site, own) = (slot.group, slot.site, slot.counted());
-        self.index.get_mut(group).shift(site, 0, own);
+        let (group, site, own) = (slot.group, slot.site, slot.own_load());
+        self.index.get_mut(group).change_own_load(site, 0, own);
     }
 }
 
 impl Slot {
     /// Whether the list says of the endpoint what it said before, as far as choices depend on it.
-    fn is_listed_as(&self, listed: &Endpoint) -> bool {
+    fn matches_listing(&self, listed: &Endpoint) -> bool {
         let known = &self.endpoint;
         known.target == listed.target
             && known.layers == listed.layers
             && known.data_centre == listed.data_centre
-            && self.signs.listed == listed.leaving
+            && self.signs.listed == listed.draining
     }
 
     /// This host's load on the endpoint, as its group counts it.
-    pub(crate) fn counted(&self) -> u32 {
-        self.measured.own(self.endpoint.in_flight) as u32
+    pub(crate) fn own_load(&self) -> u32 {
+        self.stats.own_load(self.endpoint.in_flight) as u32
     }
 }
 
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -4,7 +4,7 @@
 
 /// Who carries activations from one endpoint of a chain to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Drive {
+pub enum ActivationPath {
     /// This host: each hop costs a round trip between the host and the endpoint.
     Relayed,
     /// The endpoints: each hop costs one way between successive endpoints.
@@ -53,7 +53,7 @@
     /// Which mechanisms are on.
     pub mechanisms: Mechanisms,
     /// Who carries activations.
-    pub drive: Drive,
+    pub activation_path: ActivationPath,
     /// How concurrency limits are found.
     pub limit_rule: LimitRule,
     /// Cost of one more prompt position in a step, as a part of the first one's.
@@ -71,7 +71,7 @@
     /// Preferred endpoints carry at most this many times the mean load. More than 1.
     pub load_bound: f64,
     /// Part of the prompt reckoned cached at an endpoint preferred by hash alone, 0 to 1.
-    pub affinity_belief: f64,
+    pub assumed_cached_share: f64,
     /// Age at which a load report counts half.
     pub report_half_life: Duration,
     /// How far other hosts are reckoned to do as this one does between reports, 0 to 1.
@@ -83,7 +83,7 @@
     /// The longest ejection.
     pub max_eject_time: Duration,
     /// The most of a group that may be ejected, 0 to 1.
-    pub max_ejected: f64,
+    pub max_ejected_share: f64,
     /// How long a probe may stay unanswered before another one is let through.
     pub probe_timeout: Duration,
     /// How long slow start lasts.
@@ -91,31 +91,31 @@
     /// Expected cost of one failed attempt.
     pub failure_cost: Duration,
     /// Unanswered work makes an endpoint suspect after this time at the earliest.
-    pub silence: Duration,
+    pub min_silence: Duration,
     /// An endpoint this many times slower than its group is an outlier.
-    pub outlier: f64,
+    pub outlier_ratio: f64,
     /// The most of a group's own load that may run in other data centres while this one has
     /// endpoints of the group, 0 to 1.
-    pub remote_share: f64,
+    pub max_remote_share: f64,
     /// The most that crossing to another data centre may cost, as a multiple of the work there,
     /// while this one has endpoints of the group.
-    pub spill_crossing: f64,
+    pub max_crossing_ratio: f64,
     /// A remote endpoint has to be cheaper by this factor before spilling starts. At least 1.
-    pub spill_start: f64,
+    pub spill_start_ratio: f64,
     /// The same while spilling. At least 1, at most `spill_start`.
-    pub spill_stop: f64,
+    pub spill_stop_ratio: f64,
     /// Whether chains count from their choice to [`crate::Router::released`], which has to be
     /// called then; else only unanswered steps count.
     pub count_chains: bool,
     /// A word of leaving by the endpoint itself holds this long if the list doesn't confirm it.
-    pub leaving_hold: Duration,
+    pub drain_notice_lifetime: Duration,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Self {
             mechanisms: Mechanisms::ALL,
-            drive: Drive::Relayed,
+            activation_path: ActivationPath::Relayed,
             limit_rule: LimitRule::Gradient,
             prefill_factor: 0.02,
             activation_bytes: 8192.0,
@@ -123,24 +123,24 @@
             samples: 8,
             remote_samples: 2,
             load_bound: 1.25,
-            affinity_belief: 0.5,
+            assumed_cached_share: 0.5,
             report_half_life: Duration::from_secs(1),
             herd_factor: 0.5,
             failures_to_eject: 3,
             eject_time: Duration::from_secs(1),
             max_eject_time: Duration::from_secs(60),
-            max_ejected: 1.0 / 3.0,
+            max_ejected_share: 1.0 / 3.0,
             probe_timeout: Duration::from_secs(10),
             slow_start: Duration::from_secs(5),
             failure_cost: Duration::from_secs(1),
-            silence: Duration::from_millis(250),
-            outlier: 2.0,
-            remote_share: 1.0 / 3.0,
-            spill_crossing: 4.0,
-            spill_start: 1.5,
-            spill_stop: 1.1,
+            min_silence: Duration::from_millis(250),
+            outlier_ratio: 2.0,
+            max_remote_share: 1.0 / 3.0,
+            max_crossing_ratio: 4.0,
+            spill_start_ratio: 1.5,
+            spill_stop_ratio: 1.1,
             count_chains: false,
-            leaving_hold: Duration::from_secs(30),
+            drain_notice_lifetime: Duration::from_secs(30),
         }
     }
 }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -9,7 +9,7 @@
 
 proptest! {
     #[test]
-    fn retries_never_pass_their_part_of_requests_and_the_floor(
+    fn retries_stay_within_the_earned_budget(
         calls in prop::collection::vec((any::<bool>(), 0u64..100), 0..500),
     ) {
         let cfg = RetryBudgetConfig::default();
@@ -21,7 +21,7 @@
                 true => retries += u32::from(budget.try_retry(ms(now))),
                 false => {
                     requests += 1;
-                    budget.request(ms(now));
+                    budget.record_first_attempt(ms(now));
                 }
             }
             let earned = cfg.burst
@@ -37,13 +37,13 @@
         let backoff = Backoff::default();
         let wait = backoff.wait(retry, Some(ms(after)), &mut rng);
         prop_assert!(wait >= ms(after) && wait <= ms(after) + backoff.max);
-        let most = backoff.base * 2u32.saturating_pow(retry.min(16));
-        prop_assert!(backoff.wait(retry, None, &mut rng) <= most.min(backoff.max));
+        let max_wait = backoff.base * 2u32.saturating_pow(retry.min(16));
+        prop_assert!(backoff.wait(retry, None, &mut rng) <= max_wait.min(backoff.max));
     }
 }
 
 #[test]
-fn time_alone_earns_a_retry_now_and_then() {
+fn time_alone_refills_the_budget() {
     let mut budget = RetryBudget::new(ms(0), RetryBudgetConfig::default());
     while budget.try_retry(ms(0)) {}
     assert!(!budget.try_retry(ms(1_000)));
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use dragonflyrill_catalogue::entry::{EndpointEntry, EndpointIntent};
-use dragonflyrill_routing::{Drive, Router, Shortage, Tuning, prefix_blocks};
+use dragonflyrill_routing::{ActivationPath, Router, Shortage, Tuning, prefix_blocks};
 use proptest::prelude::*;
 
 proptest! {
@@ -15,17 +15,17 @@
         direct: bool,
     ) {
         let held = |first: u32, len: u32| layers(first, (first + len).min(8));
-        let endpoints: Vec<_> = ranges.iter().enumerate().map(|(i, (first, len, at, leaving))| {
+        let endpoints: Vec<_> = ranges.iter().enumerate().map(|(i, (first, len, at, draining))| {
             let mut e = engine(&format!("e{i}"), ["a", "b", "c"][*at], held(*first, *len));
-            e.leaving = *leaving;
+            e.draining = *draining;
             e
         }).collect();
-        let drive = if direct { Drive::Direct } else { Drive::Relayed };
-        let tuning = Tuning { drive, ..Tuning::default() };
+        let activation_path = if direct { ActivationPath::Direct } else { ActivationPath::Relayed };
+        let tuning = Tuning { activation_path, ..Tuning::default() };
         let mut router = Router::with_tuning(data_centre("a"), seed, tuning);
         endpoints.iter().cloned().for_each(|e| router.table_mut().upsert(e));
         let coverable = (0..8).find(|layer| {
-            !endpoints.iter().any(|e| !e.leaving && e.layers.range().contains(layer))
+            !endpoints.iter().any(|e| !e.draining && e.layers.range().contains(layer))
         });
         match choose(&mut router, ms(1)) {
             Err(e) => {
@@ -39,7 +39,7 @@
                     prop_assert_eq!(hop.layers.first, next);
                     prop_assert!(hop.layers.end > next);
                     let e = router.table().get(&hop.endpoint).unwrap();
-                    prop_assert!(!e.leaving);
+                    prop_assert!(!e.draining);
                     prop_assert!(e.layers.first <= next && hop.layers.end <= e.layers.end);
                     next = hop.layers.end;
                 }
@@ -55,7 +55,7 @@
     #[test]
     fn equal_seeds_and_calls_give_equal_choices(seed: u64, n in 1usize..50) {
         let run = || {
-            let mut router = router(seed, alike(n));
+            let mut router = router(seed, identical_engines(n));
             let chosen = (0..50).map(|i| {
                 let hops = choose(&mut router, ms(i));
                 if let Ok(hops) = &hops {
@@ -77,7 +77,7 @@
         tuning.mechanisms.concurrency = false;
         let bound = tuning.load_bound;
         let mut router = Router::with_tuning(data_centre("a"), seed, tuning);
-        alike(n).into_iter().for_each(|e| router.table_mut().upsert(e));
+        identical_engines(n).into_iter().for_each(|e| router.table_mut().upsert(e));
         let prefix = prefix_blocks(&model(), &[7; 128]);
         for sent in 0..sends {
             let hops = choose_with(&mut router, ms(1), &prefix, &[]).unwrap();
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn a_prompt_comes_back_to_the_endpoint_that_its_prefix_prefers() {
-    let mut router = router(1, alike(30));
+fn a_repeated_prompt_goes_to_the_endpoint_preferred_by_its_prefix() {
+    let mut router = router(1, identical_engines(30));
     let prefix = prefix_blocks(&model(), &[7; 256]);
     let first = choose_with(&mut router, ms(0), &prefix, &[]).unwrap();
     for i in 0..50 {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn blocks_are_chained_and_only_whole_ones_count() {
+fn prefix_hashes_are_chained_and_skip_incomplete_blocks() {
     let a = prefix_blocks(&model(), &[1; 70]);
     let mut changed = [1; 70];
     changed[0] = 2;
@@ -116,16 +116,16 @@
 }
 
 #[test]
-fn events_of_stored_blocks_draw_their_prompts_and_evictions_release_them() {
+fn stored_block_events_attract_matching_prompts_until_eviction() {
     use dragonflyrill_engines::wire::{CacheEvent, CacheEvents};
     let mut tuning = Tuning {
         samples: 4,
-        affinity_belief: 0.0,
+        assumed_cached_share: 0.0,
         ..Tuning::default()
     };
     tuning.prefill_factor = 1.0;
     let mut router = Router::with_tuning(data_centre("a"), 3, tuning);
-    alike(4)
+    identical_engines(4)
         .into_iter()
         .for_each(|e| router.table_mut().upsert(e));
     let prefix = prefix_blocks(&model(), &[9; 128]);
@@ -141,14 +141,14 @@
             })
             .collect(),
     };
-    let drawn = |router: &mut Router| {
+    let count_matching = |router: &mut Router| {
         let chosen = (0..40).map(|i| choose_with(router, ms(i), &prefix, &[]).unwrap());
         chosen.filter(|hops| hops[0].endpoint == id("e002")).count()
     };
-    router.cache_events(ms(0), &id("e002"), &events(true));
-    assert_eq!(drawn(&mut router), 40);
-    router.cache_events(ms(0), &id("e002"), &events(false));
-    assert!(drawn(&mut router) < 40);
+    router.apply_cache_events(ms(0), &id("e002"), &events(true));
+    assert_eq!(count_matching(&mut router), 40);
+    router.apply_cache_events(ms(0), &id("e002"), &events(false));
+    assert!(count_matching(&mut router) < 40);
 }
 
 #[test]
@@ -165,7 +165,7 @@
 #[test]
 fn direct_chains_stay_in_one_data_centre_once_there() {
     let tuning = Tuning {
-        drive: Drive::Direct,
+        activation_path: ActivationPath::Direct,
         ..Tuning::default()
     };
     let mut router = Router::with_tuning(data_centre("a"), 1, tuning);
@@ -188,7 +188,7 @@
 
 #[test]
 fn a_full_data_centre_spills_no_more_than_its_share() {
-    let mut endpoints = alike(3);
+    let mut endpoints = identical_engines(3);
     endpoints.extend((0..30).map(|i| engine(&format!("f{i:02}"), "b", layers(0, 8))));
     let mut router = router(1, endpoints);
     router.set_links(&[link("a", "b", 300, 1000)]);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_data_centre_without_endpoints_uses_others_freely() {
+fn a_data_centre_without_endpoints_uses_others_without_a_limit() {
     let mut router = router(
         1,
         (0..4).map(|i| engine(&format!("f{i}"), "b", layers(0, 8))),
@@ -230,8 +230,8 @@
 }
 
 #[test]
-fn an_endpoint_leaves_by_any_sign_and_returns_when_all_are_gone() {
-    let mut router = router(1, alike(1));
+fn an_endpoint_drains_on_any_sign_and_serves_again_without_signs() {
+    let mut router = router(1, identical_engines(1));
     let name = id("e000");
     let intent = |intent| EndpointEntry {
         id: id("e000"),
@@ -244,46 +244,46 @@
     assert!(choose(&mut router, ms(0)).is_ok());
 
     router.table_mut().upsert(dragonflyrill_routing::Endpoint {
-        leaving: true,
-        ..alike(1).remove(0)
+        draining: true,
+        ..identical_engines(1).remove(0)
     });
     assert!(choose(&mut router, ms(0)).is_err());
-    router.table_mut().upsert(alike(1).remove(0));
+    router.table_mut().upsert(identical_engines(1).remove(0));
     assert!(choose(&mut router, ms(0)).is_ok());
 
     router.sent(ms(1), &name);
-    router.ended(ms(2), &name, dragonflyrill_routing::Outcome::Leaving);
+    router.ended(ms(2), &name, dragonflyrill_routing::Outcome::Draining);
     assert!(choose(&mut router, ms(3)).is_err());
     // The list lags: it doesn't show the leaving yet.
-    router.table_mut().upsert(alike(1).remove(0));
+    router.table_mut().upsert(identical_engines(1).remove(0));
     assert!(choose(&mut router, ms(4)).is_err());
 }
 
 #[test]
-fn an_intent_holds_for_an_endpoint_listed_later() {
+fn an_intent_applies_to_an_endpoint_listed_later() {
     let mut router = router(1, []);
     router.set_intents(&[EndpointEntry {
         id: id("e000"),
         intent: EndpointIntent::Leave,
         checks_fence: false,
     }]);
-    router.table_mut().upsert(alike(1).remove(0));
+    router.table_mut().upsert(identical_engines(1).remove(0));
     assert!(choose(&mut router, ms(0)).is_err());
 }
 
 #[test]
-fn a_word_of_leaving_ends_with_a_new_life_or_after_a_time() {
-    let mut router = router(1, alike(1));
+fn a_drain_notice_ends_with_a_new_incarnation_or_expires() {
+    let mut router = router(1, identical_engines(1));
     let name = id("e000");
-    router.load(ms(0), &report("e000", 1, 0));
+    router.apply_load_report(ms(0), &report("e000", 1, 0));
     let leave = |router: &mut Router, now| {
         router.sent(now, &name);
-        router.ended(now, &name, dragonflyrill_routing::Outcome::Leaving);
+        router.ended(now, &name, dragonflyrill_routing::Outcome::Draining);
     };
     leave(&mut router, ms(1));
-    router.load(ms(2), &report("e000", 1, 0));
+    router.apply_load_report(ms(2), &report("e000", 1, 0));
     assert!(choose(&mut router, ms(3)).is_err());
-    router.load(ms(4), &report("e000", 2, 0));
+    router.apply_load_report(ms(4), &report("e000", 2, 0));
     assert!(choose(&mut router, ms(5)).is_ok());
     leave(&mut router, ms(6));
     assert!(choose(&mut router, ms(29_000)).is_err());
@@ -291,16 +291,16 @@
 }
 
 #[test]
-fn replacing_the_list_forgets_what_is_gone_and_keeps_what_was_measured() {
-    let mut router = router(1, alike(3));
+fn replacing_the_list_removes_missing_endpoints_and_keeps_measurements() {
+    let mut router = router(1, identical_engines(3));
     router.sent(ms(0), &id("e001"));
-    router.table_mut().replace_all(alike(2));
+    router.table_mut().replace_all(identical_engines(2));
     assert_eq!(router.table().len(), 2);
     assert_eq!(router.table().get(&id("e001")).unwrap().in_flight, 1);
 }
 
 /// One engine here and one behind a very slow link.
-fn near_and_far() -> Router {
+fn local_and_remote_router() -> Router {
     let far = engine("far", "b", layers(0, 8));
     let mut router = router(1, [engine("near", "a", layers(0, 8)), far]);
     router.set_links(&[link("a", "b", 30_000, 10)]);
@@ -309,7 +309,7 @@
 
 #[test]
 fn a_full_data_centre_does_not_spill_over_a_link_that_costs_far_more_than_the_work() {
-    let mut router = near_and_far();
+    let mut router = local_and_remote_router();
     let mut now = ms(0);
     let refused = loop {
         now += ms(1);
@@ -325,8 +325,8 @@
 }
 
 #[test]
-fn the_slowest_link_is_better_than_no_endpoint_here() {
-    let mut router = near_and_far();
+fn a_remote_endpoint_is_used_over_a_slow_link_if_no_local_one_is_usable() {
+    let mut router = local_and_remote_router();
     let hops = choose_with(&mut router, ms(0), &[], &[id("near")]).unwrap();
     assert_eq!(hops[0].endpoint, id("far"));
     for _ in 0..3 {
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -37,7 +37,7 @@
         layers: held,
         accelerator: "a".into(),
         layer_us: 50.0,
-        leaving: false,
+        draining: false,
         in_flight: 0,
         health: Health::Up,
     }
@@ -62,7 +62,7 @@
 }
 
 /// `n` alike engines in data centre `a`, each holding all of eight layers.
-pub(crate) fn alike(n: usize) -> Vec<Endpoint> {
+pub(crate) fn identical_engines(n: usize) -> Vec<Endpoint> {
     (0..n)
         .map(|i| engine(&format!("e{i:03}"), "a", layers(0, 8)))
         .collect()
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -18,7 +18,7 @@
 }
 
 /// Sends one request every 10 ms from `from` to `until`, to be ended at once by `outcome`; counts.
-fn drive(
+fn run_requests(
     router: &mut Router,
     from: u64,
     until: u64,
@@ -35,12 +35,12 @@
 
 proptest! {
     #[test]
-    fn ejections_stay_within_their_share_and_take_no_work_but_one_probe(
+    fn ejections_stay_within_the_cap_and_ejected_endpoints_get_one_probe_at_a_time(
         seed: u64,
         n in 1usize..30,
         steps in prop::collection::vec((0u8..4, 0u64..400), 1..200),
     ) {
-        let mut router = router(seed, alike(n));
+        let mut router = router(seed, identical_engines(n));
         let cap = if n < 2 { 0 } else { (n / 3).max(1) };
         let mut out: Vec<EndpointId> = Vec::new();
         let mut probing: BTreeMap<EndpointId, std::time::Duration> = BTreeMap::new();
@@ -76,51 +76,51 @@
 }
 
 #[test]
-fn a_dead_endpoint_gets_almost_nothing() {
-    let mut router = router(1, alike(10));
-    let dead = id("e003");
-    let counts = drive(&mut router, 0, 20_000, |e| match *e == dead {
+fn a_failing_endpoint_gets_almost_no_requests() {
+    let mut router = router(1, identical_engines(10));
+    let failing = id("e003");
+    let counts = run_requests(&mut router, 0, 20_000, |e| match *e == failing {
         true => Outcome::Failed,
         false => ok(5),
     });
     // Of 2,000; an even share is 200. Each ejection is twice as long as the one before.
-    println!("{} of 2000", counts[&dead]);
-    assert!(counts[&dead] <= 10, "{}", counts[&dead]);
+    println!("{} of 2000", counts[&failing]);
+    assert!(counts[&failing] <= 10, "{}", counts[&failing]);
     assert_eq!(ejected(&router), 1);
 }
 
 #[test]
-fn a_dead_endpoint_beyond_the_cap_gets_almost_nothing() {
-    let mut router = router(1, alike(6));
-    let dead = [id("e000"), id("e001"), id("e002"), id("e003")];
-    let counts = drive(&mut router, 0, 20_000, |e| match dead.contains(e) {
+fn failing_endpoints_beyond_the_ejection_cap_get_almost_no_requests() {
+    let mut router = router(1, identical_engines(6));
+    let failing = [id("e000"), id("e001"), id("e002"), id("e003")];
+    let counts = run_requests(&mut router, 0, 20_000, |e| match failing.contains(e) {
         true => Outcome::Failed,
         false => ok(5),
     });
-    let wasted: u32 = dead.iter().filter_map(|e| counts.get(e)).sum();
+    let wasted: u32 = failing.iter().filter_map(|e| counts.get(e)).sum();
     println!("{wasted} of 2000");
     assert!(wasted <= 60, "{wasted}");
     assert_eq!(ejected(&router), 2);
 }
 
 #[test]
-fn a_returned_endpoint_is_taken_back_after_one_answered_probe() {
-    let mut router = router(1, alike(4));
-    let hurt = id("e002");
-    drive(&mut router, 0, 2_000, |e| match *e == hurt {
+fn an_ejected_endpoint_is_restored_after_one_answered_probe() {
+    let mut router = router(1, identical_engines(4));
+    let failing = id("e002");
+    run_requests(&mut router, 0, 2_000, |e| match *e == failing {
         true => Outcome::Failed,
         false => ok(5),
     });
-    let counts = drive(&mut router, 30_000, 60_000, |_| ok(5));
+    let counts = run_requests(&mut router, 30_000, 60_000, |_| ok(5));
     assert_eq!(ejected(&router), 0);
-    assert!(counts[&hurt] > 300, "{}", counts[&hurt]);
+    assert!(counts[&failing] > 300, "{}", counts[&failing]);
 }
 
 #[test]
 fn a_frozen_endpoint_is_avoided_before_its_calls_time_out() {
-    let mut router = router(1, alike(4));
+    let mut router = router(1, identical_engines(4));
     let frozen = id("e001");
-    drive(&mut router, 0, 2_000, |_| ok(5));
+    run_requests(&mut router, 0, 2_000, |_| ok(5));
     let mut late = 0;
     for t in (2_000..4_000).step_by(10) {
         let endpoint = send_one(&mut router, ms(t));
@@ -133,54 +133,54 @@
 }
 
 #[test]
-fn one_timeout_counts_at_once() {
-    let mut router = router(1, alike(4));
-    drive(&mut router, 0, 1_000, |_| ok(5));
+fn one_failed_call_makes_an_endpoint_suspect_at_once() {
+    let mut router = router(1, identical_engines(4));
+    run_requests(&mut router, 0, 1_000, |_| ok(5));
     router.sent(ms(1_000), &id("e001"));
     router.ended(ms(1_001), &id("e001"), Outcome::Failed);
-    let counts = drive(&mut router, 1_010, 1_900, |_| ok(5));
+    let counts = run_requests(&mut router, 1_010, 1_900, |_| ok(5));
     assert_eq!(counts.get(&id("e001")), None);
 }
 
 #[test]
-fn an_endpoint_slower_than_its_kind_gets_less() {
-    let mut router = router(1, alike(8));
+fn an_endpoint_slower_than_its_group_gets_fewer_requests() {
+    let mut router = router(1, identical_engines(8));
     let slow = id("e005");
-    let counts = drive(&mut router, 0, 10_000, |e| {
+    let counts = run_requests(&mut router, 0, 10_000, |e| {
         ok(if *e == slow { 100 } else { 5 })
     });
     assert!(counts[&slow] < 30, "{} of 1000", counts[&slow]);
 }
 
 #[test]
-fn a_new_endpoint_is_given_its_work_by_and_by() {
-    let mut router = router(1, alike(4));
-    drive(&mut router, 0, 1_000, |_| ok(5));
+fn slow_start_ramps_up_the_requests_of_a_new_endpoint() {
+    let mut router = router(1, identical_engines(4));
+    run_requests(&mut router, 0, 1_000, |_| ok(5));
     router.table_mut().upsert(engine("new", "a", layers(0, 8)));
-    let early = drive(&mut router, 1_000, 2_000, |_| ok(5));
-    let later = drive(&mut router, 10_000, 11_000, |_| ok(5));
+    let early = run_requests(&mut router, 1_000, 2_000, |_| ok(5));
+    let later = run_requests(&mut router, 10_000, 11_000, |_| ok(5));
     let share = |counts: &BTreeMap<EndpointId, u32>| counts.get(&id("new")).copied().unwrap_or(0);
     assert!(share(&early) <= 5, "{early:?}");
     assert!(share(&later) >= 10, "{later:?}");
 }
 
 #[test]
-fn another_life_starts_fresh() {
-    let mut router = router(1, alike(4));
-    let hurt = id("e002");
-    router.load(ms(0), &report("e002", 1, 0));
+fn a_new_incarnation_resets_the_measurements() {
+    let mut router = router(1, identical_engines(4));
+    let failing = id("e002");
+    router.apply_load_report(ms(0), &report("e002", 1, 0));
     for _ in 0..3 {
-        router.sent(ms(1), &hurt);
-        router.ended(ms(2), &hurt, Outcome::Failed);
+        router.sent(ms(1), &failing);
+        router.ended(ms(2), &failing, Outcome::Failed);
     }
     assert_eq!(ejected(&router), 1);
-    router.load(ms(2_000), &report("e002", 2, 0));
+    router.apply_load_report(ms(2_000), &report("e002", 2, 0));
     assert_eq!(ejected(&router), 0);
 }
 
 #[test]
-fn endpoints_at_their_limit_answer_full_with_a_time_to_come_back() {
-    let mut router = router(1, alike(2));
+fn endpoints_at_their_limits_give_a_full_shortage_with_retry_after() {
+    let mut router = router(1, identical_engines(2));
     let refused = (0..200).find_map(|_| match choose(&mut router, ms(1)) {
         Ok(hops) => {
             router.sent(ms(1), &hops[0].endpoint);
@@ -201,7 +201,7 @@
     // Answers take longer the more is in flight, as in a queue served one by one.
     let tuning = Tuning::default();
     let mut router = Router::with_tuning(data_centre("a"), 1, tuning);
-    router.table_mut().upsert(alike(1).remove(0));
+    router.table_mut().upsert(identical_engines(1).remove(0));
     let fill = |router: &mut Router, now: u64, each_ms: u64| {
         let mut sent = 0;
         while let Ok(hops) = choose(router, ms(now)) {
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_service_prefers_the_idle_and_leaves_out_the_avoided() {
+fn a_service_call_skips_avoided_endpoints() {
     let mut router = router(1, (0..3).map(|i| service(&format!("s{i}"), "a")));
     let name = service("s0", "a").target;
     for _ in 0..9 {
--- a/crates/routing/tests/herd.rs
+++ b/crates/routing/tests/herd.rs
@@ -15,12 +15,15 @@
 const ENDPOINTS: usize = 30;
 const HOSTS: usize = 16;
 /// Requests of each host a second; each runs a second.
-const RATE: u64 = 40;
+const REQUESTS_PER_SECOND: u64 = 40;
 
 /// The highest load of an endpoint over the mean, after some seconds of reports a second old.
-fn imbalance(hosts: &mut [Box<dyn Policy>]) -> f64 {
-    let names: Vec<_> = alike(ENDPOINTS).into_iter().map(|e| e.id).collect();
-    let mut ends: VecDeque<(u64, usize, EndpointId)> = VecDeque::new();
+fn max_imbalance(hosts: &mut [Box<dyn Policy>]) -> f64 {
+    let names: Vec<_> = identical_engines(ENDPOINTS)
+        .into_iter()
+        .map(|e| e.id)
+        .collect();
+    let mut pending_ends: VecDeque<(u64, usize, EndpointId)> = VecDeque::new();
     let mut load = BTreeMap::new();
     let model = model();
     let mut worst: f64 = 0.0;
@@ -32,12 +35,14 @@
                     age_ms: 0,
                     ..report(name.as_str(), 1, running)
                 };
-                hosts.iter_mut().for_each(|h| h.load(ms(t), &report));
+                hosts
+                    .iter_mut()
+                    .for_each(|h| h.apply_load_report(ms(t), &report));
             }
         }
-        while ends.front().is_some_and(|(at, ..)| *at <= t) {
-            let (_, host, endpoint) = ends.pop_front().unwrap();
-            let work = dragonflyrill_routing::Work {
+        while pending_ends.front().is_some_and(|(at, ..)| *at <= t) {
+            let (_, host, endpoint) = pending_ends.pop_front().unwrap();
+            let work = dragonflyrill_routing::StepSize {
                 layers: layers(0, 8),
                 positions: 1,
             };
@@ -45,7 +50,7 @@
             *load.get_mut(&endpoint).unwrap() -= 1;
         }
         for (host, policy) in hosts.iter_mut().enumerate() {
-            if !(t + host as u64 * 7).is_multiple_of(1_000 / RATE) {
+            if !(t + host as u64 * 7).is_multiple_of(1_000 / REQUESTS_PER_SECOND) {
                 continue;
             }
             let query = ChainQuery {
@@ -60,30 +65,30 @@
             let endpoint = hops[0].endpoint.clone();
             policy.sent(ms(t), &endpoint);
             *load.entry(endpoint.clone()).or_insert(0) += 1;
-            ends.push_back((t + 1_000, host, endpoint));
+            pending_ends.push_back((t + 1_000, host, endpoint));
         }
         if t >= 2_000 {
-            let most = load.values().copied().max().unwrap_or(0);
+            let highest = load.values().copied().max().unwrap_or(0);
             let mean = f64::from(load.values().sum::<u32>()) / ENDPOINTS as f64;
-            worst = worst.max(f64::from(most) / mean);
+            worst = worst.max(f64::from(highest) / mean);
         }
     }
     worst
 }
 
 #[test]
-fn hosts_do_not_herd_on_a_lagged_report() {
+fn hosts_with_lagged_reports_do_not_overload_single_endpoints() {
     let mut routers: Vec<Box<dyn Policy>> = Vec::new();
     let mut least: Vec<Box<dyn Policy>> = Vec::new();
     for host in 0..HOSTS {
-        routers.push(Box::new(router(host as u64, alike(ENDPOINTS))));
+        routers.push(Box::new(router(host as u64, identical_engines(ENDPOINTS))));
         let mut baseline = LeastReported::default();
-        alike(ENDPOINTS)
+        identical_engines(ENDPOINTS)
             .into_iter()
             .for_each(|e| baseline.table_mut().upsert(e));
         least.push(Box::new(baseline));
     }
-    let (ours, theirs) = (imbalance(&mut routers), imbalance(&mut least));
+    let (ours, theirs) = (max_imbalance(&mut routers), max_imbalance(&mut least));
     println!("max/mean load: {ours:.2}, by least reported load {theirs:.2}");
     assert!(ours < 2.0, "{ours}");
     assert!(theirs > 3.0 * ours, "{theirs}");
