--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,19 +1,20 @@
-//! Which endpoints a request goes to.
+//! Selects the endpoints that serve a request.
 //!
-//! A [`Router`] is told what happened (lists, load reports, cache events, sent work and how it
-//! ended) and answers with chains of engines or with a service's endpoint. It holds no sockets,
-//! reads no clock and draws randomness from its own seeded generator: the same calls give the same
-//! choices.
+//! A [`Router`] receives events (endpoint lists, load reports, cache events, steps sent and their
+//! outcomes) and returns chains of engines or an endpoint of a service. It opens no sockets, reads
+//! no clock and draws random numbers from its own seeded generator, so equal sequences of calls
+//! give equal choices.
 //!
-//! A choice goes in three steps. [`EndpointTable`] keeps endpoints in groups that run the same
-//! layers of the same model. A few candidates of each group are gathered: the one that the
-//! prompt's prefix prefers, some by chance, some of other data centres, and an ejected one that is
-//! due for a probe. The cheapest chain through them is found by dynamic programming over layer
-//! boundaries, where cost is expected time: compute under the estimated load, links, and the risk
-//! of failing. So a choice costs the same for a group of ten and of a thousand.
+//! A choice has three steps. [`EndpointTable`] keeps endpoints in groups that run the same layers
+//! of the same model. From each group a few candidates are gathered: the one preferred for the
+//! prompt's prefix, some random ones, some in other data centres, and an ejected one whose probe is
+//! due. Dynamic programming over layer boundaries then finds the cheapest chain through the
+//! candidates, where cost is expected time: compute time under the estimated load, transfer time
+//! over links, and the risk of failure. A choice therefore costs the same in a group of ten
+//! endpoints as in one of a thousand.
 //!
-//! Start with [`Router::choose_chain`]. [`Tuning`] has all numbers and switches; [`budget`] bounds
-//! retries; [`baseline`] has simpler rules to compare with.
+//! The entry point is [`Router::choose_chain`]. [`Tuning`] holds all parameters and switches,
+//! [`budget`] bounds retries, and [`baseline`] has simpler policies for comparison.
 
 pub mod baseline;
 pub mod budget;
@@ -44,16 +45,16 @@
 pub use table::{Endpoint, EndpointTable, Health, Role};
 pub use tuning::{ActivationPath, LimitRule, Mechanisms, Tuning};
 
-/// One endpoint's part of a chosen chain.
+/// One stage of a chosen chain: an endpoint and the layers it runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hop {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The layers it is to run.
+    /// The layers that the endpoint runs.
     pub layers: wire::Layers,
 }
 
-/// What a chain is wanted for.
+/// A request for a chain.
 #[derive(Debug, Clone)]
 pub struct ChainQuery<'a> {
     /// The model.
@@ -64,38 +65,38 @@
     pub prompt_tokens: u32,
     /// Tokens to generate.
     pub max_tokens: u32,
-    /// Hashes of the prompt's prefix blocks, as [`prefix_blocks`] makes them.
+    /// Hashes of the prompt's prefix blocks, as returned by [`prefix_blocks`].
     pub prefix: &'a [u64],
-    /// Endpoints not to use.
+    /// Endpoints that must not be chosen.
     pub avoid: &'a [EndpointId],
 }
 
-/// The size of a step.
+/// The amount of work in one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepSize {
-    /// The layers run.
+    /// The layers that the step runs.
     pub layers: wire::Layers,
-    /// The positions run.
+    /// The number of positions that the step processes.
     pub positions: u32,
 }
 
-/// No live endpoints cover what was asked for.
+/// No usable endpoint covers some requested layer, or the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoEndpoint {
     /// The first layer without an endpoint; 0 for a service.
     pub layer: u32,
-    /// Why there is none.
+    /// Why no endpoint is usable.
     pub shortage: Shortage,
 }
 
-/// Why there is no endpoint.
+/// Why no endpoint is usable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortage {
-    /// None is live.
+    /// No endpoint that accepts new work covers the layer.
     Missing,
-    /// All are at their limits.
+    /// The remaining endpoints are at their concurrency limits.
     Full {
-        /// When to come back; spread by chance.
+        /// Time after which to retry, with random jitter.
         retry_after: Duration,
     },
 }
@@ -103,17 +104,17 @@
 /// How a call to an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered after `latency`.
+    /// The endpoint answered after `latency`.
     Ok {
-        /// From sending to the answer.
+        /// Time from sending the call to receiving the answer.
         latency: Duration,
     },
-    /// It refused: busy.
+    /// The endpoint refused the call because it is busy.
     Busy,
-    /// It refused: it is leaving.
+    /// The endpoint refused the call because it is draining.
     Draining,
-    /// It failed, or did not answer in time.
+    /// The call failed or timed out.
     Failed,
-    /// This host gave the work up; nothing is known of the endpoint.
+    /// This host abandoned the call; the outcome tells nothing about the endpoint.
     Abandoned,
 }
