--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -1,43 +1,45 @@
-//! The numbers and switches of the decisions.
+//! Parameters and switches of the routing decisions.
 
 use std::time::Duration;
 
-/// Who carries activations from one endpoint of a chain to the next.
+/// How activations travel from one endpoint of a chain to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ActivationPath {
-    /// This host: each hop costs a round trip between the host and the endpoint.
+    /// Through this host: each hop costs a round trip between the host and the endpoint.
     Relayed,
-    /// The endpoints: each hop costs one way between successive endpoints.
+    /// Directly between endpoints: each hop costs one one-way transfer between successive
+    /// endpoints.
     Direct,
 }
 
-/// How an endpoint's concurrency limit follows its latency.
+/// How an endpoint's concurrency limit is adapted to its latency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitRule {
-    /// The limit shrinks in proportion to the latency's rise over its floor.
+    /// The limit shrinks in proportion to the rise of the latency over its floor.
     Gradient,
-    /// The limit climbs towards the best measured throughput for its latency, and starts over
-    /// when the latency shifts.
+    /// Hill climbing towards the best measured ratio of throughput to latency; restarts when the
+    /// latency shifts.
     HillClimb,
 }
 
-/// Switches, one for each mechanism, so that its worth can be measured.
+/// One switch for each mechanism, so that the effect of each can be measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Prefer endpoints likely to hold the prompt's prefix.
+    /// Prefer endpoints that are likely to have the prompt's prefix cached.
     pub affinity: bool,
-    /// Sample candidates; else the apparently best of all is taken.
+    /// Sample candidates at random; otherwise the endpoint with the lowest estimated cost of all is
+    /// used.
     pub power_of_two: bool,
-    /// Eject and deprioritise endpoints that fail or are slow.
+    /// Eject or deprioritise endpoints that fail or are slow.
     pub health: bool,
-    /// Give a new or returned endpoint little work at first.
+    /// Give a new or restored endpoint a reduced, growing share of work.
     pub slow_start: bool,
     /// Refuse work for endpoints at their concurrency limit.
     pub concurrency: bool,
 }
 
 impl Mechanisms {
-    /// All of them.
+    /// All mechanisms on.
     pub const ALL: Self = Self {
         affinity: true,
         power_of_two: true,
@@ -47,67 +49,75 @@
     };
 }
 
-/// What the decisions are made with.
+/// Parameters of the routing decisions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tuning {
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
-    /// Who carries activations.
+    /// How activations travel between endpoints.
     pub activation_path: ActivationPath,
-    /// How concurrency limits are found.
+    /// How concurrency limits are adapted.
     pub limit_rule: LimitRule,
-    /// Cost of one more prompt position in a step, as a part of the first one's.
+    /// Cost of each further prompt position in a step, as a fraction of the cost of the first.
     pub prefill_factor: f64,
-    /// Bytes of one position's activation.
+    /// Size of the activation of one position, in bytes.
     pub activation_bytes: f64,
-    /// Load at which an endpoint is reckoned half as fast as an idle one. More than 0.
+    /// Load at which an endpoint is estimated to be half as fast as an idle one. More than 0.
     pub load_scale: f64,
-    /// Candidates sampled for each group in the nearest data centre. At least 1.
+    /// Candidates sampled from each group in the nearest data centre. At least 1.
     ///
-    /// Two suffice among equals. With five kinds of accelerators, two often miss the fast ones.
+    /// Two candidates suffice among equal endpoints. With five kinds of accelerators, two
+    /// candidates often miss the fast ones.
     pub samples: usize,
-    /// The same in each other data centre looked at. At least 1.
+    /// Candidates sampled from each group in each other data centre that is considered. At least 1.
     pub remote_samples: usize,
-    /// Preferred endpoints carry at most this many times the mean load. More than 1.
+    /// The load of an endpoint preferred by prefix is at most this multiple of the mean load of its
+    /// group. More than 1.
     pub load_bound: f64,
-    /// Part of the prompt reckoned cached at an endpoint preferred by hash alone, 0 to 1.
+    /// Fraction of the prompt assumed to be cached at an endpoint that is preferred by hash alone,
+    /// 0 to 1.
     pub assumed_cached_share: f64,
-    /// Age at which a load report counts half.
+    /// Age at which a load report has half its initial weight.
     pub report_half_life: Duration,
-    /// How far other hosts are reckoned to do as this one does between reports, 0 to 1.
+    /// Factor by which this host's change in load since a report is assumed to have happened on
+    /// other hosts too, 0 to 1. It counters thundering herds.
     pub herd_factor: f64,
-    /// Consecutive failures that eject. At least 1.
+    /// Number of consecutive failures after which an endpoint is ejected. At least 1.
     pub failures_to_eject: u32,
-    /// The first ejection's time; doubled with each further one.
+    /// Duration of the first ejection; each further one lasts twice as long as the one before.
     pub eject_time: Duration,
-    /// The longest ejection.
+    /// The longest duration of an ejection.
     pub max_eject_time: Duration,
-    /// The most of a group that may be ejected, 0 to 1.
+    /// The largest fraction of a group that may be ejected, 0 to 1.
     pub max_ejected_share: f64,
-    /// How long a probe may stay unanswered before another one is let through.
+    /// Time after which an unanswered probe is considered lost and another one may be sent.
     pub probe_timeout: Duration,
-    /// How long slow start lasts.
+    /// Duration of slow start.
     pub slow_start: Duration,
     /// Expected cost of one failed attempt.
     pub failure_cost: Duration,
-    /// Unanswered work makes an endpoint suspect after this time at the earliest.
+    /// The shortest time without an answer after which an endpoint with outstanding work is
+    /// suspect.
     pub min_silence: Duration,
-    /// An endpoint this many times slower than its group is an outlier.
+    /// An endpoint slower than the mean of its group by more than this factor is an outlier.
     pub outlier_ratio: f64,
-    /// The most of a group's own load that may run in other data centres while this one has
-    /// endpoints of the group, 0 to 1.
+    /// The largest fraction of this host's load on a group that may run in other data centres while
+    /// this data centre has endpoints of the group, 0 to 1.
     pub max_remote_share: f64,
-    /// The most that crossing to another data centre may cost, as a multiple of the work there,
-    /// while this one has endpoints of the group.
+    /// The highest cost of crossing to another data centre, as a multiple of the cost of the work
+    /// there, while this data centre has endpoints of the group.
     pub max_crossing_ratio: f64,
-    /// A remote endpoint has to be cheaper by this factor before spilling starts. At least 1.
+    /// A remote endpoint has to be cheaper than a local one by this factor before spilling starts.
+    /// At least 1.
     pub spill_start_ratio: f64,
-    /// The same while spilling. At least 1, at most `spill_start`.
+    /// The factor by which a remote endpoint has to be cheaper to continue spilling. At least 1, at
+    /// most `spill_start_ratio`.
     pub spill_stop_ratio: f64,
-    /// Whether chains count from their choice to [`crate::Router::released`], which has to be
-    /// called then; else only unanswered steps count.
+    /// Whether a chain counts as load from its choice until [`crate::Router::released`], which the
+    /// caller must then call. Otherwise only unanswered steps count as load.
     pub count_chains: bool,
-    /// A word of leaving by the endpoint itself holds this long if the list doesn't confirm it.
+    /// How long an endpoint's own notice that it is draining is valid if the list does not confirm
+    /// it.
     pub drain_notice_lifetime: Duration,
 }
 
