--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -1,18 +1,19 @@
-//! Which endpoints of a group a prompt prefers, so that its prefix is cached where it comes again.
+//! Prefix affinity: maps a prompt to a preferred endpoint of a group, so that later prompts with
+//! the same prefix find it cached there.
 
 use dragonflyrill_catalogue::TargetName;
 use xxhash_rust::xxh3;
 
-/// Positions in one prefix block.
+/// Number of positions in one prefix block.
 pub const BLOCK_POSITIONS: usize = 32;
-/// Leading blocks that decide which endpoints are preferred.
+/// Number of leading blocks that form the affinity key.
 const KEY_BLOCKS: usize = 2;
-/// Members of a group among which rendezvous hashing decides.
+/// Number of members of a group that rendezvous hashing compares for one key.
 const RENDEZVOUS_WINDOW: usize = 16;
 
-/// The hashes of the whole blocks of `prompt`, each chained to the one before.
+/// Returns the hashes of the complete blocks of `prompt`, each chained to the one before.
 ///
-/// Equal hashes mean equal models and equal prompts up to the block's end.
+/// Equal hashes mean equal models and equal prompts up to the end of the block.
 pub fn prefix_blocks(model: &TargetName, prompt: &[u64]) -> Vec<u64> {
     let seed = xxh3::xxh3_64(model.as_str().as_bytes());
     let blocks = prompt
@@ -28,25 +29,26 @@
     blocks.collect()
 }
 
-/// What decides a prompt's preferred endpoints; `None` for a prompt shorter than a block.
+/// Returns the affinity key of a prompt; `None` for a prompt shorter than one block.
 pub(crate) fn key(prefix: &[u64]) -> Option<u64> {
     prefix.iter().take(KEY_BLOCKS).next_back().copied()
 }
 
-/// A member of a group, ordered by the hash of its id.
+/// A member of a group, ordered by the hash of its endpoint id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Member {
-    /// The hash of the id.
+    /// The hash of the endpoint id.
     pub(crate) hash: u64,
-    /// The endpoint's place in the table.
+    /// The index of the endpoint's slot in the table.
     pub(crate) slot: u32,
 }
 
-/// The preferred member for `key` among those that are `fit`.
+/// Returns the slot of the preferred member for `key` among those for which `is_eligible` holds.
 ///
-/// `ring` is ordered. Rendezvous hashing over the members that follow the key on the ring: a member
-/// that joins or leaves changes the choice of few keys. A full or hurt member gives way to the next
-/// in the key's own order, so that keys spread differently.
+/// `ring` must be sorted. Uses rendezvous hashing over the members that follow the key on the ring:
+/// a member that joins or leaves changes the choice of few keys. If the first member is not
+/// eligible, the next one in the order of this key is used, so the keys of an ineligible member
+/// spread over different members.
 pub(crate) fn preferred(
     ring: &[Member],
     key: u64,
@@ -64,7 +66,7 @@
     best.map(|(_, slot)| slot)
 }
 
-/// A well-spread hash of `x`: the finalizer of SplitMix64.
+/// Returns a well-distributed hash of `x`: the finalizer of SplitMix64.
 fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
