--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,71 +1,72 @@
-//! Whether an endpoint answers: learnt from the outcomes of its calls alone.
+//! A circuit breaker for each endpoint, driven by the outcomes of its calls alone.
 
 use std::time::Duration;
 
 use crate::Tuning;
 
-/// Weight of the newest outcome in the failure rate.
+/// Weight of the newest outcome in the moving average of the failure rate.
 const OUTCOME_WEIGHT: f32 = 0.1;
-/// Failure rate that ejects.
+/// Failure rate above which an endpoint is ejected.
 const EJECT_FAILURE_RATE: f32 = 0.5;
-/// Halvings of the failure rate in the time that an endpoint is suspect after a failure.
+/// Number of times the failure rate halves during the time that an endpoint is suspect after a
+/// failure.
 const FAILURE_RATE_HALVINGS: f64 = 4.0;
-/// Failure rates below this count as none.
+/// Failure rates below this are treated as zero.
 const MIN_FAILURE_RATE: f64 = 0.001;
-/// Calls before the failure rate counts.
+/// Number of calls before the failure rate can eject an endpoint.
 const MIN_CALLS: u32 = 10;
 
-/// The breaker of one endpoint.
+/// The state of a circuit breaker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum BreakerState {
-    /// Work flows.
+    /// Calls are allowed.
     #[default]
     Closed,
-    /// No work until then.
+    /// No calls are allowed before `until`.
     Open {
-        /// When a probe may be sent.
+        /// The time from which a probe may be sent.
         until: Duration,
     },
-    /// One probe is out.
+    /// One probe is outstanding.
     Probing {
-        /// When it was chosen.
+        /// When the probe was chosen.
         since: Duration,
     },
 }
 
-/// What an outcome asks of the endpoint's group.
+/// The change to the endpoint's group that an outcome requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BreakerAction {
-    /// Nothing.
+    /// No change.
     NoChange,
-    /// Eject the endpoint, if the group's cap allows it.
+    /// Eject the endpoint, if the group's ejection cap allows it.
     Eject,
-    /// The probe was answered: take the endpoint back.
+    /// The probe was answered: end the ejection.
     Restore,
 }
 
-/// Outcomes of one endpoint's calls.
+/// The circuit breaker of one endpoint, with the outcomes of its calls.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CircuitBreaker {
     state: BreakerState,
     consecutive_failures: u32,
     calls: u32,
     failure_rate: f32,
-    /// Ejections since the endpoint was last forgiven; the exponent of the next one's time.
+    /// Ejections since the count was last reset; the exponent of the duration of the next one.
     ejections: u32,
-    /// When it was last taken back.
+    /// When an ejection last ended.
     restored_at: Duration,
     /// When a call last failed.
     failed_at: Duration,
 }
 
 impl CircuitBreaker {
-    /// Whether the breaker keeps normal work away.
+    /// Whether the breaker blocks normal calls.
     pub(crate) fn is_ejected(&self) -> bool {
         self.state != BreakerState::Closed
     }
 
-    /// Whether one probe may be chosen now.
+    /// Whether a probe may be sent now.
     pub(crate) fn is_probe_due(&self, now: Duration, tuning: &Tuning) -> bool {
         match self.state {
             BreakerState::Closed => false,
@@ -74,34 +75,35 @@
         }
     }
 
-    /// Notes that the one probe was chosen.
+    /// Records that a probe was chosen.
     pub(crate) fn start_probe(&mut self, now: Duration) {
         self.state = BreakerState::Probing { since: now };
     }
 
-    /// Whether failures are so recent that others are to be preferred.
+    /// Whether failures are so recent that other endpoints are preferred.
     ///
-    /// It holds for as long as an ejection would, also where the cap forbids one.
+    /// This holds for as long as an ejection would last, also if the cap prevents the ejection.
     pub(crate) fn is_suspect(&self, now: Duration, tuning: &Tuning) -> bool {
         self.consecutive_failures > 0
             && now < self.failed_at + eject_time_after(self.consecutive_failures - 1, tuning)
     }
 
-    /// The expected part of calls that fail.
+    /// Returns the expected fraction of calls that fail, 0 to 1.
     ///
-    /// The measured rate fades after the last failure: else an endpoint that failed once, and gets
-    /// nothing for it, could never show that it is well.
+    /// The measured rate decays with the time since the last failure. Without the decay, an
+    /// endpoint that failed once and gets no calls for that reason could never show that it has
+    /// recovered.
     pub(crate) fn failure_rate(&self, now: Duration, tuning: &Tuning) -> f64 {
         let suspect_time =
             eject_time_after(self.consecutive_failures.saturating_sub(1), tuning).as_secs_f64();
         let since = now.saturating_sub(self.failed_at).as_secs_f64();
         let rate =
             f64::from(self.failure_rate) * (-FAILURE_RATE_HALVINGS * since / suspect_time).exp2();
-        // So that among equals the least trace of a failure doesn't decide for good.
+        // A tiny remaining rate must not decide between otherwise equal endpoints forever.
         if rate < MIN_FAILURE_RATE { 0.0 } else { rate }
     }
 
-    /// Notes an answered call.
+    /// Records an answered call.
     pub(crate) fn record_success(&mut self, now: Duration, tuning: &Tuning) -> BreakerAction {
         self.consecutive_failures = 0;
         self.calls = self.calls.saturating_add(1);
@@ -112,12 +114,12 @@
                 self.ejections = 0;
                 BreakerAction::NoChange
             }
-            // A late answer to a call from before the ejection is no probe's answer.
+            // A late answer to a call sent before the ejection does not answer the probe.
             BreakerState::Closed | BreakerState::Open { .. } => BreakerAction::NoChange,
         }
     }
 
-    /// Notes a failed call.
+    /// Records a failed call.
     pub(crate) fn record_failure(&mut self, now: Duration, tuning: &Tuning) -> BreakerAction {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.failed_at = now;
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Opens the breaker; each time for twice as long.
+    /// Opens the breaker, each time for twice as long as the time before.
     pub(crate) fn eject(&mut self, now: Duration, tuning: &Tuning) {
         let time = eject_time_after(self.ejections, tuning);
         self.ejections = self.ejections.saturating_add(1);
@@ -157,7 +159,7 @@
     }
 }
 
-/// The time of an ejection after `earlier` ones.
+/// Returns the duration of an ejection after `earlier` ones.
 fn eject_time_after(earlier: u32, tuning: &Tuning) -> Duration {
     let factor = 1 << earlier.min(16);
     (tuning.eject_time * factor).min(tuning.max_eject_time)
