--- a/crates/routing/src/sketch.rs
+++ b/crates/routing/src/sketch.rs
@@ -1,16 +1,17 @@
-//! A bounded guess at which prefix blocks an endpoint caches.
+//! A bounded, approximate set of the prefix blocks that an endpoint caches.
 
 const SETS: usize = 128;
 const WAYS: usize = 4;
 
 /// Fingerprints of the blocks last reported as stored, in 1 KiB.
 ///
-/// Set-associative: a block belongs to one of 128 sets of 4 fingerprints of 16 bits; the oldest of
-/// a full set gives way. A block never stored is taken for cached with probability at most
-/// 4 / 65,535. An entry may be wrong both ways, as events are late and lost: it is a hint.
+/// The set is set-associative: a block belongs to one of 128 sets of 4 fingerprints of 16 bits, and
+/// an insertion into a full set evicts the oldest fingerprint. A block that was never stored is
+/// reported as cached with a probability of at most 4 / 65,535. Entries can be wrong in both
+/// directions because events arrive late or are lost, so a lookup is only a hint.
 #[derive(Debug, Clone)]
 pub(crate) struct Sketch {
-    /// Each set is ordered from newest to oldest; 0 is an empty place.
+    /// Each set is ordered from newest to oldest; 0 marks an empty way.
     sets: Box<[[u16; WAYS]; SETS]>,
 }
 
@@ -23,7 +24,7 @@
 }
 
 impl Sketch {
-    /// Notes that `block` was stored.
+    /// Records that `block` was stored.
     pub(crate) fn insert(&mut self, block: u64) {
         let (set, fingerprint) = locate(block);
         let ways = &mut self.sets[set];
@@ -35,7 +36,7 @@
         ways[0] = fingerprint;
     }
 
-    /// Notes that `block` was evicted.
+    /// Records that `block` was evicted.
     pub(crate) fn remove(&mut self, block: u64) {
         let (set, fingerprint) = locate(block);
         let ways = &mut self.sets[set];
@@ -52,7 +53,7 @@
     }
 }
 
-/// The set and the fingerprint of `block`, which is a good hash already.
+/// Returns the set and the fingerprint of `block`, which is itself a uniformly distributed hash.
 fn locate(block: u64) -> (usize, u16) {
     let fingerprint = (block >> 48) as u16;
     (block as usize % SETS, fingerprint.max(1))
