--- a/crates/routing/src/links.rs
+++ b/crates/routing/src/links.rs
@@ -1,8 +1,8 @@
-//! What it costs to go from one data centre to another.
+//! The cost of transfers between data centres.
 
 use dragonflyrill_catalogue::{DataCentre, entry::LinkEntry};
 
-/// Cost of going to an endpoint in the same data centre.
+/// Cost of a transfer within one data centre.
 const WITHIN: Link = Link {
     latency_us: 50.0,
     us_per_byte: 8.0 / 10_000.0,
@@ -13,7 +13,7 @@
     us_per_byte: 8.0 / 1_000.0,
 };
 
-/// A data centre, numbered in the order of first mention.
+/// Index of a data centre, assigned in the order of first mention.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Site(u16);
 
@@ -24,7 +24,7 @@
 }
 
 impl Sites {
-    /// The number of `name`, given now if it has none.
+    /// Returns the index of `name`, assigning one if it is new.
     pub(crate) fn intern(&mut self, name: &DataCentre) -> Site {
         let known = self.names.iter().position(|n| n == name);
         let at = known.unwrap_or_else(|| {
@@ -39,20 +39,20 @@
     }
 }
 
-/// The cost of one direction of a link.
+/// The cost of a transfer in one direction of a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Link {
     /// One-way latency in microseconds.
     pub(crate) latency_us: f64,
-    /// Microseconds for each byte.
+    /// Transfer time of one byte in microseconds.
     pub(crate) us_per_byte: f64,
 }
 
-/// The cost between any two known data centres.
+/// The costs of transfers between all pairs of known data centres.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Links {
     declared: Vec<LinkEntry>,
-    /// Square, of `width` rows.
+    /// Square matrix of `width` rows, in row-major order.
     matrix: Vec<Link>,
     width: usize,
 }
@@ -64,7 +64,8 @@
         self.width = 0;
     }
 
-    /// Brings the matrix up to date with the known data centres. Cheap if it is.
+    /// Updates the matrix to the known data centres and declared links. Does nothing if it is up to
+    /// date.
     pub(crate) fn sync(&mut self, sites: &Sites) {
         if self.width == sites.names.len() {
             return;
@@ -86,7 +87,8 @@
         }
     }
 
-    /// The link between two data centres. [`Links::sync`] has to have seen both.
+    /// Returns the link between two data centres. Both must have been known at the last
+    /// [`Links::sync`].
     pub(crate) fn between(&self, a: Site, b: Site) -> Link {
         self.matrix[usize::from(a.0) * self.width + usize::from(b.0)]
     }
