--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,29 +1,29 @@
-//! How often and when work is tried again.
+//! Limits how often and when work is retried.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Retries allowed to one owner: a token bucket filled by requests and, slowly, by time.
+/// The retries allowed to one owner: a token bucket refilled by requests and, slowly, by time.
 ///
-/// So retries stay a small part of an owner's requests, whatever fails, and an owner with few
-/// requests can still retry now and then.
+/// Retries thus stay a small fraction of an owner's requests whatever fails, and an owner with few
+/// requests can still retry occasionally.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
-    /// Retries at hand, 0 to `cfg.burst`.
+    /// Retries available, 0 to `cfg.burst`.
     tokens: f64,
     refilled_at: Duration,
 }
 
-/// The numbers of a [`RetryBudget`].
+/// Parameters of a [`RetryBudget`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries earned by each request.
+    /// Retries added by each request.
     pub ratio: f64,
-    /// Retries earned by each second.
+    /// Retries added per second.
     pub per_second: f64,
-    /// The most retries kept for later.
+    /// The largest number of retries that can accumulate.
     pub burst: f64,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(now: Duration, cfg: RetryBudgetConfig) -> Self {
         Self {
             cfg,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Notes a first try.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self, now: Duration) {
         self.refill(now, self.cfg.ratio);
     }
 
-    /// Takes one retry from the budget; answers whether there was one.
+    /// Takes one retry from the budget; returns whether one was available.
     pub fn try_retry(&mut self, now: Duration) -> bool {
         self.refill(now, 0.0);
         let allowed = self.tokens >= 1.0;
@@ -70,12 +70,12 @@
     }
 }
 
-/// Waiting times between tries: exponential, with full jitter.
+/// Delays between attempts: exponential backoff with full jitter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
-    /// The longest wait before the first retry.
+    /// The longest delay before the first retry.
     pub base: Duration,
-    /// The longest wait before any retry, unless `Retry-After` asks for more.
+    /// The longest delay before any retry, apart from the time that `Retry-After` adds.
     pub max: Duration,
 }
 
@@ -89,9 +89,9 @@
 }
 
 impl Backoff {
-    /// How long to wait before retry number `retry`, from 0.
+    /// Returns the delay before retry number `retry`, counted from 0.
     ///
-    /// With `retry_after`, never less than it, and spread over up to a further backoff.
+    /// With `retry_after`, the delay is at least that long, plus a jitter of up to one backoff.
     pub fn wait(&self, retry: u32, retry_after: Option<Duration>, rng: &mut impl Rng) -> Duration {
         let factor = 2_u32.saturating_pow(retry.min(16));
         let max_jitter = self.base.saturating_mul(factor).min(self.max);
