--- a/crates/routing/src/chain.rs
+++ b/crates/routing/src/chain.rs
@@ -1,4 +1,4 @@
-//! The cheapest chain through candidates, by dynamic programming over layer boundaries.
+//! Finds the cheapest chain through candidates by dynamic programming over layer boundaries.
 
 use dragonflyrill_engines::wire;
 
@@ -10,48 +10,49 @@
 
 const NONE: u32 = u32::MAX;
 
-/// The cheapest way found to have run all layers up to a boundary, ending in one data centre.
+/// The cheapest chain found so far that runs all layers up to a boundary and ends in one data
+/// centre.
 #[derive(Debug, Clone, Copy)]
 struct Node {
     cost: f64,
     site: Site,
-    /// The last candidate; [`NONE`] at the start.
+    /// Index of the last candidate; [`NONE`] at the start.
     candidate: u32,
-    /// The node it came from.
+    /// The node that this one extends.
     prev: u32,
     boundary: u32,
-    /// The next node at the same boundary.
+    /// The next node of the list of nodes at the same boundary.
     next: u32,
 }
 
-/// One candidate with the layers it is to run.
+/// One stage of a plan: a candidate and the layers it runs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Stage {
     /// Index of the candidate.
     pub(crate) candidate: usize,
-    /// Its layers.
+    /// The layers that the candidate runs.
     pub(crate) layers: wire::Layers,
 }
 
-/// Working memory, kept so that a choice allocates nothing.
+/// Plans chains. Its buffers are reused, so that a choice allocates nothing once they have grown.
 #[derive(Debug, Default)]
 pub(crate) struct Planner {
-    /// Layers at which some candidate begins or ends, in order.
+    /// Layers at which some candidate begins or ends, in ascending order.
     boundaries: Vec<u32>,
     nodes: Vec<Node>,
-    /// The first node at each boundary.
+    /// The first node of the list at each boundary.
     heads: Vec<u32>,
-    /// The plan found, last part first.
+    /// The plan found, last stage first.
     pub(crate) stages: Vec<Stage>,
 }
 
-/// No chain covers the layer.
+/// No chain covers `layer`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Uncovered {
     pub(crate) layer: u32,
 }
 
-/// What a plan is made with.
+/// The input of a plan.
 pub(crate) struct Problem<'a> {
     pub(crate) layers: wire::Layers,
     pub(crate) candidates: &'a [Candidate],
@@ -61,7 +62,7 @@
 }
 
 impl Planner {
-    /// Finds the cheapest cover of the layers, each exactly once, no candidate twice.
+    /// Finds the cheapest chain that covers each layer exactly once and uses no endpoint twice.
     pub(crate) fn plan(&mut self, problem: &Problem<'_>) -> Result<(), Uncovered> {
         self.stages.clear();
         self.prepare(problem);
@@ -115,7 +116,7 @@
         self.heads[0] = 0;
     }
 
-    /// Adds all that can run next after `node`.
+    /// Adds all nodes that extend `node` by one candidate.
     fn extend(&mut self, problem: &Problem<'_>, at: usize, node: u32) {
         let layer = self.boundaries[at];
         let from = self.nodes[node as usize];
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Keeps `new` if nothing cheaper ends at the same boundary and place.
+    /// Keeps `new` if no cheaper node ends at the same boundary and, for direct transfers, in the
+    /// same data centre.
     fn relax(&mut self, problem: &Problem<'_>, new: Node) {
         let site_matters = problem.tuning.activation_path == ActivationPath::Direct;
         let head = self.heads[new.boundary as usize];
@@ -170,7 +172,7 @@
         self.nodes.push(Node { next: head, ..new });
     }
 
-    /// Whether the way to `node` uses the endpoint already.
+    /// Whether the chain up to `node` already uses the endpoint.
     fn uses(&self, problem: &Problem<'_>, mut node: u32, slot: u32) -> bool {
         while node != NONE {
             let n = &self.nodes[node as usize];
@@ -199,7 +201,7 @@
         }
     }
 
-    /// The farthest boundary that can be reached.
+    /// Returns the farthest boundary that a chain reaches.
     fn uncovered(&self) -> Uncovered {
         let reached = self.heads.iter().rposition(|h| *h != NONE).unwrap_or(0);
         Uncovered {
@@ -209,7 +211,7 @@
 }
 
 impl Problem<'_> {
-    /// Cost of getting from `from` into the endpoint that begins at `layer`.
+    /// Returns the cost of the transfer from `from` to the endpoint that begins at `layer`.
     fn entry_cost_us(&self, from: Site, to: Site, layer: u32) -> f64 {
         let from = match self.tuning.activation_path {
             ActivationPath::Relayed => self.context.home,
@@ -218,7 +220,8 @@
         self.crossing_cost_us(from, to, layer > self.layers.first)
     }
 
-    /// Cost of getting back to the host after each endpoint, where the host relays.
+    /// Returns the cost of the transfer back to the host after each endpoint if the host relays
+    /// activations.
     fn return_cost_us(&self, from: Site, layer: u32) -> f64 {
         match self.tuning.activation_path {
             ActivationPath::Relayed => {
@@ -228,7 +231,8 @@
         }
     }
 
-    /// Cost of getting back to the host after the last endpoint, where the host doesn't relay.
+    /// Returns the cost of the transfer back to the host after the last endpoint if the host does
+    /// not relay activations.
     fn final_return_cost_us(&self, from: Site) -> f64 {
         match self.tuning.activation_path {
             ActivationPath::Relayed => 0.0,
@@ -236,7 +240,8 @@
         }
     }
 
-    /// Cost of one crossing for the prompt and for each generated token.
+    /// Returns the cost in microseconds of one transfer for the prompt and for each generated
+    /// token.
     fn crossing_cost_us(&self, from: Site, to: Site, activations: bool) -> f64 {
         let link = self.links.between(from, to);
         let size = &self.context.size;
