--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,4 +1,4 @@
-//! Endpoints by what they run: the groups among which a choice is made.
+//! Index of endpoints by what they run: the groups from which a choice is made.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::{affinity::Member, links::Site, table::Role};
 
-/// What all members of a group share.
+/// The properties that all members of a group share.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct GroupKey {
     pub(crate) role: Role,
@@ -16,31 +16,31 @@
     pub(crate) layers: wire::Layers,
 }
 
-/// The place of a group in the index. Never reused.
+/// Position of a group in the index. Never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct GroupId(u32);
 
 /// Endpoints that run the same layers of the same target.
 #[derive(Debug, Clone)]
 pub(crate) struct Group {
-    /// The layers of each member; empty for a service.
+    /// The layers that each member runs; empty for a service.
     pub(crate) layers: wire::Layers,
-    /// Members that take new work, ejected ones included, by data centre. No list is empty, and
-    /// each is ordered.
+    /// Members that accept new work, ejected ones included, by data centre. No list is empty, and
+    /// each list is sorted.
     pub(crate) sites: BTreeMap<Site, Vec<Member>>,
-    /// How many members there are in `sites`.
+    /// Number of members in `sites`.
     pub(crate) len: usize,
-    /// Ejected members, in the order of their ejection.
+    /// Slots of the ejected members, in the order of their ejection.
     pub(crate) ejected: Vec<u32>,
-    /// This host's load on all endpoints of the group, leaving ones included.
+    /// This host's load on all endpoints of the group, draining ones included.
     own_load: u32,
-    /// The same by data centre.
+    /// This host's load on the group, by data centre.
     own_load_by_site: BTreeMap<Site, u32>,
-    /// Mean load that members report from elsewhere.
+    /// Mean load of the members that comes from elsewhere, according to their reports.
     pub(crate) mean_foreign_load: f64,
-    /// Mean slowdown of members; 0 before the first answer.
+    /// Mean slowdown factor of the members; 0 before the first answer.
     pub(crate) slowdown: f64,
-    /// Whether work goes to other data centres although this one has members.
+    /// Whether work is sent to other data centres although this one has members.
     pub(crate) spilling: bool,
 }
 
@@ -71,12 +71,13 @@
         self.own_load
     }
 
-    /// The part of [`Group::own`] that is not at `home`.
+    /// The part of [`Group::own_load`] that is not at `home`.
     pub(crate) fn own_load_outside(&self, home: Site) -> u32 {
         self.own_load - self.own_load_by_site.get(&home).copied().unwrap_or(0)
     }
 
-    /// The most members that may be ejected: a share, but one of any two or more.
+    /// Returns the largest number of members that may be ejected: the fraction `share`, but at
+    /// least one in a group of two or more.
     pub(crate) fn max_ejected(&self, share: f64) -> usize {
         match self.len {
             0 | 1 => 0,
@@ -85,7 +86,7 @@
     }
 }
 
-/// All groups.
+/// All groups, by key and by target.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Index {
     groups: Vec<Group>,
@@ -95,7 +96,7 @@
 }
 
 impl Index {
-    /// The group `key`, made now if there is none.
+    /// Returns the group `key`, creating it if necessary.
     pub(crate) fn intern(&mut self, key: GroupKey) -> GroupId {
         if let Some(id) = self.ids.get(&key) {
             return *id;
@@ -111,7 +112,7 @@
         id
     }
 
-    /// The groups of a target, empty ones included.
+    /// Returns the groups of a target, empty ones included.
     pub(crate) fn groups_of(&self, role: Role, target: &TargetName) -> &[GroupId] {
         let by_target = match role {
             Role::Engine => &self.engines,
@@ -120,7 +121,7 @@
         by_target.get(target).map_or(&[], Vec::as_slice)
     }
 
-    /// The group `id`.
+    /// Returns the group `id`.
     pub(crate) fn get(&self, id: GroupId) -> &Group {
         &self.groups[id.0 as usize]
     }
@@ -129,7 +130,7 @@
         &mut self.groups[id.0 as usize]
     }
 
-    /// Adds a member, once.
+    /// Adds a member if it is not in the group yet.
     pub(crate) fn add_member(&mut self, id: GroupId, site: Site, member: Member) {
         let group = self.get_mut(id);
         let ring = group.sites.entry(site).or_default();
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Takes a member out, if it is in.
+    /// Removes a member if it is in the group.
     pub(crate) fn remove_member(&mut self, id: GroupId, site: Site, member: Member) {
         let group = self.get_mut(id);
         group.ejected.retain(|slot| *slot != member.slot);
