--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -1,40 +1,43 @@
-//! How much work an endpoint is given at once, learnt from its latency.
+//! Limits the concurrent work of an endpoint, adapting the limit to its latency.
 
 use std::time::Duration;
 
 use crate::tuning::LimitRule;
 
-/// The limit of an endpoint not measured yet.
+/// The limit of an endpoint without measurements.
 const INITIAL_LIMIT: f64 = 16.0;
 const MIN_LIMIT: f64 = 2.0;
 const MAX_LIMIT: f64 = 512.0;
-/// The latency may rise to this many times its floor before the limit shrinks.
+/// The latency may rise to this multiple of its floor before the limit shrinks.
 const LATENCY_TOLERANCE: f64 = 3.0;
-/// Samples that decide one move, at least.
+/// Minimum number of samples for one update of the limit.
 const MIN_SAMPLES: u32 = 16;
-/// Time between moves, at least: chains last longer than steps, and a move has to show.
+/// Minimum time between updates: chains last longer than steps, and the effect of an update has to
+/// become visible before the next one.
 const MIN_UPDATE_PERIOD: Duration = Duration::from_millis(250);
-/// How much the floor rises with each move, so that a lasting change is accepted in the end.
+/// Factor by which the floor rises with each update, so that a lasting change in latency is
+/// eventually accepted.
 const FLOOR_RISE: f64 = 1.005;
-/// What a refusal leaves of the load that was refused.
+/// After a refusal the limit is this fraction of the load that was refused.
 const REFUSAL_FACTOR: f64 = 0.9;
-/// No growth for this long after a refusal.
+/// The limit does not grow for this time after a refusal.
 const GROWTH_PAUSE: Duration = Duration::from_secs(1);
 
 /// The concurrency limit of one endpoint, for this host's work alone.
 #[derive(Debug, Clone)]
 pub(crate) struct Limiter {
     limit: f64,
-    /// The least mean latency seen, slowly rising. Infinite before the first move.
+    /// The lowest mean ratio of latency to nominal time, which rises slowly. Infinite before the
+    /// first update.
     floor: f64,
-    /// Latency and nominal time of the answers since the last move.
+    /// Sums of the latency and of the nominal time of the answers since the last update.
     ///
-    /// Their sums are compared, not the answers' ratios: a short step behind a long one has a huge
-    /// ratio although nothing is wrong.
+    /// The sums are compared, not the ratios of single answers: a short step queued behind a long
+    /// one has a very large ratio although nothing is wrong.
     latency: f64,
     nominal: f64,
     samples: u32,
-    /// Whether the limit was nearly reached since the last move.
+    /// Whether the load was at least half the limit at some answer since the last update.
     nearly_reached: bool,
     updated_at: Duration,
     refused_at: Option<Duration>,
@@ -58,13 +61,14 @@
 }
 
 impl Limiter {
-    /// The most work at once.
+    /// Returns the largest number of concurrent calls.
     pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Notes that work of a `nominal` time above 0 was answered after `latency` (in any one unit),
-    /// with `load` at once. A latency up to the nominal time is always good enough.
+    /// Records an answer after `latency` to work with a nominal time of `nominal`, which is above
+    /// 0, while `load` calls were running. `latency` and `nominal` are in the same, arbitrary unit.
+    /// A latency up to the nominal time counts as the nominal time.
     pub(crate) fn record_answer(
         &mut self,
         now: Duration,
@@ -99,9 +103,9 @@
         self.updated_at = now;
     }
 
-    /// Notes that the endpoint refused work as too much, with `load` at once.
+    /// Records that the endpoint refused work because of overload while `load` calls were running.
     pub(crate) fn record_refusal(&mut self, now: Duration, load: f64) {
-        // Refusals that were under way together count once.
+        // Refusals of calls that were in flight together count once.
         if self
             .refused_at
             .is_none_or(|at| now >= at + MIN_UPDATE_PERIOD)
@@ -122,31 +126,31 @@
     }
 }
 
-/// Size of one step of the climb.
+/// Factor by which the limit changes in one step of the climb.
 const CLIMB_FACTOR: f64 = 1.15;
-/// Turns after which the climb rests at its place.
+/// Number of direction reversals after which the limit stays as it is.
 const MAX_REVERSALS: u32 = 3;
-/// Drift and threshold of the change detector, relative to the mean.
+/// Drift and threshold of the change detector, relative to the reference latency.
 const CUSUM_DRIFT: f64 = 0.1;
 const CUSUM_THRESHOLD: f64 = 1.0;
 
-/// Hill climbing on throughput over latency; starts over when the latency shifts.
+/// Hill climbing on throughput divided by latency; restarts when the latency shifts.
 ///
-/// After the self-tuning in Li, Van Roy and Romano, "Speculative Transaction Processing in
+/// Follows the self-tuning in Li, Van Roy and Romano, "Speculative Transaction Processing in
 /// Geo-Replicated Data Stores", 2017, which names a CUSUM detector for the restart.
 #[derive(Debug, Clone, Default)]
 struct HillClimber {
     last_utility: f64,
     descending: bool,
     reversals: u32,
-    /// Mean latency while at rest; 0 before.
+    /// Mean latency since the climb stopped; 0 before.
     reference_latency: f64,
     cusum_above: f64,
     cusum_below: f64,
 }
 
 impl HillClimber {
-    /// The next limit, after a period with the given worth and mean latency.
+    /// Returns the next limit after a period with the given utility and mean latency.
     fn next_limit(&mut self, limit: f64, utility: f64, mean: f64, nearly_reached: bool) -> f64 {
         if self.reversals >= MAX_REVERSALS {
             if !self.has_changed(mean) {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// CUSUM in both directions.
+    /// Whether the mean latency has shifted, by a CUSUM detector in both directions.
     fn has_changed(&mut self, mean: f64) -> bool {
         if self.reference_latency == 0.0 {
             self.reference_latency = mean;
