--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -1,4 +1,4 @@
-//! What giving work to an endpoint would cost, as expected microseconds.
+//! Estimates the cost of sending work to an endpoint, in expected microseconds.
 
 use rand::Rng;
 
@@ -9,13 +9,13 @@
     table::{Role, Slot},
 };
 
-/// Nominal microseconds for one layer of one token, where none is listed.
+/// Nominal microseconds for one layer of one token if the list gives none.
 const DEFAULT_LAYER_US: f64 = 50.0;
-/// Nominal microseconds of a service's call before the first answer.
+/// Nominal microseconds for a call of a service before its first answer.
 const DEFAULT_CALL_US: f64 = 10_000.0;
 
 impl<R: Rng> Gatherer<'_, R> {
-    /// Expected cost of failing.
+    /// Returns the expected cost of a failure in microseconds.
     pub(crate) fn failure_us(&self, slot: &Slot) -> f64 {
         if !self.tuning.mechanisms.health {
             return 0.0;
@@ -30,7 +30,8 @@
         rate * self.tuning.failure_cost.as_secs_f64() * 1e6
     }
 
-    /// Expected cost of the work, for each layer.
+    /// Returns the expected cost of the work in microseconds: per layer for an engine, per call for
+    /// a service.
     pub(crate) fn work_us(&self, group: &Group, slot: &Slot, preferred: bool) -> f64 {
         let (now, tuning) = (self.context.now, self.tuning);
         let (endpoint, stats) = (&slot.endpoint, &slot.stats);
@@ -61,7 +62,8 @@
         idle * loaded * outlier / stats.ramp_share(now, tuning)
     }
 
-    /// The work at the endpoint in positions, each as costly as a generated token.
+    /// Returns the work at the endpoint as an equivalent number of positions, each as costly as one
+    /// generated token.
     fn equivalent_positions(&self, slot: &Slot, preferred: bool) -> f64 {
         let size = &self.context.size;
         let mut cached = 0.0;
@@ -76,7 +78,7 @@
     }
 }
 
-/// What a listed speed counts as.
+/// Returns the listed time per layer in microseconds, or a default if none is listed.
 pub(crate) fn nominal_layer_us(listed: f64) -> f64 {
     match listed > 0.0 {
         true => listed,
