--- a/crates/routing/src/endpoint_stats.rs
+++ b/crates/routing/src/endpoint_stats.rs
@@ -1,4 +1,4 @@
-//! What this host measured of one endpoint.
+//! Measurements of one endpoint by this host.
 
 use std::time::Duration;
 
@@ -6,32 +6,33 @@
 
 use crate::{Tuning, concurrency::Limiter, health::CircuitBreaker, sketch::Sketch, table::Role};
 
-/// Weight of the newest latency in the mean.
+/// Weight of the newest latency in the moving average.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// Weight of the newest slowdown.
+/// Weight of the newest slowdown factor in the moving average.
 const SLOWDOWN_WEIGHT: f64 = 0.2;
-/// The least share of its work that an endpoint in slow start gets.
+/// The smallest share of its work that an endpoint in slow start gets.
 const MIN_RAMP_SHARE: f64 = 0.1;
-/// Work chosen but never released is forgotten after one to two of these.
+/// Chains that are chosen but never released are dropped from the count after one to two of these
+/// periods.
 const SESSION_ROTATION_PERIOD: Duration = Duration::from_secs(120);
-/// Unanswered work makes suspect after this many mean latencies.
+/// An endpoint that leaves work unanswered for this many mean latencies is suspect.
 const SILENCE_LATENCY_FACTOR: f64 = 8.0;
 
-/// A load report, as far as it counts.
+/// The parts of a load report that routing uses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReportedLoad {
-    /// When its figures were taken, by this host's clock.
+    /// When the reported load was measured, by this host's clock.
     pub(crate) taken_at: Duration,
-    /// The load that came from elsewhere.
+    /// The load that comes from other hosts.
     pub(crate) foreign: f64,
-    /// This host's own load when the report came.
+    /// This host's own load at the time the report arrived.
     own_at_receipt: f64,
-    /// Sessions held for others.
+    /// Sessions that the endpoint holds for other hosts.
     foreign_sessions: u32,
     max_sessions: u32,
 }
 
-/// Chains chosen through an endpoint and not yet released.
+/// Counts the chains chosen through an endpoint and not yet released.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Sessions {
     recent_count: u32,
@@ -40,7 +41,7 @@
 }
 
 impl Sessions {
-    /// How many there are.
+    /// Returns the number of chains.
     pub(crate) fn count(&self) -> u32 {
         self.recent_count + self.older_count
     }
@@ -64,53 +65,56 @@
     }
 }
 
-/// What this host measured of one endpoint; starts fresh with each life of it.
+/// Measurements of one endpoint by this host; reset with each incarnation of the endpoint.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EndpointStats {
-    /// Which life it is, once a report told.
+    /// The incarnation of the endpoint; `None` before the first load report.
     pub(crate) incarnation: Option<u64>,
-    /// When slow start began; `None` when it isn't in slow start.
+    /// When slow start began; `None` if the endpoint is not in slow start.
     pub(crate) ramp_started_at: Option<Duration>,
-    /// The outcomes of its calls.
+    /// The circuit breaker, with the outcomes of the endpoint's calls.
     pub(crate) breaker: CircuitBreaker,
-    /// Its concurrency limit.
+    /// The endpoint's concurrency limit.
     pub(crate) limiter: Limiter,
-    /// Chains through it.
+    /// Chains through the endpoint.
     pub(crate) sessions: Sessions,
-    /// Its last load report.
+    /// The endpoint's last load report.
     pub(crate) report: Option<ReportedLoad>,
-    /// Mean latency of its calls in microseconds; 0 before the first.
+    /// Mean latency of the endpoint's calls in microseconds; 0 before the first answer.
     pub(crate) latency_us: f64,
-    /// Mean latency over the nominal time of the same work; 0 before the first.
+    /// Slowdown factor: mean ratio of the latency to the nominal time of the same work, or the mean
+    /// latency in microseconds if there is no nominal time; 0 before the first answer.
     pub(crate) slowdown: f64,
-    /// Since when unanswered work waits without any answer.
+    /// Since when the endpoint has had outstanding work without giving any answer.
     pub(crate) silent_since: Option<Duration>,
-    /// Prefix blocks it probably caches.
+    /// Prefix blocks that the endpoint probably caches.
     pub(crate) sketch: Option<Sketch>,
 }
 
 impl EndpointStats {
-    /// Notes that work was sent.
+    /// Records that work was sent.
     pub(crate) fn sent(&mut self, now: Duration) {
         self.silent_since.get_or_insert(now);
     }
 
-    /// Notes any answer or failure, after which `in_flight` calls remain.
+    /// Records an answer or a failure, after which `in_flight` calls remain.
     pub(crate) fn call_ended(&mut self, now: Duration, in_flight: u32) {
         self.silent_since = (in_flight > 0).then_some(now);
     }
 
-    /// Notes that a chain through it was chosen.
+    /// Records that a chain through the endpoint was chosen.
     pub(crate) fn chain_chosen(&mut self, now: Duration) {
         self.sessions.add(now);
     }
 
-    /// Notes that a chain through it ended.
+    /// Records that a chain through the endpoint ended.
     pub(crate) fn chain_released(&mut self) {
         self.sessions.release();
     }
 
-    /// Takes in the latency of work that nominally takes `nominal_us`.
+    /// Records the latency of work that nominally takes `nominal_us` microseconds. Returns the
+    /// ratio of the latency to the nominal time, or the latency in microseconds if `nominal_us` is
+    /// 0.
     pub(crate) fn record_latency(&mut self, latency: Duration, nominal_us: f64) -> f64 {
         let us = latency.as_secs_f64() * 1e6;
         self.latency_us = mean(self.latency_us, us, LATENCY_WEIGHT);
@@ -122,7 +126,7 @@
         ratio
     }
 
-    /// Takes in a load report; answers the load that came from elsewhere.
+    /// Records a load report; returns the load that comes from other hosts.
     pub(crate) fn record_report(
         &mut self,
         now: Duration,
@@ -149,18 +153,19 @@
         foreign
     }
 
-    /// Load of this host's own work.
+    /// Returns the load of this host's own work.
     pub(crate) fn own_load(&self, in_flight: u32) -> f64 {
         f64::from(self.sessions.count().max(in_flight))
     }
 
-    /// Estimated load of all hosts' work.
+    /// Returns the estimated load of all hosts' work.
     ///
-    /// What was reported of others counts less with its age; in its place comes `usual`, the mean
-    /// of the group. So an endpoint of which nothing was heard for long doesn't look idle. As other
-    /// hosts see the same report and choose alike, each change of this host's own load since is
-    /// taken to have happened at the others in proportion, `others` being their load for each unit
-    /// of this host's: so the hosts don't herd on the endpoint that a report praised.
+    /// The weight of a reported foreign load falls with the age of the report, and `mean_foreign`,
+    /// the mean of the group, takes the remaining weight. An endpoint without recent reports thus
+    /// does not look idle. Other hosts see the same report and choose alike. Each change of this
+    /// host's own load since the report is therefore assumed to have happened on the other hosts in
+    /// proportion, where `foreign_per_own` is their load for each unit of this host's load. This
+    /// prevents a thundering herd of hosts on an endpoint with a low reported load.
     pub(crate) fn estimated_load(
         &self,
         now: Duration,
@@ -190,7 +195,7 @@
         })
     }
 
-    /// The share of its usual work that it gets, up to 1.
+    /// Returns the share of its regular work that the endpoint gets, up to 1.
     pub(crate) fn ramp_share(&self, now: Duration, tuning: &Tuning) -> f64 {
         let Some(started_at) = self.ramp_started_at else {
             return 1.0;
@@ -202,7 +207,7 @@
         share.clamp(MIN_RAMP_SHARE, 1.0)
     }
 
-    /// Whether it has left work unanswered for suspiciously long.
+    /// Whether the endpoint has left work unanswered for so long that it is suspect.
     pub(crate) fn is_silent(&self, now: Duration, tuning: &Tuning) -> bool {
         self.silent_since.is_some_and(|since| {
             let latency_bound =
@@ -211,7 +216,7 @@
         })
     }
 
-    /// How many of the leading blocks of `prefix` it probably caches.
+    /// Returns how many of the leading blocks of `prefix` the endpoint probably caches.
     pub(crate) fn cached_blocks(&self, prefix: &[u64]) -> usize {
         let Some(sketch) = &self.sketch else { return 0 };
         prefix.iter().take_while(|b| sketch.contains(**b)).count()
