--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the endpoints.
+//! The endpoints known to a host.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -14,7 +14,7 @@
     links::{Site, Sites},
 };
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
     /// A model engine.
@@ -23,28 +23,28 @@
     Service,
 }
 
-/// Whether calls to an endpoint go well.
+/// Whether an endpoint is ejected because of failed calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// They do.
+    /// The endpoint is not ejected.
     #[default]
     Up,
-    /// Too many failed of late.
+    /// Too many recent calls failed.
     Ejected,
 }
 
-/// One endpoint, as listed by the platform.
+/// One endpoint, as listed by the platform, with this host's state of it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
     /// The stable id.
     pub id: EndpointId,
-    /// Where it listens.
+    /// The address on which it accepts calls.
     pub addr: SocketAddr,
-    /// What it is.
+    /// The kind of endpoint.
     pub role: Role,
-    /// Where it is.
+    /// The data centre in which it runs.
     pub data_centre: DataCentre,
-    /// The model or service.
+    /// The model or service that it runs.
     pub target: TargetName,
     /// The layers it holds; empty for a service.
     pub layers: wire::Layers,
@@ -52,31 +52,32 @@
     pub accelerator: String,
     /// Nominal microseconds for one layer of one token; 0 for a service.
     pub layer_us: f64,
-    /// Whether it takes no new work. In the table: by any sign, not by the list alone.
+    /// Whether it is draining and accepts no new work. In the table this combines all signs; in the
+    /// list it is the list's own.
     pub draining: bool,
-    /// Calls of this host that it hasn't answered.
+    /// Number of calls of this host that it has not answered.
     pub in_flight: u32,
-    /// Whether calls to it go well.
+    /// Whether it is ejected.
     pub health: Health,
 }
 
 impl Endpoint {
-    /// Whether new work may be sent.
+    /// Whether new work may be sent to the endpoint.
     pub fn accepts_new_work(&self) -> bool {
         !self.draining && self.health == Health::Up
     }
 }
 
-/// The signs that an endpoint is leaving. Any one is enough.
+/// The signs that an endpoint is draining. Any one of them suffices.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DrainSigns {
-    /// The list says so.
+    /// The list says that the endpoint is draining.
     pub(crate) listed: bool,
-    /// An operator says so.
+    /// An operator declared that the endpoint is to leave.
     pub(crate) intent: bool,
-    /// It said so itself, then.
+    /// When the endpoint itself last refused work because it is draining.
     pub(crate) reported_at: Option<Duration>,
-    /// Another host says so.
+    /// A host of the data centre reported that the endpoint is draining.
     pub(crate) reported_by_host: bool,
 }
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// One endpoint with all that is known of it.
+/// An endpoint with all state that this host has of it.
 #[derive(Debug, Clone)]
 pub(crate) struct Slot {
     pub(crate) endpoint: Endpoint,
@@ -97,26 +98,27 @@
     pub(crate) member: Member,
 }
 
-/// All known endpoints, by id.
+/// All known endpoints, indexed by id.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointTable {
-    /// Free places are `None`. Boxed, as a place is small beside its content.
+    /// Free slots are `None`. Slots are boxed so that a free one is small.
     slots: Vec<Option<Box<Slot>>>,
     free: Vec<u32>,
     ordered: BTreeMap<EndpointId, u32>,
     by_id: FxHashMap<EndpointId, u32>,
-    /// Added since [`EndpointTable::take_added`].
+    /// Slots of the endpoints added since the last [`EndpointTable::take_added`].
     added: Vec<u32>,
     pub(crate) sites: Sites,
     pub(crate) index: Index,
 }
 
 impl EndpointTable {
-    /// Adds an endpoint, or takes over what the platform says of a known one.
+    /// Adds an endpoint, or updates a known one with what the platform lists.
     ///
-    /// What this host measured itself is kept unless the address or the role changed. A known
-    /// endpoint that said itself that it is leaving is so until the list has said it too and taken
-    /// it back, or until the word has lapsed.
+    /// This host's own measurements are kept unless the address or the role changed. A known
+    /// endpoint that itself reported that it is draining stays so until the list has shown it as
+    /// draining and then as serving again, until it reports a new incarnation, or until the notice
+    /// expires.
     pub fn upsert(&mut self, listed: Endpoint) {
         let known = self.by_id.get(&listed.id).copied();
         match known {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Makes the table hold just `listed`: the others are forgotten.
+    /// Replaces the contents of the table with `listed`. Endpoints that are not listed are removed.
     pub fn replace_all(&mut self, listed: Vec<Endpoint>) {
         let mut missing: FxHashMap<EndpointId, u32> = self.by_id.clone();
         for endpoint in listed {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &EndpointId) {
         let Some(at) = self.by_id.remove(id) else {
             return;
@@ -155,10 +157,10 @@
         self.free.push(at);
     }
 
-    /// Takes in whether the hosts of the data centre know by a sign that an endpoint is leaving.
+    /// Sets whether the hosts of the data centre report an endpoint as draining.
     ///
-    /// An unknown endpoint is passed over. The sign is forgotten with the endpoint, and when its
-    /// address changes.
+    /// An unknown endpoint is ignored. The sign is removed with the endpoint, and when its address
+    /// or role changes.
     pub fn set_draining(&mut self, id: &EndpointId, draining: bool) {
         let Some(at) = self.find(id) else {
             return;
@@ -168,17 +170,17 @@
         }
     }
 
-    /// The endpoint `id`.
+    /// Returns the endpoint `id`.
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.find(id).map(|at| &self.slot(at).endpoint)
     }
 
-    /// All endpoints, in order of their ids.
+    /// Returns all endpoints in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
         self.ordered.values().map(|at| &self.slot(*at).endpoint)
     }
 
-    /// How many endpoints are known.
+    /// Returns the number of known endpoints.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -192,32 +194,36 @@
         self.by_id.get(id).copied()
     }
 
-    /// The slot at `at`, which has to be taken.
+    /// Returns the slot at index `at`, which must be in use.
     pub(crate) fn slot(&self, at: u32) -> &Slot {
-        self.slots[at as usize].as_ref().expect("the slot is taken")
+        self.slots[at as usize]
+            .as_ref()
+            .expect("the slot is in use")
     }
 
-    /// The slot at `at`, which has to be taken.
+    /// Returns the slot at index `at`, which must be in use.
     pub(crate) fn slot_mut(&mut self, at: u32) -> &mut Slot {
-        self.slots[at as usize].as_mut().expect("the slot is taken")
+        self.slots[at as usize]
+            .as_mut()
+            .expect("the slot is in use")
     }
 
-    /// The endpoints added since the last call.
+    /// Returns and clears the slots of the endpoints added since the last call.
     pub(crate) fn take_added(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.added)
     }
 
-    /// Whether endpoints were added since [`EndpointTable::take_added`].
+    /// Whether endpoints were added since the last [`EndpointTable::take_added`].
     pub(crate) fn has_added(&self) -> bool {
         !self.added.is_empty()
     }
 
-    /// The places of all endpoints.
+    /// Returns the slot indices of all endpoints, in the order of their ids.
     pub(crate) fn slot_indices(&self) -> Vec<u32> {
         self.ordered.values().copied().collect()
     }
 
-    /// Changes the signs of leaving, and with them whether new work goes there.
+    /// Changes the drain signs of an endpoint and updates whether it gets new work.
     pub(crate) fn update_signs(&mut self, at: u32, change: impl FnOnce(&mut DrainSigns)) {
         let slot = self.slot_mut(at);
         change(&mut slot.signs);
@@ -225,7 +231,8 @@
         self.update_membership(at);
     }
 
-    /// Forgets what was measured in an earlier life.
+    /// Discards the measurements of an earlier incarnation. The count of chains through the
+    /// endpoint is kept.
     pub(crate) fn reset_incarnation(&mut self, at: u32, incarnation: u64) {
         let slot = self.slot_mut(at);
         let sessions = slot.stats.sessions;
@@ -304,7 +311,8 @@
         self.update_membership(at);
     }
 
-    /// Puts an endpoint among those that take new work, or takes it out.
+    /// Adds an endpoint to the members of its group that accept new work, or removes it from them
+    /// if it is draining.
     fn update_membership(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, member) = (slot.group, slot.site, slot.member);
@@ -321,7 +329,7 @@
         }
     }
 
-    /// Takes an endpoint out of its group, with its load.
+    /// Removes an endpoint and its load from its group.
     fn remove_from_group(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, member) = (slot.group, slot.site, slot.member);
@@ -330,7 +338,7 @@
         self.index.get_mut(group).change_own_load(site, own, 0);
     }
 
-    /// Counts an endpoint's load into its group.
+    /// Adds an endpoint's load to its group.
     fn add_load_to_group(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, own) = (slot.group, slot.site, slot.own_load());
@@ -339,7 +347,8 @@
 }
 
 impl Slot {
-    /// Whether the list says of the endpoint what it said before, as far as choices depend on it.
+    /// Whether `listed` equals the last listed state in everything that choices depend on, apart
+    /// from the speed.
     fn matches_listing(&self, listed: &Endpoint) -> bool {
         let known = &self.endpoint;
         known.target == listed.target
@@ -348,7 +357,7 @@
             && self.signs.listed == listed.draining
     }
 
-    /// This host's load on the endpoint, as its group counts it.
+    /// Returns this host's load on the endpoint, as counted in its group.
     pub(crate) fn own_load(&self) -> u32 {
         self.stats.own_load(self.endpoint.in_flight) as u32
     }
