--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: what happened goes in, choices come out.
+//! The router: receives events and chooses endpoints.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -19,22 +19,23 @@
     tuning::Tuning,
 };
 
-/// Groups among which one chain is planned; more are sampled.
+/// Maximum number of groups from which one chain is planned; if there are more, a random sample is
+/// used.
 const MAX_GROUPS: usize = 24;
-/// Bounds of the time after which to come back to full endpoints.
+/// Bounds of the retry delay that is returned when all endpoints are at their limits.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Mean latencies after which to come back.
+/// The retry delay as a multiple of the highest mean latency of the candidates.
 const RETRY_AFTER_LATENCIES: f64 = 4.0;
 
-/// That an endpoint said itself that it is leaving.
+/// A notice by an endpoint itself that it is draining.
 #[derive(Debug)]
 pub(crate) struct DrainNotice {
     pub(crate) endpoint: EndpointId,
     pub(crate) received_at: Duration,
 }
 
-/// What a choice is made of.
+/// What a request needs of the chosen endpoints.
 struct RequestDemand<'a> {
     role: Role,
     target: &'a TargetName,
@@ -43,35 +44,35 @@
     size: RequestSize<'a>,
 }
 
-/// Chooses endpoints. One per host; holds no sockets and reads no clock.
+/// Chooses endpoints. There is one router per host; it holds no sockets and reads no clock.
 ///
-/// Invariant: a group's load is the sum over its endpoints; every change of an endpoint's own load
-/// goes through `change_load`.
+/// Invariant: the load of a group is the sum of the loads of its endpoints; every change of an
+/// endpoint's own load goes through `change_load`.
 pub struct Router {
     home: Site,
     pub(crate) table: EndpointTable,
     links: Links,
     pub(crate) tuning: Tuning,
     rng: rand_pcg::Pcg64Mcg,
-    /// Whether the first list came; its endpoints need no slow start.
+    /// Whether the first list has been applied; the endpoints of that list need no slow start.
     started: bool,
     intents: Vec<EndpointEntry>,
-    /// Endpoints that said themselves that they are leaving, oldest first.
+    /// Notices of endpoints that are draining, oldest first.
     pub(crate) drain_notices: VecDeque<DrainNotice>,
     planner: Planner,
     candidates: Vec<Candidate>,
     avoid: Vec<u32>,
-    /// Layers of groups that were passed over as full.
+    /// Layers of the groups in which an endpoint was skipped because it is at its limit.
     full_layers: Vec<wire::Layers>,
 }
 
 impl Router {
-    /// A router on a host in `data_centre`.
+    /// Creates a router for a host in `data_centre`.
     pub fn new(data_centre: DataCentre, seed: u64) -> Self {
         Self::with_tuning(data_centre, seed, Tuning::default())
     }
 
-    /// A router with its own numbers and switches.
+    /// Creates a router with the given parameters and switches.
     pub fn with_tuning(data_centre: DataCentre, seed: u64, tuning: Tuning) -> Self {
         let mut table = EndpointTable::default();
         Self {
@@ -90,12 +91,12 @@
         }
     }
 
-    /// What is known of the endpoints.
+    /// Returns the table of endpoints.
     pub fn table(&self) -> &EndpointTable {
         &self.table
     }
 
-    /// What is known of the endpoints, to be changed.
+    /// Returns the table of endpoints for changes.
     pub fn table_mut(&mut self) -> &mut EndpointTable {
         &mut self.table
     }
@@ -105,7 +106,8 @@
         self.links.declare(links);
     }
 
-    /// Replaces what operators want of endpoints. One without an entry serves.
+    /// Replaces the intents that operators declared for endpoints. An endpoint without an entry
+    /// serves.
     pub fn set_intents(&mut self, intents: &[EndpointEntry]) {
         self.intents = intents.to_vec();
         for at in self.table.slot_indices() {
@@ -113,11 +115,13 @@
         }
     }
 
-    /// Chooses endpoints that cover the wanted layers exactly once.
+    /// Chooses endpoints that cover each requested layer exactly once.
     ///
     /// # Errors
     ///
-    /// [`Shortage::Full`] if endpoints of the layer are at their limit and no other is left.
+    /// Returns the first layer that no usable endpoint covers, with [`Shortage::Full`] if endpoints
+    /// of that layer were skipped because they are at their limits and [`Shortage::Missing`]
+    /// otherwise.
     pub fn choose_chain(
         &mut self,
         now: Duration,
@@ -131,7 +135,7 @@
         let groups = self.table.index.groups_of(Role::Engine, query.model).len();
         let planned = self.plan(now, query, MAX_GROUPS);
         let planned = match planned {
-            // The sample may have missed the group that was needed.
+            // The sample may have missed a group that is needed.
             Err(_) if groups > MAX_GROUPS => self.plan(now, query, groups),
             planned => planned,
         };
@@ -155,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Router::choose_chain`], with layer 0.
+    /// As for [`Router::choose_chain`], with layer 0.
     pub fn choose_service(
         &mut self,
         now: Duration,
@@ -186,7 +190,8 @@
         Ok(self.table.slot(chosen.slot).endpoint.id.clone())
     }
 
-    /// Takes up what changed in the table.
+    /// Applies intents and slow start to endpoints added to the table, updates the links and
+    /// expires drain notices.
     fn apply_table_changes(&mut self, now: Duration) {
         if self.table.has_added() {
             for at in self.table.take_added() {
@@ -201,7 +206,7 @@
         self.expire_drain_notices(now);
     }
 
-    /// Forgets words of leaving that the list didn't confirm in time.
+    /// Drops drain notices that the list did not confirm in time.
     fn expire_drain_notices(&mut self, now: Duration) {
         while let Some(notice) = self.drain_notices.front() {
             if now < notice.received_at + self.tuning.drain_notice_lifetime {
@@ -262,7 +267,7 @@
         self.planner.plan(&problem)
     }
 
-    /// Gathers candidates from at most `max_groups` groups that overlap the asked layers.
+    /// Gathers candidates from at most `max_groups` groups that overlap the requested layers.
     fn gather(&mut self, now: Duration, demand: &RequestDemand<'_>, max_groups: usize) {
         self.candidates.clear();
         self.full_layers.clear();
@@ -309,7 +314,8 @@
         NoEndpoint { layer, shortage }
     }
 
-    /// When a place may be free, spread so that callers don't return together.
+    /// Returns the time after which an endpoint may have free capacity, with random jitter so that
+    /// callers do not retry at the same time.
     fn retry_after(&mut self) -> Duration {
         let slowest = self.candidates.iter().map(|c| {
             let slot = self.table.slot(c.slot);
