--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Simpler rules, to compare [`Router`] with.
+//! Simpler routing policies for comparison with [`Router`].
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,9 +10,9 @@
     table::Endpoint,
 };
 
-/// What a comparison needs of a rule.
+/// The operations of a routing policy that a comparison uses.
 pub trait Policy {
-    /// The endpoints.
+    /// Returns the table of endpoints.
     fn table_mut(&mut self) -> &mut EndpointTable;
     /// As [`Router::choose_chain`].
     fn choose(&mut self, now: Duration, query: &ChainQuery<'_>) -> Result<Vec<Hop>, NoEndpoint>;
@@ -29,9 +29,9 @@
     }
     /// As [`Router::released`].
     fn released(&mut self, _now: Duration, _endpoint: &EndpointId) {}
-    /// As [`Router::load`].
+    /// As [`Router::apply_load_report`].
     fn apply_load_report(&mut self, _now: Duration, _report: &wire::LoadReport) {}
-    /// As [`Router::cache_events`].
+    /// As [`Router::apply_cache_events`].
     fn apply_cache_events(
         &mut self,
         _now: Duration,
@@ -71,17 +71,17 @@
     }
 }
 
-/// Each endpoint in turn.
+/// Chooses the endpoints in round-robin order.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    /// Endpoints there go before all others.
+    /// Endpoints in this data centre are preferred to all others.
     local: Option<DataCentre>,
     table: EndpointTable,
     next_index: usize,
 }
 
 impl RoundRobin {
-    /// The rule, with endpoints of `local` before all others.
+    /// Creates the policy; endpoints in `local` are preferred to all others.
     pub fn new(local: Option<DataCentre>) -> Self {
         Self {
             local,
@@ -104,17 +104,17 @@
     }
 }
 
-/// The endpoint whose last report shows the least load; the first such by id.
+/// Chooses the endpoint whose last report shows the lowest load; the first by id among equals.
 #[derive(Debug, Default)]
 pub struct LeastReported {
-    /// Endpoints there go before all others.
+    /// Endpoints in this data centre are preferred to all others.
     local: Option<DataCentre>,
     table: EndpointTable,
     reported: HashMap<String, u32>,
 }
 
 impl LeastReported {
-    /// The rule, with endpoints of `local` before all others.
+    /// Creates the policy; endpoints in `local` are preferred to all others.
     pub fn new(local: Option<DataCentre>) -> Self {
         Self {
             local,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Covers the layers hop by hop; `pick` is given at least one endpoint.
+/// Covers the layers hop by hop. `pick` is called with at least one endpoint.
 fn cover<'t>(
     table: &'t EndpointTable,
     query: &ChainQuery<'_>,
