--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -1,4 +1,5 @@
-//! The few endpoints of a group among which a choice is made, with what each would cost.
+//! Gathers the few endpoints of a group among which a choice is made, with the estimated cost of
+//! each.
 
 use std::{ops::Range, time::Duration};
 
@@ -13,24 +14,25 @@
     table::EndpointTable,
 };
 
-/// Members looked at before a data centre's part of a group is taken to have none to offer.
+/// Maximum number of members scanned, apart from random draws, before the members of a group in one
+/// data centre are considered to contain no further candidate.
 const MAX_SCANNED_MEMBERS: usize = 64;
-/// Cost of a probe, so that it is taken.
+/// Cost of a probe in microseconds, so low that the probe is chosen.
 const PROBE_COST_US: f64 = 1e-3;
 
-/// How much work there is.
+/// The amount of work in a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestSize<'a> {
     /// Positions in the prompt.
     pub(crate) prompt: f64,
     /// Tokens to generate.
     pub(crate) decode: f64,
-    /// Hashes of the prompt's blocks.
+    /// Hashes of the prompt's prefix blocks.
     pub(crate) prefix: &'a [u64],
 }
 
 impl RequestSize<'_> {
-    /// One call of a service.
+    /// The size of one call of a service.
     pub(crate) const CALL: Self = Self {
         prompt: 1.0,
         decode: 0.0,
@@ -38,14 +40,14 @@
     };
 }
 
-/// What an endpoint is wanted for.
+/// The circumstances of a choice.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ChoiceContext<'a> {
     pub(crate) now: Duration,
-    /// Where this host is.
+    /// The data centre of this host.
     pub(crate) home: Site,
     pub(crate) size: RequestSize<'a>,
-    /// Places of endpoints not to use.
+    /// Slots of endpoints that must not be chosen.
     pub(crate) avoid: &'a [u32],
 }
 
@@ -56,11 +58,11 @@
     pub(crate) group: GroupId,
     pub(crate) site: Site,
     pub(crate) layers: wire::Layers,
-    /// Expected cost in microseconds that doesn't depend on the layers run.
+    /// Expected cost in microseconds that is independent of the number of layers.
     pub(crate) fixed_us: f64,
-    /// Expected cost in microseconds for each layer; for a service, for the call.
+    /// Expected cost in microseconds per layer; for a service, of the call.
     pub(crate) layer_us: f64,
-    /// Whether it would be the one probe of an ejected endpoint.
+    /// Whether a call would be the probe of an ejected endpoint.
     pub(crate) probe: bool,
 }
 
@@ -68,21 +70,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Eligibility {
     Good,
-    /// Only if there is none better.
+    /// The endpoint may be used only if there is no good one.
     Suspect,
-    /// It is at its limit.
+    /// The endpoint is at its concurrency limit.
     AtLimit,
     Excluded,
 }
 
-/// What was found in a group beside candidates.
+/// What gathering found in a group besides candidates.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct GatherResult {
-    /// Whether an endpoint was passed over because it is at its limit.
+    /// Whether an endpoint was skipped because it is at its limit.
     pub(crate) at_limit: bool,
 }
 
-/// Gathers candidates.
+/// Gathers candidates into `out`.
 pub(crate) struct Gatherer<'a, R> {
     pub(crate) table: &'a EndpointTable,
     pub(crate) links: &'a Links,
@@ -93,7 +95,7 @@
 }
 
 impl<R: Rng> Gatherer<'_, R> {
-    /// Adds candidates of `group` to `out`.
+    /// Adds candidates of the group `id` to `out`.
     pub(crate) fn gather(&mut self, id: GroupId) -> GatherResult {
         let table = self.table;
         let group = table.index.get(id);
@@ -109,7 +111,8 @@
         if group.sites.len() == 1 || (is_home && good && !self.may_spill(group)) {
             return result;
         }
-        // A full data centre spills, but within the share: else its load would fill the others.
+        // A full data centre spills over, but only up to its allowed share: otherwise its load
+        // would fill the other data centres.
         if is_home && result.at_limit && !self.may_spill(group) {
             return result;
         }
@@ -139,8 +142,8 @@
         result
     }
 
-    /// Drops candidates from `from` on whose crossing costs far more than their work: a caller
-    /// does better to come back when there is room nearer.
+    /// Drops the candidates from index `from` on for which the crossing costs far more than the
+    /// work. For their callers it is better to retry when a nearer endpoint has free capacity.
     fn drop_costly_crossings(&mut self, from: usize) {
         let mut kept = from;
         for i in from..self.out.len() {
@@ -155,7 +158,8 @@
         self.out.truncate(kept);
     }
 
-    /// Cost of the way from this host to `site` and back for the whole work.
+    /// Returns the cost in microseconds of the transfers from this host to `site` and back for the
+    /// whole request.
     fn crossing_us(&self, site: Site) -> f64 {
         let (link, size) = (
             self.links.between(self.context.home, site),
@@ -165,7 +169,7 @@
         2.0 * ((1.0 + size.decode) * link.latency_us + bytes * link.us_per_byte)
     }
 
-    /// The nearest data centre with members, other than `except`.
+    /// Returns the nearest data centre with members, other than `except`.
     fn nearest(&self, group: &Group, except: Option<Site>) -> Option<Site> {
         let home = self.context.home;
         if except.is_none() && group.sites.contains_key(&home) {
@@ -183,7 +187,7 @@
         f64::from(away) < 1.0 + self.tuning.max_remote_share * f64::from(group.own_load())
     }
 
-    /// Adds candidates of one data centre; answers whether a good one was among them.
+    /// Adds candidates of one data centre; returns whether a good one was among them.
     fn add_site(
         &mut self,
         id: GroupId,
@@ -205,7 +209,7 @@
         self.sample(id, group, ring, from..more, result)
     }
 
-    /// The member that the prompt's prefix prefers, unless it is loaded beyond the bound.
+    /// Returns the member preferred for the prompt's prefix whose load is within the bound.
     fn preferred(&self, group: &Group, ring: &[Member]) -> Option<u32> {
         if !self.tuning.mechanisms.affinity {
             return None;
@@ -220,8 +224,8 @@
         })
     }
 
-    /// Adds members by chance, so that `room` in the list is filled. A suspect one is added only if
-    /// no good one was met. Answers whether there is a good one.
+    /// Adds random members until the indices `range` of `out` are filled. A suspect member is added
+    /// only if no good one was found. Returns whether there is a good one.
     fn sample(
         &mut self,
         id: GroupId,
@@ -230,7 +234,8 @@
         range: Range<usize>,
         result: &mut GatherResult,
     ) -> bool {
-        // Independent draws first; then one after the other, so that none is missed.
+        // Independent random draws come first, then a scan in ring order, so that no member is
+        // missed.
         let draws = match ring.len() > 2 * range.len() {
             true => 2 * range.len(),
             false => 0,
@@ -263,7 +268,7 @@
         good
     }
 
-    /// Adds the apparently best of all members.
+    /// Adds the member with the lowest estimated cost of all. Returns whether there is a good one.
     fn best_of_all(
         &mut self,
         id: GroupId,
@@ -291,7 +296,7 @@
         good
     }
 
-    /// Adds an ejected member that is due for its one probe.
+    /// Adds an ejected member whose probe is due.
     fn add_probe(&mut self, id: GroupId, group: &Group, near: Site) {
         let due = group.ejected.iter().copied().find(|at| {
             let slot = self.table.slot(*at);
