--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -1,4 +1,4 @@
-//! What the router is told of endpoints, and what it learns from it.
+//! Events that the router receives about endpoints, and the state it derives from them.
 
 use std::time::Duration;
 
@@ -13,15 +13,16 @@
     tuning::Tuning,
 };
 
-/// Weight of one answer in a group's mean slowdown.
+/// Weight of one answer in the mean slowdown factor of a group.
 const GROUP_SLOWDOWN_WEIGHT: f64 = 0.02;
-/// Latency in microseconds of a service's call that is always good enough.
+/// Nominal latency of a call of a service in microseconds: a shorter latency does not reduce the
+/// concurrency limit.
 const ACCEPTABLE_CALL_US: f64 = 1_000.0;
-/// Least weight of one report in a group's mean load.
+/// Minimum weight of one report in the mean load of a group.
 const MIN_REPORT_WEIGHT: f64 = 0.05;
 
 impl Router {
-    /// Notes that work was sent to an endpoint.
+    /// Records that work was sent to an endpoint.
     pub fn sent(&mut self, now: Duration, endpoint: &EndpointId) {
         let Some(at) = self.table.find(endpoint) else {
             return;
@@ -32,12 +33,12 @@
         });
     }
 
-    /// Notes how work sent to an endpoint ended. Its size is taken to be one token.
+    /// Records the outcome of work sent to an endpoint. The work is assumed to be one token.
     pub fn ended(&mut self, now: Duration, endpoint: &EndpointId, outcome: Outcome) {
         self.ended_work(now, endpoint, outcome, None);
     }
 
-    /// Notes how a step sent to an endpoint ended.
+    /// Records the outcome of a step sent to an endpoint.
     pub fn ended_step(
         &mut self,
         now: Duration,
@@ -48,21 +49,25 @@
         self.ended_work(now, endpoint, outcome, Some(work));
     }
 
-    /// Notes that a chain through an endpoint ended, or goes on without it.
+    /// Records that a chain through an endpoint ended, or continues without it.
     ///
-    /// To be called once for each chosen [`crate::Hop`] if [`Tuning::count_chains`] is set.
+    /// Must be called once for each chosen [`crate::Hop`] if [`Tuning::count_chains`] is set.
     pub fn released(&mut self, _now: Duration, endpoint: &EndpointId) {
         if let Some(at) = self.table.find(endpoint) {
             self.change_load(at, |slot| slot.stats.chain_released());
         }
     }
 
-    /// Takes in an endpoint's report of its load.
+    /// Applies an endpoint's load report.
     ///
-    /// A report of another life than the known one makes all that was measured void.
+    /// A report of a different incarnation than the known one discards all measurements of the
+    /// endpoint except the count of chains through it.
     pub fn apply_load_report(&mut self, now: Duration, report: &wire::LoadReport) {
         let Ok(id) = EndpointId::try_from(report.endpoint.as_str()) else {
-            log::warn!("routing: A load report names {:?}.", report.endpoint);
+            log::warn!(
+                "routing: A load report has an invalid endpoint id: {:?}.",
+                report.endpoint
+            );
             return;
         };
         let Some(at) = self.table.find(&id) else {
@@ -78,7 +83,7 @@
         group.mean_foreign_load += weight * (foreign - group.mean_foreign_load);
     }
 
-    /// Takes in changes of an endpoint's prefix cache.
+    /// Applies changes of an endpoint's prefix cache.
     pub fn apply_cache_events(
         &mut self,
         _now: Duration,
@@ -117,7 +122,7 @@
             Some(known) if known == incarnation => {}
             None => slot.stats.incarnation = Some(incarnation),
             Some(_) => {
-                log::info!("routing: {} began a new life.", slot.endpoint.id);
+                log::info!("routing: {} reported a new incarnation.", slot.endpoint.id);
                 self.table.reset_incarnation(at, incarnation);
                 self.table.slot_mut(at).stats.ramp_started_at = Some(now);
             }
@@ -174,7 +179,7 @@
 
     fn restore_endpoint(&mut self, now: Duration, at: u32) {
         let slot = self.table.slot_mut(at);
-        log::info!("routing: {} is taken back.", slot.endpoint.id);
+        log::info!("routing: {} is no longer ejected.", slot.endpoint.id);
         slot.stats.breaker.restore(now);
         slot.stats.ramp_started_at = Some(now);
         slot.endpoint.health = Health::Up;
@@ -218,7 +223,8 @@
     }
 }
 
-/// The nominal time of `work` at an idle endpoint; 0 if nothing is known of it.
+/// Returns the nominal time of `work` at an idle endpoint in microseconds; 0 for a service, which
+/// has none.
 fn nominal_us(endpoint: &Endpoint, work: Option<StepSize>, tuning: &Tuning) -> f64 {
     if endpoint.role == Role::Service {
         return 0.0;
