--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -1,4 +1,5 @@
-//! Retries are bounded and spread.
+//! Retry budgets and backoff. Without them, a failing endpoint multiplies the load through retries,
+//! and callers retry at the same time.
 
 mod common;
 
