--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -1,4 +1,9 @@
-//! Chains: cover, cost, prefix affinity and data centres.
+//! Chain selection: coverage of the layers, cost, prefix affinity, data centres and draining
+//! endpoints.
+//!
+//! Guards against chains that miss or repeat a layer, use an endpoint that does not run the layer
+//! or is draining, overload the endpoint preferred for a prefix, or cross data centres when the
+//! crossing costs more than it saves.
 
 mod common;
 
@@ -14,9 +19,9 @@
         seed: u64,
         direct: bool,
     ) {
-        let held = |first: u32, len: u32| layers(first, (first + len).min(8));
+        let clamped_layers = |first: u32, len: u32| layers(first, (first + len).min(8));
         let endpoints: Vec<_> = ranges.iter().enumerate().map(|(i, (first, len, at, draining))| {
-            let mut e = engine(&format!("e{i}"), ["a", "b", "c"][*at], held(*first, *len));
+            let mut e = engine(&format!("e{i}"), ["a", "b", "c"][*at], clamped_layers(*first, *len));
             e.draining = *draining;
             e
         }).collect();
@@ -24,16 +29,16 @@
         let tuning = Tuning { activation_path, ..Tuning::default() };
         let mut router = Router::with_tuning(data_centre("a"), seed, tuning);
         endpoints.iter().cloned().for_each(|e| router.table_mut().upsert(e));
-        let coverable = (0..8).find(|layer| {
+        let first_uncovered = (0..8).find(|layer| {
             !endpoints.iter().any(|e| !e.draining && e.layers.range().contains(layer))
         });
         match choose(&mut router, ms(1)) {
             Err(e) => {
-                prop_assert_eq!(Some(e.layer), coverable);
+                prop_assert_eq!(Some(e.layer), first_uncovered);
                 prop_assert_eq!(e.shortage, Shortage::Missing);
             }
             Ok(hops) => {
-                prop_assert_eq!(coverable, None);
+                prop_assert_eq!(first_uncovered, None);
                 let mut next = 0;
                 for hop in &hops {
                     prop_assert_eq!(hop.layers.first, next);
@@ -254,7 +259,7 @@
     router.sent(ms(1), &name);
     router.ended(ms(2), &name, dragonflyrill_routing::Outcome::Draining);
     assert!(choose(&mut router, ms(3)).is_err());
-    // The list lags: it doesn't show the leaving yet.
+    // The list lags behind and does not show the endpoint as draining yet.
     router.table_mut().upsert(identical_engines(1).remove(0));
     assert!(choose(&mut router, ms(4)).is_err());
 }
@@ -299,7 +304,7 @@
     assert_eq!(router.table().get(&id("e001")).unwrap().in_flight, 1);
 }
 
-/// One engine here and one behind a very slow link.
+/// A router in data centre `a` with one local engine and one behind a very slow link.
 fn local_and_remote_router() -> Router {
     let far = engine("far", "b", layers(0, 8));
     let mut router = router(1, [engine("near", "a", layers(0, 8)), far]);
