--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -1,4 +1,7 @@
-//! Failures, ejection, probes, slow start and concurrency limits.
+//! Endpoint health: failures, ejection, probes, slow start and concurrency limits.
+//!
+//! Guards against requests that are lost at failing, frozen or slow endpoints, against ejections
+//! that leave too few endpoints of a group, and against overload of new or restored endpoints.
 
 mod common;
 
@@ -17,7 +20,8 @@
         .count()
 }
 
-/// Sends one request every 10 ms from `from` to `until`, to be ended at once by `outcome`; counts.
+/// Sends one request every 10 ms from `from` to `until` (in ms), each of which ends with `outcome`
+/// after 5 ms. Returns the number of requests by endpoint.
 fn run_requests(
     router: &mut Router,
     from: u64,
@@ -42,12 +46,12 @@
     ) {
         let mut router = router(seed, identical_engines(n));
         let cap = if n < 2 { 0 } else { (n / 3).max(1) };
-        let mut out: Vec<EndpointId> = Vec::new();
+        let mut outstanding: Vec<EndpointId> = Vec::new();
         let mut probing: BTreeMap<EndpointId, std::time::Duration> = BTreeMap::new();
         let mut now = ms(0);
-        for (what, wait) in steps {
+        for (action, wait) in steps {
             now += ms(wait);
-            match (what, out.is_empty()) {
+            match (action, outstanding.is_empty()) {
                 (0 | 1, _) | (_, true) => {
                     let Ok(hops) = choose(&mut router, now) else { continue };
                     let chosen = hops[0].endpoint.clone();
@@ -57,15 +61,15 @@
                         prop_assert!(!open, "a second probe of {chosen}");
                     }
                     router.sent(now, &chosen);
-                    out.push(chosen);
+                    outstanding.push(chosen);
                 }
                 (2, _) => {
-                    let endpoint = out.remove(0);
+                    let endpoint = outstanding.remove(0);
                     probing.remove(&endpoint);
                     router.ended(now, &endpoint, ok(5));
                 }
                 (_, _) => {
-                    let endpoint = out.remove(0);
+                    let endpoint = outstanding.remove(0);
                     probing.remove(&endpoint);
                     router.ended(now, &endpoint, Outcome::Failed);
                 }
@@ -83,7 +87,8 @@
         true => Outcome::Failed,
         false => ok(5),
     });
-    // Of 2,000; an even share is 200. Each ejection is twice as long as the one before.
+    // An even share of the 2,000 requests is 200. Each ejection lasts twice as long as the one
+    // before.
     println!("{} of 2000", counts[&failing]);
     assert!(counts[&failing] <= 10, "{}", counts[&failing]);
     assert_eq!(ejected(&router), 1);
@@ -190,7 +195,7 @@
     });
     let refused = refused.unwrap();
     assert!(matches!(refused.shortage, Shortage::Full { .. }));
-    // Room again once something ends.
+    // There is free capacity again once a call has ended.
     let some = router.table().iter().next().unwrap().id.clone();
     router.ended(ms(2), &some, ok(5));
     assert!(choose(&mut router, ms(2)).is_ok());
@@ -198,7 +203,8 @@
 
 #[test]
 fn a_limit_shrinks_as_latency_rises_and_grows_again() {
-    // Answers take longer the more is in flight, as in a queue served one by one.
+    // The latency grows with the number of calls in flight, as in a queue that is served one call
+    // at a time.
     let tuning = Tuning::default();
     let mut router = Router::with_tuning(data_centre("a"), 1, tuning);
     router.table_mut().upsert(identical_engines(1).remove(0));
