--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints and queries for tests.
+//! Endpoints, queries and routers for the tests.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::{net::SocketAddr, time::Duration};
@@ -61,7 +61,7 @@
     router
 }
 
-/// `n` alike engines in data centre `a`, each holding all of eight layers.
+/// `n` identical engines in data centre `a`, each with all eight layers.
 pub(crate) fn identical_engines(n: usize) -> Vec<Endpoint> {
     (0..n)
         .map(|i| engine(&format!("e{i:03}"), "a", layers(0, 8)))
@@ -92,7 +92,7 @@
     )
 }
 
-/// Chooses one endpoint of whole models and sends to it.
+/// Chooses a chain, which must be a single endpoint, and records a request sent to it.
 pub(crate) fn send_one(router: &mut Router, now: Duration) -> EndpointId {
     let hops = choose(router, now).unwrap();
     assert_eq!(hops.len(), 1);
--- a/crates/routing/tests/herd.rs
+++ b/crates/routing/tests/herd.rs
@@ -1,4 +1,6 @@
-//! Many hosts with the same lagged reports.
+//! Guards against a thundering herd: many hosts receive the same lagged load reports, and if each
+//! chooses the endpoint with the lowest reported load, all of them overload that endpoint until the
+//! next report.
 
 mod common;
 
@@ -14,10 +16,11 @@
 
 const ENDPOINTS: usize = 30;
 const HOSTS: usize = 16;
-/// Requests of each host a second; each runs a second.
+/// Requests per second of each host. Each request runs for one second.
 const REQUESTS_PER_SECOND: u64 = 40;
 
-/// The highest load of an endpoint over the mean, after some seconds of reports a second old.
+/// Returns the highest ratio of an endpoint's load to the mean load from 2 s to 5 s, with one load
+/// report per second.
 fn max_imbalance(hosts: &mut [Box<dyn Policy>]) -> f64 {
     let names: Vec<_> = identical_engines(ENDPOINTS)
         .into_iter()
