--- a/crates/routing/benches/choice.rs
+++ b/crates/routing/benches/choice.rs
@@ -1,4 +1,4 @@
-//! Time of one choice against the number of endpoints.
+//! Measures the time of one choice by number of endpoints.
 
 use std::{hint::black_box, time::Duration};
 
@@ -13,7 +13,7 @@
 #[path = "fleet.rs"]
 mod fleet;
 
-/// Endpoints and data centres, from today's size to the aim's.
+/// Numbers of endpoints and data centres, from a small deployment to the target size.
 const SIZES: [(usize, usize); 3] = [(36, 3), (1_000, 6), (12_000, 25)];
 
 fn choices(c: &mut Criterion) {
@@ -35,7 +35,7 @@
     group.finish();
 }
 
-/// A choice with the notes of its first step's sending and end.
+/// Measures one choice with the `sent` and `ended` events of its first step.
 fn choose(b: &mut criterion::Bencher<'_>, rule: &mut dyn Policy) {
     let model = fleet::model();
     let prefix = prefix_blocks(&model, &[7; 256]);
--- a/crates/routing/benches/fleet.rs
+++ b/crates/routing/benches/fleet.rs
@@ -1,4 +1,4 @@
-//! Endpoints to choose from, shared by the benches.
+//! Endpoints and links for the benchmarks.
 #![allow(dead_code, reason = "each bench uses its own part")]
 
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use dragonflyrill_engines::wire;
 use dragonflyrill_routing::{Endpoint, Health, Role};
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub(crate) const LAYERS: u32 = 32;
-/// Parts that the layers are split into.
+/// Number of stages that the layers are split into.
 pub(crate) const STAGES: u32 = 4;
 /// Microseconds for one layer of one token, by kind of accelerator.
 pub(crate) const KINDS: [f64; 5] = [100.0, 150.0, 250.0, 400.0, 600.0];
@@ -22,7 +22,8 @@
     DataCentre::try_from(format!("d{i}").as_str()).expect("a name")
 }
 
-/// `n` engines of mixed kinds, spread evenly over stages and data centres.
+/// Returns `n` engines with mixed kinds of accelerators, spread evenly over stages and data
+/// centres.
 pub(crate) fn engines(n: usize, data_centres: usize) -> Vec<Endpoint> {
     let stages = STAGES as usize;
     let engine = |i: usize| {
@@ -48,7 +49,8 @@
     (0..n).map(engine).collect()
 }
 
-/// Links that differ a hundredfold: 0.3 to 30 ms, 1000 to 10 Mbit/s.
+/// Returns links between all pairs of data centres that differ by a factor of up to 100: 0.3 to 30
+/// ms and 1000 to 10 Mbit/s.
 pub(crate) fn links(data_centres: usize) -> Vec<LinkEntry> {
     let mut links = Vec::new();
     for a in 0..data_centres {
--- a/crates/routing/benches/state.rs
+++ b/crates/routing/benches/state.rs
@@ -1,4 +1,4 @@
-//! Memory of a router's state against the number of endpoints, as resident size.
+//! Measures the memory of a router's state by number of endpoints, as resident size.
 
 use std::{fs, hint::black_box, time::Duration};
 
@@ -11,7 +11,7 @@
 const PAGE: usize = 4096;
 const SIZES: [usize; 4] = [36, 1_000, 12_000, 24_000];
 
-/// Resident bytes of this process.
+/// Returns the resident size of this process in bytes.
 fn resident() -> usize {
     let statm = fs::read_to_string("/proc/self/statm").expect("Linux has it");
     let pages = statm
@@ -46,7 +46,7 @@
         let full = resident() - before;
         println!("{n:>9} {:>12} {:>19}", plain / n, full / n);
         black_box(&router);
-        // Kept, so that the next size doesn't reuse its memory.
+        // Not freed, so that the next size does not reuse its memory.
         std::mem::forget(router);
     }
 }
