--- a/crates/routing/benches/compare/engine.rs
+++ b/crates/routing/benches/compare/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: batches of steps, a prefix cache, a bounded number of sessions, faults.
+//! Simulates an engine: batches of steps, a prefix cache, a bounded number of sessions and faults.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -10,7 +10,7 @@
 const CACHE_BLOCKS: usize = 512;
 const PREFILL_FACTOR: f64 = 0.02;
 
-/// One step waiting or running.
+/// A step that is queued or running.
 #[derive(Debug, Clone)]
 pub(crate) struct Step {
     pub(crate) request: usize,
@@ -20,13 +20,13 @@
     pub(crate) prefix: Vec<u64>,
 }
 
-/// What is wrong with an engine.
+/// The fault of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
     Dead,
     Frozen,
-    /// Ten times slower.
+    /// Steps take ten times as long.
     Slow,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) queue: VecDeque<Step>,
     pub(crate) running: Vec<Step>,
     sessions: BTreeSet<usize>,
-    /// Oldest first.
+    /// The cached blocks, oldest first.
     cache: VecDeque<u64>,
     events: Vec<CacheEvent>,
     seq: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes a step in, unless all sessions are in use.
+    /// Queues a step; returns false if all sessions are in use.
     pub(crate) fn accept(&mut self, step: Step) -> bool {
         if self.sessions.len() >= MAX_SESSIONS && !self.sessions.contains(&step.request) {
             return false;
@@ -68,7 +68,8 @@
         true
     }
 
-    /// Begins the next batch if it can; answers how many microseconds that takes.
+    /// Starts the next batch if the engine is idle and working; returns the time in microseconds
+    /// that it takes.
     pub(crate) fn start_batch(&mut self) -> Option<u64> {
         let idle = self.running.is_empty() && !self.queue.is_empty();
         if !idle || matches!(self.fault, Fault::Dead | Fault::Frozen) {
@@ -88,7 +89,7 @@
         Some((us * (1.0 + PREFILL_FACTOR * f64::from(extra))) as u64)
     }
 
-    /// Caches the blocks; answers how many leading ones were cached before.
+    /// Caches the blocks of `prefix`; returns how many leading ones were cached before.
     fn cache_prefix(&mut self, prefix: &[u64]) -> u32 {
         let hits = prefix.iter().take_while(|b| self.cache.contains(b)).count();
         for block in prefix {
@@ -108,7 +109,7 @@
 
     fn record_event(&mut self, block: u64, stored: bool) {
         self.seq += 1;
-        // One event in ten is lost.
+        // Every tenth event is lost.
         if !self.seq.is_multiple_of(10) {
             let seq = self.seq;
             self.events.push(CacheEvent { seq, block, stored });
@@ -119,7 +120,7 @@
         self.sessions.remove(&request);
     }
 
-    /// Dies: all it held is lost. Answers the steps that are lost with it.
+    /// Terminates the engine, which loses its state. Returns the steps that were queued or running.
     pub(crate) fn crash(&mut self) -> Vec<Step> {
         self.fault = Fault::Dead;
         self.incarnation += 1;
--- a/crates/routing/benches/compare/main.rs
+++ b/crates/routing/benches/compare/main.rs
@@ -1,5 +1,6 @@
-//! Times and goodput of the router, of simpler rules and of the router with one mechanism off,
-//! under the same seeded arrivals and faults. A small model of queues, not a cluster simulator.
+//! Compares latency and goodput of the router, of simpler policies and of the router without single
+//! mechanisms, under the same seeded arrivals and faults. The simulation is a small queueing model,
+//! not a full cluster simulator.
 
 use std::thread;
 
@@ -25,10 +26,10 @@
 const HOSTS: usize = 8;
 const RUN_SECONDS: u64 = 20;
 const SEED: u64 = 7;
-/// Runs at once; each is deterministic by itself.
+/// Number of runs in parallel; each run is deterministic by itself.
 const THREADS: usize = 4;
 
-/// A rule under test.
+/// A routing policy under test.
 #[derive(Clone)]
 enum Rule {
     Router(Box<Tuning>),
@@ -37,8 +38,8 @@
 }
 
 impl Rule {
-    fn host(&self, site: usize, seed: u64) -> Box<dyn Policy> {
-        let mut host: Box<dyn Policy> = match self {
+    fn new_policy(&self, site: usize, seed: u64) -> Box<dyn Policy> {
+        let mut policy: Box<dyn Policy> = match self {
             Self::Router(tuning) => {
                 let here = fleet::data_centre(site);
                 let mut router = Router::with_tuning(here, seed, (**tuning).clone());
@@ -54,9 +55,10 @@
                 Box::new(LeastReported::new(local))
             }
         };
-        host.table_mut()
+        policy
+            .table_mut()
             .replace_all(fleet::engines(ENGINES, DATA_CENTRES));
-        host
+        policy
     }
 }
 
@@ -91,32 +93,33 @@
     ]
 }
 
-/// Who calls: applications, and the positions that all prompts of one application share.
+/// The calling applications: their number, and the number of leading positions that all prompts of
+/// one application share.
 #[derive(Clone, Copy)]
 struct Workload {
     apps: u64,
     shared_positions: usize,
 }
 
-/// Prompts that all engines can cache.
+/// A workload whose shared prefixes all fit into the cache of every engine.
 const FEW_APPS: Workload = Workload {
     apps: 40,
     shared_positions: 256,
 };
-/// Prompts that no engine can cache all of.
+/// A workload whose shared prefixes do not all fit into the cache of one engine.
 const MANY_APPS: Workload = Workload {
     apps: 200,
     shared_positions: 2048,
 };
 
-/// Poisson arrivals; each application has its own beginning of the prompt.
+/// Returns Poisson arrivals. The prompts of each application start with the same prefix.
 fn arrivals(per_second: f64, workload: Workload) -> Vec<Arrival> {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(SEED);
     let model = fleet::model();
     let (mut at, mut all) = (0.0, Vec::new());
     while at < RUN_SECONDS as f64 {
         at += -(1.0 - rng.random::<f64>()).ln() / per_second;
-        // Few applications are much used.
+        // A few applications send most of the requests.
         let app = (workload.apps as f64 * rng.random::<f64>().powi(2)) as u64;
         let own = rng.random_range(16..400);
         let mut prompt = vec![app; workload.shared_positions];
@@ -137,7 +140,7 @@
     let hosts = sites
         .iter()
         .enumerate()
-        .map(|(i, site)| rule.host(*site, SEED + i as u64));
+        .map(|(i, site)| rule.new_policy(*site, SEED + i as u64));
     let hosts = hosts.collect();
     let engines = fleet::engines(ENGINES, DATA_CENTRES)
         .into_iter()
@@ -172,7 +175,7 @@
         from: 5_000_000,
         until: 11_000_000,
     };
-    // Engines 0 to 3 are the fastest kind in data centre 0, one for each stage.
+    // Engines 0 to 3 have the fastest kind of accelerator in data centre 0, one for each stage.
     let scenarios: [(&str, f64, Workload, Vec<FaultWindow>); 8] = [
         ("light", 40.0, FEW_APPS, vec![]),
         ("busy", 120.0, FEW_APPS, vec![]),
--- a/crates/routing/benches/compare/simulation.rs
+++ b/crates/routing/benches/compare/simulation.rs
@@ -1,4 +1,4 @@
-//! Hosts, engines and links under one event queue, in simulated microseconds.
+//! Discrete event simulation of hosts, engines and links, in simulated microseconds.
 
 use std::{
     cmp::Reverse,
@@ -17,16 +17,17 @@
 };
 
 const SECOND_US: u64 = 1_000_000;
-/// Load reports and cache events reach the hosts this often, and this late.
+/// Interval at which engines report load and cache events, and the delay until the reports reach
+/// the hosts.
 const REPORT_PERIOD_US: u64 = SECOND_US;
 const REPORT_LAG_US: u64 = SECOND_US / 2;
 const STEP_TIMEOUT_US: u64 = 2 * SECOND_US;
 const MAX_RETRIES: u32 = 3;
-/// An answer is of use if it begins and ends within these.
+/// A request counts as good if its first token and its end come within these times.
 const MAX_FIRST_TOKEN_US: u64 = 2 * SECOND_US;
 const MAX_REQUEST_US: u64 = 20 * SECOND_US;
 
-/// One request, as it arrives.
+/// A request as it arrives at a host.
 #[derive(Debug, Clone)]
 pub(crate) struct Arrival {
     pub(crate) at: u64,
@@ -36,7 +37,7 @@
     pub(crate) prefix: Vec<u64>,
 }
 
-/// A fault of one engine for some time.
+/// A fault of one engine from `from` to `until`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FaultWindow {
     pub(crate) engine: usize,
@@ -48,7 +49,7 @@
 struct Hop {
     engine: usize,
     layers: wire::Layers,
-    /// Whether it holds nothing of the request yet.
+    /// Whether the engine has no state of the request yet and must process the whole prompt.
     needs_prefill: bool,
 }
 
@@ -101,7 +102,7 @@
     Failed,
 }
 
-/// What came out of a run.
+/// The results of a run: counts of requests by end, and latencies in microseconds.
 pub(crate) struct RunResults {
     pub(crate) good: u64,
     pub(crate) late: u64,
@@ -128,7 +129,7 @@
 }
 
 impl Simulation {
-    /// `hosts[i]` is in data centre `sites[i]`.
+    /// Creates a simulation in which `hosts[i]` is in data centre `sites[i]`.
     pub(crate) fn new(
         hosts: Vec<Box<dyn Policy>>,
         sites: Vec<usize>,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Runs all arrivals to their ends.
+    /// Runs until all requests have ended.
     pub(crate) fn run(mut self, arrivals: &[Arrival], fault_windows: &[FaultWindow]) -> RunResults {
         self.fault_windows = fault_windows.to_vec();
         for (i, fault_window) in fault_windows.iter().enumerate() {
@@ -297,7 +298,8 @@
         Some(hops.collect())
     }
 
-    /// Microseconds from a host to an engine or back.
+    /// Returns the time in microseconds of a transfer between a host and an engine, in either
+    /// direction.
     fn link_us(&self, host: usize, engine: usize, bytes: f64) -> u64 {
         let from = self.sites[host];
         let at = (0..).find(|i| fleet::data_centre(*i) == self.engines[engine].listed.data_centre);
@@ -409,7 +411,7 @@
             return;
         }
         if self.engines[engine].fault == Fault::Frozen {
-            // What is done comes out when it thaws.
+            // A frozen engine returns its finished steps when the fault ends.
             let unfrozen_at = self
                 .fault_windows
                 .iter()
@@ -519,7 +521,7 @@
         }
     }
 
-    /// Puts other engines in the place of the current hop's.
+    /// Replaces the engine of the current hop by newly chosen ones, or fails the request.
     fn replace_engine(&mut self, id: usize) {
         let now = self.time();
         let r = &mut self.requests[id];
