--- a/crates/routing/benches/choice.rs
+++ b/crates/routing/benches/choice.rs
@@ -55,7 +55,7 @@
         now += Duration::from_micros(100);
         let hops = rule
             .choose(now, black_box(&query))
-            .expect("all layers are held");
+            .expect("all layers are covered");
         let work = StepSize {
             layers: hops[0].layers,
             positions: 300,
--- a/crates/routing/benches/compare/engine.rs
+++ b/crates/routing/benches/compare/engine.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    Dead,
+    Crashed,
     Frozen,
     /// Steps take ten times as long.
     Slow,
@@ -72,7 +72,7 @@
     /// that it takes.
     pub(crate) fn start_batch(&mut self) -> Option<u64> {
         let idle = self.running.is_empty() && !self.queue.is_empty();
-        if !idle || matches!(self.fault, Fault::Dead | Fault::Frozen) {
+        if !idle || matches!(self.fault, Fault::Crashed | Fault::Frozen) {
             return None;
         }
         let n = self.queue.len().min(MAX_BATCH);
@@ -122,7 +122,7 @@
 
     /// Terminates the engine, which loses its state. Returns the steps that were queued or running.
     pub(crate) fn crash(&mut self) -> Vec<Step> {
-        self.fault = Fault::Dead;
+        self.fault = Fault::Crashed;
         self.incarnation += 1;
         self.sessions.clear();
         self.cache.clear();
--- a/crates/routing/benches/compare/main.rs
+++ b/crates/routing/benches/compare/main.rs
@@ -186,7 +186,10 @@
             "kill",
             120.0,
             FEW_APPS,
-            vec![fault_window(0, Fault::Dead), fault_window(5, Fault::Dead)],
+            vec![
+                fault_window(0, Fault::Crashed),
+                fault_window(5, Fault::Crashed),
+            ],
         ),
         (
             "freeze",
--- a/crates/routing/benches/compare/simulation.rs
+++ b/crates/routing/benches/compare/simulation.rs
@@ -370,7 +370,7 @@
         };
         let host = r.arrival.host;
         let back = self.now + self.link_us(host, engine, 0.0);
-        if self.engines[engine].fault == Fault::Dead {
+        if self.engines[engine].fault == Fault::Crashed {
             self.push(
                 back,
                 Event::Answer {
@@ -582,7 +582,7 @@
 
     fn start_fault(&mut self, i: usize) {
         let FaultWindow { engine, fault, .. } = self.fault_windows[i];
-        if fault != Fault::Dead {
+        if fault != Fault::Crashed {
             self.engines[engine].fault = fault;
             return;
         }
--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -132,8 +132,8 @@
         let reported = &self.reported;
         let load = |e: &Endpoint| reported.get(e.id.as_str()).copied().unwrap_or(0);
         cover(&self.table, query, self.local.as_ref(), |usable| {
-            let least = usable.iter().copied().min_by_key(|e| load(e));
-            least.unwrap_or(usable[0])
+            let lowest = usable.iter().copied().min_by_key(|e| load(e));
+            lowest.unwrap_or(usable[0])
         })
     }
 
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -337,8 +337,8 @@
             }
         }
         let health = tuning.mechanisms.health;
-        let doubtful = stats.breaker.is_suspect(now, tuning) || stats.is_silent(now, tuning);
-        match ejected || (health && doubtful) {
+        let suspected = stats.breaker.is_suspect(now, tuning) || stats.is_silent(now, tuning);
+        match ejected || (health && suspected) {
             true => Eligibility::Suspect,
             false => Eligibility::Good,
         }
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -61,14 +61,14 @@
 }
 
 impl Limiter {
-    /// Returns the largest number of concurrent calls.
+    /// Returns the largest load that the endpoint is given at once.
     pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
 
     /// Records an answer after `latency` to work with a nominal time of `nominal`, which is above
-    /// 0, while `load` calls were running. `latency` and `nominal` are in the same, arbitrary unit.
-    /// A latency up to the nominal time counts as the nominal time.
+    /// 0, at a load of `load`. `latency` and `nominal` are in the same, arbitrary unit. A latency
+    /// up to the nominal time counts as the nominal time.
     pub(crate) fn record_answer(
         &mut self,
         now: Duration,
@@ -103,7 +103,7 @@
         self.updated_at = now;
     }
 
-    /// Records that the endpoint refused work because of overload while `load` calls were running.
+    /// Records that the endpoint refused work because of overload at a load of `load`.
     pub(crate) fn record_refusal(&mut self, now: Duration, load: f64) {
         // Refusals of calls that were in flight together count once.
         if self
@@ -143,7 +143,7 @@
     last_utility: f64,
     descending: bool,
     reversals: u32,
-    /// Mean latency since the climb stopped; 0 before.
+    /// Mean latency at the first check after the climb stopped; 0 before.
     reference_latency: f64,
     cusum_above: f64,
     cusum_below: f64,
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -21,9 +21,9 @@
             return 0.0;
         }
         let breaker = &slot.stats.breaker;
-        let doubtful = breaker.is_suspect(self.context.now, self.tuning)
+        let suspect = breaker.is_suspect(self.context.now, self.tuning)
             || slot.stats.is_silent(self.context.now, self.tuning);
-        let rate = match doubtful {
+        let rate = match suspect {
             true => 1.0,
             false => breaker.failure_rate(self.context.now, self.tuning),
         };
--- a/crates/routing/src/endpoint_stats.rs
+++ b/crates/routing/src/endpoint_stats.rs
@@ -190,8 +190,8 @@
     pub(crate) fn out_of_sessions(&self, now: Duration, tuning: &Tuning) -> bool {
         self.report.is_some_and(|r| {
             let recent = now < r.taken_at + tuning.report_half_life;
-            let held = r.foreign_sessions + self.sessions.count();
-            recent && r.max_sessions > 0 && held >= r.max_sessions
+            let sessions_in_use = r.foreign_sessions + self.sessions.count();
+            recent && r.max_sessions > 0 && sessions_in_use >= r.max_sessions
         })
     }
 
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -46,7 +46,7 @@
     pub data_centre: DataCentre,
     /// The model or service that it runs.
     pub target: TargetName,
-    /// The layers it holds; empty for a service.
+    /// The layers that it runs; empty for a service.
     pub layers: wire::Layers,
     /// The kind of accelerator; empty for a service.
     pub accelerator: String,
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -27,14 +27,14 @@
     wire::Layers { first, end }
 }
 
-pub(crate) fn engine(name: &str, at: &str, held: wire::Layers) -> Endpoint {
+pub(crate) fn engine(name: &str, at: &str, engine_layers: wire::Layers) -> Endpoint {
     Endpoint {
         id: id(name),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         role: Role::Engine,
         data_centre: data_centre(at),
         target: model(),
-        layers: held,
+        layers: engine_layers,
         accelerator: "a".into(),
         layer_us: 50.0,
         draining: false,
--- a/crates/routing/tests/herd.rs
+++ b/crates/routing/tests/herd.rs
@@ -82,17 +82,23 @@
 #[test]
 fn hosts_with_lagged_reports_do_not_overload_single_endpoints() {
     let mut routers: Vec<Box<dyn Policy>> = Vec::new();
-    let mut least: Vec<Box<dyn Policy>> = Vec::new();
+    let mut baselines: Vec<Box<dyn Policy>> = Vec::new();
     for host in 0..HOSTS {
         routers.push(Box::new(router(host as u64, identical_engines(ENDPOINTS))));
         let mut baseline = LeastReported::default();
         identical_engines(ENDPOINTS)
             .into_iter()
             .for_each(|e| baseline.table_mut().upsert(e));
-        least.push(Box::new(baseline));
+        baselines.push(Box::new(baseline));
     }
-    let (ours, theirs) = (max_imbalance(&mut routers), max_imbalance(&mut least));
-    println!("max/mean load: {ours:.2}, by least reported load {theirs:.2}");
-    assert!(ours < 2.0, "{ours}");
-    assert!(theirs > 3.0 * ours, "{theirs}");
+    let (router_imbalance, baseline_imbalance) =
+        (max_imbalance(&mut routers), max_imbalance(&mut baselines));
+    println!(
+        "max/mean load: {router_imbalance:.2}, by least reported load {baseline_imbalance:.2}"
+    );
+    assert!(router_imbalance < 2.0, "{router_imbalance}");
+    assert!(
+        baseline_imbalance > 3.0 * router_imbalance,
+        "{baseline_imbalance}"
+    );
 }
