--- a/crates/routing/benches/choice.rs
+++ b/crates/routing/benches/choice.rs
@@ -1,11 +1,11 @@
-//! Time of one choice against the number of endpoints.
+//! Measures the time of one choice by number of endpoints.
 
 use std::{hint::black_box, time::Duration};
 
 use criterion::{BenchmarkId, Criterion};
 use dragonflyrill_engines::wire;
 use dragonflyrill_routing::{
-    ChainQuery, Outcome, Router, Work,
+    ChainQuery, Outcome, Router, StepSize,
     baseline::{LeastReported, Policy, RoundRobin},
     prefix_blocks,
 };
@@ -13,7 +13,7 @@
 #[path = "fleet.rs"]
 mod fleet;
 
-/// Endpoints and data centres, from today's size to the aim's.
+/// Numbers of endpoints and data centres, from a small deployment to the target size.
 const SIZES: [(usize, usize); 3] = [(36, 3), (1_000, 6), (12_000, 25)];
 
 fn choices(c: &mut Criterion) {
@@ -35,7 +35,7 @@
     group.finish();
 }
 
-/// A choice with the notes of its first step's sending and end.
+/// Measures one choice with the `sent` and `ended` events of its first step.
 fn choose(b: &mut criterion::Bencher<'_>, rule: &mut dyn Policy) {
     let model = fleet::model();
     let prefix = prefix_blocks(&model, &[7; 256]);
@@ -55,8 +55,8 @@
         now += Duration::from_micros(100);
         let hops = rule
             .choose(now, black_box(&query))
-            .expect("all layers are held");
-        let work = Work {
+            .expect("all layers are covered");
+        let work = StepSize {
             layers: hops[0].layers,
             positions: 300,
         };
@@ -75,7 +75,7 @@
         let mut router = Router::new(fleet::data_centre(0), 1);
         let engines = fleet::engines(n, data_centres);
         router.table_mut().replace_all(engines.clone());
-        let work = Work {
+        let work = StepSize {
             layers: engines[0].layers,
             positions: 1,
         };
--- a/crates/routing/benches/compare/engine.rs
+++ b/crates/routing/benches/compare/engine.rs
@@ -1,16 +1,16 @@
-//! A model engine: batches of steps, a prefix cache, a bounded number of sessions, faults.
+//! Simulates an engine: batches of steps, a prefix cache, a bounded number of sessions and faults.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use dragonflyrill_engines::wire::{CacheEvent, CacheEvents, LoadReport};
-use dragonflyrill_routing::{BLOCK, Endpoint};
+use dragonflyrill_routing::{BLOCK_POSITIONS, Endpoint};
 
 const MAX_BATCH: usize = 32;
 const MAX_SESSIONS: usize = 64;
 const CACHE_BLOCKS: usize = 512;
 const PREFILL_FACTOR: f64 = 0.02;
 
-/// One step waiting or running.
+/// A step that is queued or running.
 #[derive(Debug, Clone)]
 pub(crate) struct Step {
     pub(crate) request: usize,
@@ -20,13 +20,13 @@
     pub(crate) prefix: Vec<u64>,
 }
 
-/// What is wrong with an engine.
+/// The fault of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    Dead,
+    Crashed,
     Frozen,
-    /// Ten times slower.
+    /// Steps take ten times as long.
     Slow,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) queue: VecDeque<Step>,
     pub(crate) running: Vec<Step>,
     sessions: BTreeSet<usize>,
-    /// Oldest first.
+    /// The cached blocks, oldest first.
     cache: VecDeque<u64>,
     events: Vec<CacheEvent>,
     seq: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes a step in, unless all sessions are in use.
+    /// Queues a step; returns false if all sessions are in use.
     pub(crate) fn accept(&mut self, step: Step) -> bool {
         if self.sessions.len() >= MAX_SESSIONS && !self.sessions.contains(&step.request) {
             return false;
@@ -68,10 +68,11 @@
         true
     }
 
-    /// Begins the next batch if it can; answers how many microseconds that takes.
-    pub(crate) fn begin(&mut self) -> Option<u64> {
+    /// Starts the next batch if the engine is idle and working; returns the time in microseconds
+    /// that it takes.
+    pub(crate) fn start_batch(&mut self) -> Option<u64> {
         let idle = self.running.is_empty() && !self.queue.is_empty();
-        if !idle || matches!(self.fault, Fault::Dead | Fault::Frozen) {
+        if !idle || matches!(self.fault, Fault::Crashed | Fault::Frozen) {
             return None;
         }
         let n = self.queue.len().min(MAX_BATCH);
@@ -80,7 +81,7 @@
         let mut extra = 0;
         for i in 0..n {
             let prefix = std::mem::take(&mut self.running[i].prefix);
-            let cached = self.store(&prefix) * BLOCK as u32;
+            let cached = self.cache_prefix(&prefix) * BLOCK_POSITIONS as u32;
             extra += (self.running[i].positions - 1).saturating_sub(cached);
         }
         let slow = if self.fault == Fault::Slow { 10.0 } else { 1.0 };
@@ -88,40 +89,40 @@
         Some((us * (1.0 + PREFILL_FACTOR * f64::from(extra))) as u64)
     }
 
-    /// Caches the blocks; answers how many leading ones were cached before.
-    fn store(&mut self, prefix: &[u64]) -> u32 {
+    /// Caches the blocks of `prefix`; returns how many leading ones were cached before.
+    fn cache_prefix(&mut self, prefix: &[u64]) -> u32 {
         let hits = prefix.iter().take_while(|b| self.cache.contains(b)).count();
         for block in prefix {
             match self.cache.iter().position(|b| b == block) {
                 Some(at) => drop(self.cache.remove(at)),
-                None => self.note(*block, true),
+                None => self.record_event(*block, true),
             }
             self.cache.push_back(*block);
         }
         while self.cache.len() > CACHE_BLOCKS {
             if let Some(oldest) = self.cache.pop_front() {
-                self.note(oldest, false);
+                self.record_event(oldest, false);
             }
         }
         hits as u32
     }
 
-    fn note(&mut self, block: u64, stored: bool) {
+    fn record_event(&mut self, block: u64, stored: bool) {
         self.seq += 1;
-        // One event in ten is lost.
+        // Every tenth event is lost.
         if !self.seq.is_multiple_of(10) {
             let seq = self.seq;
             self.events.push(CacheEvent { seq, block, stored });
         }
     }
 
-    pub(crate) fn free(&mut self, request: usize) {
+    pub(crate) fn end_session(&mut self, request: usize) {
         self.sessions.remove(&request);
     }
 
-    /// Dies: all it held is lost. Answers the steps that are lost with it.
-    pub(crate) fn die(&mut self) -> Vec<Step> {
-        self.fault = Fault::Dead;
+    /// Terminates the engine, which loses its state. Returns the steps that were queued or running.
+    pub(crate) fn crash(&mut self) -> Vec<Step> {
+        self.fault = Fault::Crashed;
         self.incarnation += 1;
         self.sessions.clear();
         self.cache.clear();
--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Simpler rules, to compare [`Router`] with.
+//! Simpler routing policies for comparison with [`Router`].
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,26 +6,39 @@
 use dragonflyrill_engines::wire;
 
 use crate::{
-    ChainQuery, EndpointTable, Hop, NoEndpoint, Outcome, Role, Router, Shortage, Work,
+    ChainQuery, EndpointTable, Hop, NoEndpoint, Outcome, Role, Router, Shortage, StepSize,
     table::Endpoint,
 };
 
-/// What a comparison needs of a rule.
+/// The operations of a routing policy that a comparison uses.
 pub trait Policy {
-    /// The endpoints.
+    /// Returns the table of endpoints.
     fn table_mut(&mut self) -> &mut EndpointTable;
     /// As [`Router::choose_chain`].
     fn choose(&mut self, now: Duration, query: &ChainQuery<'_>) -> Result<Vec<Hop>, NoEndpoint>;
     /// As [`Router::sent`].
     fn sent(&mut self, _now: Duration, _endpoint: &EndpointId) {}
     /// As [`Router::ended_step`].
-    fn ended(&mut self, _now: Duration, _endpoint: &EndpointId, _outcome: Outcome, _work: Work) {}
+    fn ended(
+        &mut self,
+        _now: Duration,
+        _endpoint: &EndpointId,
+        _outcome: Outcome,
+        _work: StepSize,
+    ) {
+    }
     /// As [`Router::released`].
     fn released(&mut self, _now: Duration, _endpoint: &EndpointId) {}
-    /// As [`Router::load`].
-    fn load(&mut self, _now: Duration, _report: &wire::LoadReport) {}
-    /// As [`Router::cache_events`].
-    fn cache_events(&mut self, _now: Duration, _endpoint: &EndpointId, _ev: &wire::CacheEvents) {}
+    /// As [`Router::apply_load_report`].
+    fn apply_load_report(&mut self, _now: Duration, _report: &wire::LoadReport) {}
+    /// As [`Router::apply_cache_events`].
+    fn apply_cache_events(
+        &mut self,
+        _now: Duration,
+        _endpoint: &EndpointId,
+        _ev: &wire::CacheEvents,
+    ) {
+    }
 }
 
 impl Policy for Router {
@@ -41,7 +54,7 @@
         self.sent(now, endpoint);
     }
 
-    fn ended(&mut self, now: Duration, endpoint: &EndpointId, outcome: Outcome, work: Work) {
+    fn ended(&mut self, now: Duration, endpoint: &EndpointId, outcome: Outcome, work: StepSize) {
         self.ended_step(now, endpoint, outcome, work);
     }
 
@@ -49,26 +62,26 @@
         self.released(now, endpoint);
     }
 
-    fn load(&mut self, now: Duration, report: &wire::LoadReport) {
-        self.load(now, report);
+    fn apply_load_report(&mut self, now: Duration, report: &wire::LoadReport) {
+        self.apply_load_report(now, report);
     }
 
-    fn cache_events(&mut self, now: Duration, endpoint: &EndpointId, ev: &wire::CacheEvents) {
-        self.cache_events(now, endpoint, ev);
+    fn apply_cache_events(&mut self, now: Duration, endpoint: &EndpointId, ev: &wire::CacheEvents) {
+        self.apply_cache_events(now, endpoint, ev);
     }
 }
 
-/// Each endpoint in turn.
+/// Chooses the endpoints in round-robin order.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    /// Endpoints there go before all others.
+    /// Endpoints in this data centre are preferred to all others.
     local: Option<DataCentre>,
     table: EndpointTable,
-    turn: usize,
+    next_index: usize,
 }
 
 impl RoundRobin {
-    /// The rule, with endpoints of `local` before all others.
+    /// Creates the policy; endpoints in `local` are preferred to all others.
     pub fn new(local: Option<DataCentre>) -> Self {
         Self {
             local,
@@ -83,25 +96,25 @@
     }
 
     fn choose(&mut self, _now: Duration, query: &ChainQuery<'_>) -> Result<Vec<Hop>, NoEndpoint> {
-        let turn = self.turn;
-        self.turn += 1;
+        let next_index = self.next_index;
+        self.next_index += 1;
         cover(&self.table, query, self.local.as_ref(), |usable| {
-            usable[turn % usable.len()]
+            usable[next_index % usable.len()]
         })
     }
 }
 
-/// The endpoint whose last report shows the least load; the first such by id.
+/// Chooses the endpoint whose last report shows the lowest load; the first by id among equals.
 #[derive(Debug, Default)]
 pub struct LeastReported {
-    /// Endpoints there go before all others.
+    /// Endpoints in this data centre are preferred to all others.
     local: Option<DataCentre>,
     table: EndpointTable,
     reported: HashMap<String, u32>,
 }
 
 impl LeastReported {
-    /// The rule, with endpoints of `local` before all others.
+    /// Creates the policy; endpoints in `local` are preferred to all others.
     pub fn new(local: Option<DataCentre>) -> Self {
         Self {
             local,
@@ -119,18 +132,18 @@
         let reported = &self.reported;
         let load = |e: &Endpoint| reported.get(e.id.as_str()).copied().unwrap_or(0);
         cover(&self.table, query, self.local.as_ref(), |usable| {
-            let least = usable.iter().copied().min_by_key(|e| load(e));
-            least.unwrap_or(usable[0])
+            let lowest = usable.iter().copied().min_by_key(|e| load(e));
+            lowest.unwrap_or(usable[0])
         })
     }
 
-    fn load(&mut self, _now: Duration, report: &wire::LoadReport) {
+    fn apply_load_report(&mut self, _now: Duration, report: &wire::LoadReport) {
         let load = report.running + report.waiting;
         self.reported.insert(report.endpoint.clone(), load);
     }
 }
 
-/// Covers the layers hop by hop; `pick` is given at least one endpoint.
+/// Covers the layers hop by hop. `pick` is called with at least one endpoint.
 fn cover<'t>(
     table: &'t EndpointTable,
     query: &ChainQuery<'_>,
@@ -144,7 +157,7 @@
             e.role == Role::Engine
                 && e.target == *query.model
                 && e.layers.range().contains(&next)
-                && e.takes_new_work()
+                && e.accepts_new_work()
                 && !query.avoid.contains(&e.id)
         });
         let mut usable: Vec<_> = usable.collect();
--- a/crates/routing/src/chain.rs
+++ b/crates/routing/src/chain.rs
@@ -1,69 +1,70 @@
-//! The cheapest chain through candidates, by dynamic programming over layer boundaries.
+//! Finds the cheapest chain through candidates by dynamic programming over layer boundaries.
 
 use dragonflyrill_engines::wire;
 
 use crate::{
-    candidates::{Candidate, Want},
+    candidates::{Candidate, ChoiceContext},
     links::{Links, Site},
-    tuning::{Drive, Tuning},
+    tuning::{ActivationPath, Tuning},
 };
 
 const NONE: u32 = u32::MAX;
 
-/// The cheapest way found to have run all layers up to a boundary, ending in one data centre.
+/// The cheapest chain found so far that runs all layers up to a boundary and ends in one data
+/// centre.
 #[derive(Debug, Clone, Copy)]
 struct Node {
     cost: f64,
     site: Site,
-    /// The last candidate; [`NONE`] at the start.
+    /// Index of the last candidate; [`NONE`] at the start.
     candidate: u32,
-    /// The node it came from.
+    /// The node that this one extends.
     prev: u32,
     boundary: u32,
-    /// The next node at the same boundary.
+    /// The next node of the list of nodes at the same boundary.
     next: u32,
 }
 
-/// One candidate with the layers it is to run.
+/// One stage of a plan: a candidate and the layers it runs.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Part {
+pub(crate) struct Stage {
     /// Index of the candidate.
     pub(crate) candidate: usize,
-    /// Its layers.
+    /// The layers that the candidate runs.
     pub(crate) layers: wire::Layers,
 }
 
-/// Working memory, kept so that a choice allocates nothing.
+/// Plans chains. Its buffers are reused, so that a choice allocates nothing once they have grown.
 #[derive(Debug, Default)]
 pub(crate) struct Planner {
-    /// Layers at which some candidate begins or ends, in order.
+    /// Layers at which some candidate begins or ends, in ascending order.
     boundaries: Vec<u32>,
     nodes: Vec<Node>,
-    /// The first node at each boundary.
+    /// The first node of the list at each boundary.
     heads: Vec<u32>,
-    /// The plan found, last part first.
-    pub(crate) parts: Vec<Part>,
+    /// The plan found, last stage first.
+    pub(crate) stages: Vec<Stage>,
 }
 
-/// No chain covers the layer.
+/// No chain covers `layer`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Uncovered {
     pub(crate) layer: u32,
 }
 
-/// What a plan is made with.
+/// The input of a plan.
 pub(crate) struct Problem<'a> {
     pub(crate) layers: wire::Layers,
     pub(crate) candidates: &'a [Candidate],
-    pub(crate) want: Want<'a>,
+    pub(crate) context: ChoiceContext<'a>,
     pub(crate) links: &'a Links,
     pub(crate) tuning: &'a Tuning,
 }
 
 impl Planner {
-    /// Finds the cheapest cover of the layers, each exactly once, no candidate twice.
+    /// Finds the cheapest chain that covers each layer exactly once and uses no endpoint twice.
     pub(crate) fn plan(&mut self, problem: &Problem<'_>) -> Result<(), Uncovered> {
-        self.parts.clear();
+        self.stages.clear();
         self.prepare(problem);
         let last = self.boundaries.len() - 1;
         for at in 0..last {
@@ -77,26 +78,26 @@
         let mut node = self.heads[last];
         while node != NONE {
             let end = &self.nodes[node as usize];
-            let cost = end.cost + problem.leave_us(end.site);
+            let cost = end.cost + problem.final_return_cost_us(end.site);
             if best.is_none_or(|(b, _)| cost < b) {
                 best = Some((cost, node));
             }
             node = end.next;
         }
         match best {
-            Some((_, node)) => self.trace(node),
+            Some((_, node)) => self.collect_stages(node),
             None => return Err(self.uncovered()),
         }
         Ok(())
     }
 
     fn prepare(&mut self, problem: &Problem<'_>) {
-        let wanted = problem.layers;
+        let layers = problem.layers;
         self.boundaries.clear();
-        self.boundaries.extend([wanted.first, wanted.end]);
+        self.boundaries.extend([layers.first, layers.end]);
         for candidate in problem.candidates {
-            let ends = [candidate.layers.first, candidate.layers.end];
-            let inner = ends.into_iter().filter(|l| wanted.range().contains(l));
+            let edges = [candidate.layers.first, candidate.layers.end];
+            let inner = edges.into_iter().filter(|l| layers.range().contains(l));
             self.boundaries.extend(inner);
         }
         self.boundaries.sort_unstable();
@@ -106,7 +107,7 @@
         self.nodes.clear();
         self.nodes.push(Node {
             cost: 0.0,
-            site: problem.want.home,
+            site: problem.context.home,
             candidate: NONE,
             prev: NONE,
             boundary: 0,
@@ -115,7 +116,7 @@
         self.heads[0] = 0;
     }
 
-    /// Adds all that can run next after `node`.
+    /// Adds all nodes that extend `node` by one candidate.
     fn extend(&mut self, problem: &Problem<'_>, at: usize, node: u32) {
         let layer = self.boundaries[at];
         let from = self.nodes[node as usize];
@@ -124,19 +125,19 @@
             if !covers || self.uses(problem, node, candidate.slot) {
                 continue;
             }
-            let enter = problem.enter_us(from.site, candidate.site, layer);
-            let base = from.cost + candidate.fixed_us + enter;
+            let entry_cost = problem.entry_cost_us(from.site, candidate.site, layer);
+            let base = from.cost + candidate.fixed_us + entry_cost;
             for to in at + 1..self.boundaries.len() {
                 let end = self.boundaries[to];
                 if end > candidate.layers.end {
                     break;
                 }
                 let run = candidate.layer_us * f64::from(end - layer);
-                let back = problem.back_us(candidate.site, end);
+                let return_cost = problem.return_cost_us(candidate.site, end);
                 self.relax(
                     problem,
                     Node {
-                        cost: base + run + back,
+                        cost: base + run + return_cost,
                         site: candidate.site,
                         candidate: i as u32,
                         prev: node,
@@ -148,14 +149,15 @@
         }
     }
 
-    /// Keeps `new` if nothing cheaper ends at the same boundary and place.
+    /// Keeps `new` if no cheaper node ends at the same boundary and, for direct transfers, in the
+    /// same data centre.
     fn relax(&mut self, problem: &Problem<'_>, new: Node) {
-        let place_counts = problem.tuning.drive == Drive::Direct;
+        let site_matters = problem.tuning.activation_path == ActivationPath::Direct;
         let head = self.heads[new.boundary as usize];
         let mut node = head;
         while node != NONE {
             let old = &mut self.nodes[node as usize];
-            if !place_counts || old.site == new.site {
+            if !site_matters || old.site == new.site {
                 if new.cost < old.cost {
                     *old = Node {
                         next: old.next,
@@ -170,7 +172,7 @@
         self.nodes.push(Node { next: head, ..new });
     }
 
-    /// Whether the way to `node` uses the endpoint already.
+    /// Whether the chain up to `node` already uses the endpoint.
     fn uses(&self, problem: &Problem<'_>, mut node: u32, slot: u32) -> bool {
         while node != NONE {
             let n = &self.nodes[node as usize];
@@ -182,12 +184,12 @@
         false
     }
 
-    fn trace(&mut self, mut node: u32) {
+    fn collect_stages(&mut self, mut node: u32) {
         while node != NONE {
             let n = self.nodes[node as usize];
             if n.candidate != NONE {
                 let first = self.nodes[n.prev as usize].boundary;
-                self.parts.push(Part {
+                self.stages.push(Stage {
                     candidate: n.candidate as usize,
                     layers: wire::Layers {
                         first: self.boundaries[first as usize],
@@ -199,7 +201,7 @@
         }
     }
 
-    /// The farthest boundary that can be reached.
+    /// Returns the farthest boundary that a chain reaches.
     fn uncovered(&self) -> Uncovered {
         let reached = self.heads.iter().rposition(|h| *h != NONE).unwrap_or(0);
         Uncovered {
@@ -209,39 +211,44 @@
 }
 
 impl Problem<'_> {
-    /// Cost of getting from `from` into the endpoint that begins at `layer`.
-    fn enter_us(&self, from: Site, to: Site, layer: u32) -> f64 {
-        let from = match self.tuning.drive {
-            Drive::Relayed => self.want.home,
-            Drive::Direct => from,
+    /// Returns the cost of the transfer from `from` to the endpoint that begins at `layer`.
+    fn entry_cost_us(&self, from: Site, to: Site, layer: u32) -> f64 {
+        let from = match self.tuning.activation_path {
+            ActivationPath::Relayed => self.context.home,
+            ActivationPath::Direct => from,
         };
-        self.cross_us(from, to, layer > self.layers.first)
+        self.crossing_cost_us(from, to, layer > self.layers.first)
     }
 
-    /// Cost of getting back to the host after each endpoint, where the host relays.
-    fn back_us(&self, from: Site, layer: u32) -> f64 {
-        match self.tuning.drive {
-            Drive::Relayed => self.cross_us(from, self.want.home, layer < self.layers.end),
-            Drive::Direct => 0.0,
+    /// Returns the cost of the transfer back to the host after each endpoint if the host relays
+    /// activations.
+    fn return_cost_us(&self, from: Site, layer: u32) -> f64 {
+        match self.tuning.activation_path {
+            ActivationPath::Relayed => {
+                self.crossing_cost_us(from, self.context.home, layer < self.layers.end)
+            }
+            ActivationPath::Direct => 0.0,
         }
     }
 
-    /// Cost of getting back to the host after the last endpoint, where the host doesn't relay.
-    fn leave_us(&self, from: Site) -> f64 {
-        match self.tuning.drive {
-            Drive::Relayed => 0.0,
-            Drive::Direct => self.cross_us(from, self.want.home, false),
+    /// Returns the cost of the transfer back to the host after the last endpoint if the host does
+    /// not relay activations.
+    fn final_return_cost_us(&self, from: Site) -> f64 {
+        match self.tuning.activation_path {
+            ActivationPath::Relayed => 0.0,
+            ActivationPath::Direct => self.crossing_cost_us(from, self.context.home, false),
         }
     }
 
-    /// Cost of one crossing for the prompt and for each generated token.
-    fn cross_us(&self, from: Site, to: Site, activations: bool) -> f64 {
+    /// Returns the cost in microseconds of one transfer for the prompt and for each generated
+    /// token.
+    fn crossing_cost_us(&self, from: Site, to: Site, activations: bool) -> f64 {
         let link = self.links.between(from, to);
-        let want = &self.want.size;
+        let size = &self.context.size;
         let bytes = match activations {
-            true => (want.prompt + want.decode) * self.tuning.activation_bytes,
+            true => (size.prompt + size.decode) * self.tuning.activation_bytes,
             false => 0.0,
         };
-        (1.0 + want.decode) * link.latency_us + bytes * link.us_per_byte
+        (1.0 + size.decode) * link.latency_us + bytes * link.us_per_byte
     }
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,160 +1,166 @@
-//! Whether an endpoint answers: learnt from the outcomes of its calls alone.
+//! A circuit breaker for each endpoint, driven by the outcomes of its calls alone.
 
 use std::time::Duration;
 
 use crate::Tuning;
 
-/// Weight of the newest outcome in the failure rate.
-const WEIGHT: f32 = 0.1;
-/// Failure rate that ejects.
-const EJECT_RATE: f32 = 0.5;
-/// Halvings of the failure rate in the time that an endpoint is suspect after a failure.
-const FADE: f64 = 4.0;
-/// Failure rates below this count as none.
-const LEAST_RATE: f64 = 0.001;
-/// Calls before the failure rate counts.
+/// Weight of the newest outcome in the moving average of the failure rate.
+const OUTCOME_WEIGHT: f32 = 0.1;
+/// Failure rate above which an endpoint is ejected.
+const EJECT_FAILURE_RATE: f32 = 0.5;
+/// Number of times the failure rate halves during the time that an endpoint is suspect after a
+/// failure.
+const FAILURE_RATE_HALVINGS: f64 = 4.0;
+/// Failure rates below this are treated as zero.
+const MIN_FAILURE_RATE: f64 = 0.001;
+/// Number of calls before the failure rate can eject an endpoint.
 const MIN_CALLS: u32 = 10;
 
-/// The breaker of one endpoint.
+/// The state of a circuit breaker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum Breaker {
-    /// Work flows.
+pub(crate) enum BreakerState {
+    /// Calls are allowed.
     #[default]
     Closed,
-    /// No work until then.
+    /// No calls are allowed before `until`.
     Open {
-        /// When a probe may be sent.
+        /// The time from which a probe may be sent.
         until: Duration,
     },
-    /// One probe is out.
+    /// One probe is outstanding.
     Probing {
-        /// When it was chosen.
+        /// When the probe was chosen.
         since: Duration,
     },
 }
 
-/// What an outcome asks of the endpoint's group.
+/// The change to the endpoint's group that an outcome requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Nothing.
-    Stay,
-    /// Eject the endpoint, if the group's cap allows it.
+pub(crate) enum BreakerAction {
+    /// No change.
+    NoChange,
+    /// Eject the endpoint, if the group's ejection cap allows it.
     Eject,
-    /// The probe was answered: take the endpoint back.
-    Return,
+    /// The probe was answered: end the ejection.
+    Restore,
 }
 
-/// Outcomes of one endpoint's calls.
+/// The circuit breaker of one endpoint, with the outcomes of its calls.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Record {
-    breaker: Breaker,
-    consecutive: u32,
+pub(crate) struct CircuitBreaker {
+    state: BreakerState,
+    consecutive_failures: u32,
     calls: u32,
     failure_rate: f32,
-    /// Ejections since the endpoint was last forgiven; the exponent of the next one's time.
+    /// Ejections since the count was last reset; the exponent of the duration of the next one.
     ejections: u32,
-    /// When it was last taken back.
-    returned: Duration,
+    /// When an ejection last ended.
+    restored_at: Duration,
     /// When a call last failed.
     failed_at: Duration,
 }
 
-impl Record {
-    /// Whether the breaker keeps normal work away.
+impl CircuitBreaker {
+    /// Whether the breaker blocks normal calls.
     pub(crate) fn is_ejected(&self) -> bool {
-        self.breaker != Breaker::Closed
+        self.state != BreakerState::Closed
     }
 
-    /// Whether one probe may be chosen now.
-    pub(crate) fn wants_probe(&self, now: Duration, tuning: &Tuning) -> bool {
-        match self.breaker {
-            Breaker::Closed => false,
-            Breaker::Open { until } => now >= until,
-            Breaker::Probing { since } => now >= since + tuning.probe_timeout,
+    /// Whether a probe may be sent now.
+    pub(crate) fn is_probe_due(&self, now: Duration, tuning: &Tuning) -> bool {
+        match self.state {
+            BreakerState::Closed => false,
+            BreakerState::Open { until } => now >= until,
+            BreakerState::Probing { since } => now >= since + tuning.probe_timeout,
         }
     }
 
-    /// Notes that the one probe was chosen.
-    pub(crate) fn probe(&mut self, now: Duration) {
-        self.breaker = Breaker::Probing { since: now };
+    /// Records that a probe was chosen.
+    pub(crate) fn start_probe(&mut self, now: Duration) {
+        self.state = BreakerState::Probing { since: now };
     }
 
-    /// Whether failures are so recent that others are to be preferred.
+    /// Whether failures are so recent that other endpoints are preferred.
     ///
-    /// It holds for as long as an ejection would, also where the cap forbids one.
+    /// This holds for as long as an ejection would last, also if the cap prevents the ejection.
     pub(crate) fn is_suspect(&self, now: Duration, tuning: &Tuning) -> bool {
-        self.consecutive > 0 && now < self.failed_at + doubled(self.consecutive - 1, tuning)
+        self.consecutive_failures > 0
+            && now < self.failed_at + eject_time_after(self.consecutive_failures - 1, tuning)
     }
 
-    /// The expected part of calls that fail.
+    /// Returns the expected fraction of calls that fail, 0 to 1.
     ///
-    /// The measured rate fades after the last failure: else an endpoint that failed once, and gets
-    /// nothing for it, could never show that it is well.
+    /// The measured rate decays with the time since the last failure. Without the decay, an
+    /// endpoint that failed once and gets no calls for that reason could never show that it has
+    /// recovered.
     pub(crate) fn failure_rate(&self, now: Duration, tuning: &Tuning) -> f64 {
-        let suspect = doubled(self.consecutive.saturating_sub(1), tuning).as_secs_f64();
+        let suspect_time =
+            eject_time_after(self.consecutive_failures.saturating_sub(1), tuning).as_secs_f64();
         let since = now.saturating_sub(self.failed_at).as_secs_f64();
-        let rate = f64::from(self.failure_rate) * (-FADE * since / suspect).exp2();
-        // So that among equals the least trace of a failure doesn't decide for good.
-        if rate < LEAST_RATE { 0.0 } else { rate }
+        let rate =
+            f64::from(self.failure_rate) * (-FAILURE_RATE_HALVINGS * since / suspect_time).exp2();
+        // A tiny remaining rate must not decide between otherwise equal endpoints forever.
+        if rate < MIN_FAILURE_RATE { 0.0 } else { rate }
     }
 
-    /// Notes an answered call.
-    pub(crate) fn ok(&mut self, now: Duration, tuning: &Tuning) -> Verdict {
-        self.consecutive = 0;
+    /// Records an answered call.
+    pub(crate) fn record_success(&mut self, now: Duration, tuning: &Tuning) -> BreakerAction {
+        self.consecutive_failures = 0;
         self.calls = self.calls.saturating_add(1);
-        self.failure_rate -= WEIGHT * self.failure_rate;
-        match self.breaker {
-            Breaker::Probing { .. } => Verdict::Return,
-            Breaker::Closed if now >= self.returned + tuning.max_eject_time => {
+        self.failure_rate -= OUTCOME_WEIGHT * self.failure_rate;
+        match self.state {
+            BreakerState::Probing { .. } => BreakerAction::Restore,
+            BreakerState::Closed if now >= self.restored_at + tuning.max_eject_time => {
                 self.ejections = 0;
-                Verdict::Stay
+                BreakerAction::NoChange
             }
-            // A late answer to a call from before the ejection is no probe's answer.
-            Breaker::Closed | Breaker::Open { .. } => Verdict::Stay,
+            // A late answer to a call sent before the ejection does not answer the probe.
+            BreakerState::Closed | BreakerState::Open { .. } => BreakerAction::NoChange,
         }
     }
 
-    /// Notes a failed call.
-    pub(crate) fn failed(&mut self, now: Duration, tuning: &Tuning) -> Verdict {
-        self.consecutive = self.consecutive.saturating_add(1);
+    /// Records a failed call.
+    pub(crate) fn record_failure(&mut self, now: Duration, tuning: &Tuning) -> BreakerAction {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.failed_at = now;
         self.calls = self.calls.saturating_add(1);
-        self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
-        match self.breaker {
-            Breaker::Probing { .. } => {
+        self.failure_rate += OUTCOME_WEIGHT * (1.0 - self.failure_rate);
+        match self.state {
+            BreakerState::Probing { .. } => {
                 self.eject(now, tuning);
-                Verdict::Stay
+                BreakerAction::NoChange
             }
-            Breaker::Open { .. } => Verdict::Stay,
-            Breaker::Closed => {
-                let often = self.calls >= MIN_CALLS && self.failure_rate > EJECT_RATE;
-                match often || self.consecutive >= tuning.failures_to_eject {
-                    true => Verdict::Eject,
-                    false => Verdict::Stay,
+            BreakerState::Open { .. } => BreakerAction::NoChange,
+            BreakerState::Closed => {
+                let rate_exceeded =
+                    self.calls >= MIN_CALLS && self.failure_rate > EJECT_FAILURE_RATE;
+                match rate_exceeded || self.consecutive_failures >= tuning.failures_to_eject {
+                    true => BreakerAction::Eject,
+                    false => BreakerAction::NoChange,
                 }
             }
         }
     }
 
-    /// Opens the breaker; each time for twice as long.
+    /// Opens the breaker, each time for twice as long as the time before.
     pub(crate) fn eject(&mut self, now: Duration, tuning: &Tuning) {
-        let time = doubled(self.ejections, tuning);
+        let time = eject_time_after(self.ejections, tuning);
         self.ejections = self.ejections.saturating_add(1);
-        self.breaker = Breaker::Open { until: now + time };
+        self.state = BreakerState::Open { until: now + time };
     }
 
     /// Closes the breaker.
     pub(crate) fn restore(&mut self, now: Duration) {
-        self.breaker = Breaker::Closed;
-        self.consecutive = 0;
+        self.state = BreakerState::Closed;
+        self.consecutive_failures = 0;
         self.calls = 0;
         self.failure_rate = 0.0;
-        self.returned = now;
+        self.restored_at = now;
     }
 }
 
-/// The time of an ejection after `earlier` ones.
-fn doubled(earlier: u32, tuning: &Tuning) -> Duration {
+/// Returns the duration of an ejection after `earlier` ones.
+fn eject_time_after(earlier: u32, tuning: &Tuning) -> Duration {
     let factor = 1 << earlier.min(16);
     (tuning.eject_time * factor).min(tuning.max_eject_time)
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: what happened goes in, choices come out.
+//! The router: receives events and chooses endpoints.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,7 +11,7 @@
 
 use crate::{
     ChainQuery, Hop, NoEndpoint, Shortage,
-    candidates::{Candidate, Gatherer, Size, Want},
+    candidates::{Candidate, ChoiceContext, Gatherer, RequestSize},
     chain::{Planner, Problem, Uncovered},
     index::GroupId,
     links::{Links, Site},
@@ -19,59 +19,60 @@
     tuning::Tuning,
 };
 
-/// Groups among which one chain is planned; more are sampled.
+/// Maximum number of groups from which one chain is planned; if there are more, a random sample is
+/// used.
 const MAX_GROUPS: usize = 24;
-/// Bounds of the time after which to come back to full endpoints.
-const MIN_RETRY: Duration = Duration::from_millis(20);
-const MAX_RETRY: Duration = Duration::from_secs(5);
-/// Mean latencies after which to come back.
-const RETRY_LATENCIES: f64 = 4.0;
+/// Bounds of the retry delay that is returned when all endpoints are at their limits.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// The retry delay as a multiple of the highest mean latency of the candidates.
+const RETRY_AFTER_LATENCIES: f64 = 4.0;
 
-/// That an endpoint said itself that it is leaving.
+/// A notice by an endpoint itself that it is draining.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct DrainNotice {
     pub(crate) endpoint: EndpointId,
-    pub(crate) when: Duration,
+    pub(crate) received_at: Duration,
 }
 
-/// What a choice is made of.
-struct Asked<'a> {
+/// What a request needs of the chosen endpoints.
+struct RequestDemand<'a> {
     role: Role,
     target: &'a TargetName,
     /// Empty for a service.
     layers: wire::Layers,
-    size: Size<'a>,
+    size: RequestSize<'a>,
 }
 
-/// Chooses endpoints. One per host; holds no sockets and reads no clock.
+/// Chooses endpoints. There is one router per host; it holds no sockets and reads no clock.
 ///
-/// Invariant: a group's load is the sum over its endpoints; every change of an endpoint's own load
-/// goes through `change_load`.
+/// Invariant: the load of a group is the sum of the loads of its endpoints; every change of an
+/// endpoint's own load goes through `change_load`.
 pub struct Router {
     home: Site,
     pub(crate) table: EndpointTable,
     links: Links,
     pub(crate) tuning: Tuning,
     rng: rand_pcg::Pcg64Mcg,
-    /// Whether the first list came; its endpoints need no slow start.
+    /// Whether the first list has been applied; the endpoints of that list need no slow start.
     started: bool,
     intents: Vec<EndpointEntry>,
-    /// Endpoints that said themselves that they are leaving, oldest first.
-    pub(crate) told: VecDeque<Told>,
+    /// Notices of endpoints that are draining, oldest first.
+    pub(crate) drain_notices: VecDeque<DrainNotice>,
     planner: Planner,
     candidates: Vec<Candidate>,
     avoid: Vec<u32>,
-    /// Layers of groups that were passed over as full.
-    full: Vec<wire::Layers>,
+    /// Layers of the groups in which an endpoint was skipped because it is at its limit.
+    full_layers: Vec<wire::Layers>,
 }
 
 impl Router {
-    /// A router on a host in `data_centre`.
+    /// Creates a router for a host in `data_centre`.
     pub fn new(data_centre: DataCentre, seed: u64) -> Self {
         Self::with_tuning(data_centre, seed, Tuning::default())
     }
 
-    /// A router with its own numbers and switches.
+    /// Creates a router with the given parameters and switches.
     pub fn with_tuning(data_centre: DataCentre, seed: u64, tuning: Tuning) -> Self {
         let mut table = EndpointTable::default();
         Self {
@@ -82,20 +83,20 @@
             rng: rand_pcg::Pcg64Mcg::seed_from_u64(seed),
             started: false,
             intents: Vec::new(),
-            told: VecDeque::new(),
+            drain_notices: VecDeque::new(),
             planner: Planner::default(),
             candidates: Vec::new(),
             avoid: Vec::new(),
-            full: Vec::new(),
+            full_layers: Vec::new(),
         }
     }
 
-    /// What is known of the endpoints.
+    /// Returns the table of endpoints.
     pub fn table(&self) -> &EndpointTable {
         &self.table
     }
 
-    /// What is known of the endpoints, to be changed.
+    /// Returns the table of endpoints for changes.
     pub fn table_mut(&mut self) -> &mut EndpointTable {
         &mut self.table
     }
@@ -105,19 +106,22 @@
         self.links.declare(links);
     }
 
-    /// Replaces what operators want of endpoints. One without an entry serves.
+    /// Replaces the intents that operators declared for endpoints. An endpoint without an entry
+    /// serves.
     pub fn set_intents(&mut self, intents: &[EndpointEntry]) {
         self.intents = intents.to_vec();
-        for at in self.table.places() {
+        for at in self.table.slot_indices() {
             self.apply_intent(at);
         }
     }
 
-    /// Chooses endpoints that cover the wanted layers exactly once.
+    /// Chooses endpoints that cover each requested layer exactly once.
     ///
     /// # Errors
     ///
-    /// [`Shortage::Full`] if endpoints of the layer are at their limit and no other is left.
+    /// Returns the first layer that no usable endpoint covers, with [`Shortage::Full`] if endpoints
+    /// of that layer were skipped because they are at their limits and [`Shortage::Missing`]
+    /// otherwise.
     pub fn choose_chain(
         &mut self,
         now: Duration,
@@ -126,27 +130,27 @@
         if query.layers.first >= query.layers.end {
             return Ok(Vec::new());
         }
-        self.refresh(now);
-        self.note_avoided(query.avoid);
-        let groups = self.table.index.of(Role::Engine, query.model).len();
+        self.apply_table_changes(now);
+        self.resolve_avoided(query.avoid);
+        let groups = self.table.index.groups_of(Role::Engine, query.model).len();
         let planned = self.plan(now, query, MAX_GROUPS);
         let planned = match planned {
-            // The sample may have missed the group that was needed.
+            // The sample may have missed a group that is needed.
             Err(_) if groups > MAX_GROUPS => self.plan(now, query, groups),
             planned => planned,
         };
         planned.map_err(|e| self.shortage(e.layer))?;
-        let hops = self.planner.parts.iter().rev().map(|part| {
-            let candidate = &self.candidates[part.candidate];
+        let hops = self.planner.stages.iter().rev().map(|stage| {
+            let candidate = &self.candidates[stage.candidate];
             Hop {
                 endpoint: self.table.slot(candidate.slot).endpoint.id.clone(),
-                layers: part.layers,
+                layers: stage.layers,
             }
         });
         let hops = hops.collect();
-        for i in 0..self.planner.parts.len() {
-            let chosen = self.candidates[self.planner.parts[i].candidate];
-            self.note_chosen(now, chosen);
+        for i in 0..self.planner.stages.len() {
+            let chosen = self.candidates[self.planner.stages[i].candidate];
+            self.record_choice(now, chosen);
         }
         Ok(hops)
     }
@@ -155,23 +159,23 @@
     ///
     /// # Errors
     ///
-    /// As [`Router::choose_chain`], with layer 0.
+    /// As for [`Router::choose_chain`], with layer 0.
     pub fn choose_service(
         &mut self,
         now: Duration,
         service: &TargetName,
         avoid: &[EndpointId],
     ) -> Result<EndpointId, NoEndpoint> {
-        self.refresh(now);
-        self.note_avoided(avoid);
+        self.apply_table_changes(now);
+        self.resolve_avoided(avoid);
         let none = wire::Layers { first: 0, end: 0 };
-        let asked = Asked {
+        let demand = RequestDemand {
             role: Role::Service,
             target: service,
             layers: none,
-            size: Size::CALL,
+            size: RequestSize::CALL,
         };
-        self.gather(now, &asked, usize::MAX);
+        self.gather(now, &demand, usize::MAX);
         let (links, home) = (&self.links, self.home);
         let cost =
             |c: &Candidate| c.fixed_us + c.layer_us + 2.0 * links.between(home, c.site).latency_us;
@@ -182,53 +186,55 @@
         let Some(chosen) = best.copied() else {
             return Err(self.shortage(0));
         };
-        self.note_chosen(now, chosen);
+        self.record_choice(now, chosen);
         Ok(self.table.slot(chosen.slot).endpoint.id.clone())
     }
 
-    /// Takes up what changed in the table.
-    fn refresh(&mut self, now: Duration) {
+    /// Applies intents and slow start to endpoints added to the table, updates the links and
+    /// expires drain notices.
+    fn apply_table_changes(&mut self, now: Duration) {
         if self.table.has_added() {
             for at in self.table.take_added() {
                 self.apply_intent(at);
                 if self.started {
-                    self.table.slot_mut(at).measured.ramp = Some(now);
+                    self.table.slot_mut(at).stats.ramp_started_at = Some(now);
                 }
             }
             self.started = true;
         }
         self.links.sync(&self.table.sites);
-        self.lapse(now);
+        self.expire_drain_notices(now);
     }
 
-    /// Forgets words of leaving that the list didn't confirm in time.
-    fn lapse(&mut self, now: Duration) {
-        while let Some(told) = self.told.front() {
-            if now < told.when + self.tuning.leaving_hold {
+    /// Drops drain notices that the list did not confirm in time.
+    fn expire_drain_notices(&mut self, now: Duration) {
+        while let Some(notice) = self.drain_notices.front() {
+            if now < notice.received_at + self.tuning.drain_notice_lifetime {
                 return;
             }
-            if let Some(at) = self.table.find(&told.endpoint) {
-                let when = told.when;
+            if let Some(at) = self.table.find(&notice.endpoint) {
+                let received_at = notice.received_at;
                 let signs = self.table.slot(at).signs;
-                if signs.told == Some(when) && !signs.listed {
-                    self.table.sign(at, |signs| signs.told = None);
-                    self.table.slot_mut(at).measured.ramp = Some(now);
+                if signs.reported_at == Some(received_at) && !signs.listed {
+                    self.table
+                        .update_signs(at, |signs| signs.reported_at = None);
+                    self.table.slot_mut(at).stats.ramp_started_at = Some(now);
                 }
             }
-            self.told.pop_front();
+            self.drain_notices.pop_front();
         }
     }
 
     fn apply_intent(&mut self, at: u32) {
         let slot = self.table.slot(at);
         let known = self.intents.iter().find(|e| e.id == slot.endpoint.id);
-        let leave = known.is_some_and(|e| e.intent == EndpointIntent::Leave);
-        if slot.signs.intent != leave {
-            self.table.sign(at, |signs| signs.intent = leave);
+        let draining = known.is_some_and(|e| e.intent == EndpointIntent::Leave);
+        if slot.signs.intent != draining {
+            self.table.update_signs(at, |signs| signs.intent = draining);
         }
     }
 
-    fn note_avoided(&mut self, avoid: &[EndpointId]) {
+    fn resolve_avoided(&mut self, avoid: &[EndpointId]) {
         self.avoid.clear();
         let known = avoid.iter().filter_map(|id| self.table.find(id));
         self.avoid.extend(known);
@@ -240,37 +246,38 @@
         query: &ChainQuery<'_>,
         max_groups: usize,
     ) -> Result<(), Uncovered> {
-        let asked = Asked {
+        let demand = RequestDemand {
             role: Role::Engine,
             target: query.model,
             layers: query.layers,
-            size: Size {
+            size: RequestSize {
                 prompt: f64::from(query.prompt_tokens),
                 decode: f64::from(query.max_tokens),
                 prefix: query.prefix,
             },
         };
-        self.gather(now, &asked, max_groups);
+        self.gather(now, &demand, max_groups);
         let problem = Problem {
             layers: query.layers,
             candidates: &self.candidates,
-            want: want(now, self.home, asked.size, &self.avoid),
+            context: choice_context(now, self.home, demand.size, &self.avoid),
             links: &self.links,
             tuning: &self.tuning,
         };
         self.planner.plan(&problem)
     }
 
-    /// Gathers candidates from at most `max_groups` groups that overlap the asked layers.
-    fn gather(&mut self, now: Duration, asked: &Asked<'_>, max_groups: usize) {
+    /// Gathers candidates from at most `max_groups` groups that overlap the requested layers.
+    fn gather(&mut self, now: Duration, demand: &RequestDemand<'_>, max_groups: usize) {
         self.candidates.clear();
-        self.full.clear();
-        let (role, layers) = (asked.role, asked.layers);
+        self.full_layers.clear();
+        let (role, layers) = (demand.role, demand.layers);
         let overlaps = |id: &GroupId| {
-            let held = self.table.index.get(*id).layers;
-            role == Role::Service || (held.first < layers.end && held.end > layers.first)
+            let group_layers = self.table.index.get(*id).layers;
+            role == Role::Service
+                || (group_layers.first < layers.end && group_layers.end > layers.first)
         };
-        let groups = self.table.index.of(role, asked.target);
+        let groups = self.table.index.groups_of(role, demand.target);
         let sampled: Vec<GroupId>;
         let groups = match groups.len() > max_groups {
             false => groups,
@@ -285,20 +292,20 @@
             links: &self.links,
             tuning: &self.tuning,
             rng: &mut self.rng,
-            want: want(now, self.home, asked.size, &self.avoid),
+            context: choice_context(now, self.home, demand.size, &self.avoid),
             out: &mut self.candidates,
         };
         for id in groups.iter().filter(|id| overlaps(id)) {
             let found = gatherer.gather(*id);
-            if found.full {
-                self.full.push(self.table.index.get(*id).layers);
+            if found.at_limit {
+                self.full_layers.push(self.table.index.get(*id).layers);
             }
         }
     }
 
     fn shortage(&mut self, layer: u32) -> NoEndpoint {
         let covers = |l: &wire::Layers| l.first == l.end || l.range().contains(&layer);
-        let shortage = match self.full.iter().any(covers) {
+        let shortage = match self.full_layers.iter().any(covers) {
             true => Shortage::Full {
                 retry_after: self.retry_after(),
             },
@@ -307,25 +314,30 @@
         NoEndpoint { layer, shortage }
     }
 
-    /// When a place may be free, spread so that callers don't return together.
+    /// Returns the time after which an endpoint may have free capacity, with random jitter so that
+    /// callers do not retry at the same time.
     fn retry_after(&mut self) -> Duration {
         let slowest = self.candidates.iter().map(|c| {
             let slot = self.table.slot(c.slot);
-            slot.measured.latency_us
+            slot.stats.latency_us
         });
-        let us = slowest.fold(0.0, f64::max) * RETRY_LATENCIES;
+        let us = slowest.fold(0.0, f64::max) * RETRY_AFTER_LATENCIES;
         let spread = self.rng.random_range(0.5..1.5);
-        Duration::from_secs_f64(us * spread / 1e6 + MIN_RETRY.as_secs_f64() * spread)
-            .clamp(MIN_RETRY / 2, MAX_RETRY)
+        Duration::from_secs_f64(us * spread / 1e6 + MIN_RETRY_AFTER.as_secs_f64() * spread)
+            .clamp(MIN_RETRY_AFTER / 2, MAX_RETRY_AFTER)
     }
 
-    fn note_chosen(&mut self, now: Duration, chosen: Candidate) {
+    fn record_choice(&mut self, now: Duration, chosen: Candidate) {
         if chosen.probe {
-            self.table.slot_mut(chosen.slot).measured.record.probe(now);
+            self.table
+                .slot_mut(chosen.slot)
+                .stats
+                .breaker
+                .start_probe(now);
         }
         let role = self.table.slot(chosen.slot).endpoint.role;
         if self.tuning.count_chains && role == Role::Engine {
-            self.change_load(chosen.slot, |slot| slot.measured.chosen(now));
+            self.change_load(chosen.slot, |slot| slot.stats.chain_chosen(now));
         }
         let group = self.table.index.get_mut(chosen.group);
         if group.sites.contains_key(&self.home) {
@@ -334,8 +346,13 @@
     }
 }
 
-fn want<'a>(now: Duration, home: Site, size: Size<'a>, avoid: &'a [u32]) -> Want<'a> {
-    Want {
+fn choice_context<'a>(
+    now: Duration,
+    home: Site,
+    size: RequestSize<'a>,
+    avoid: &'a [u32],
+) -> ChoiceContext<'a> {
+    ChoiceContext {
         now,
         home,
         size,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the endpoints.
+//! The endpoints known to a host.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,12 +9,12 @@
 
 use crate::{
     affinity::Member,
+    endpoint_stats::EndpointStats,
     index::{GroupId, GroupKey, Index},
     links::{Site, Sites},
-    measured::Measured,
 };
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
     /// A model engine.
@@ -23,104 +23,106 @@
     Service,
 }
 
-/// Whether calls to an endpoint go well.
+/// Whether an endpoint is ejected because of failed calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// They do.
+    /// The endpoint is not ejected.
     #[default]
     Up,
-    /// Too many failed of late.
+    /// Too many recent calls failed.
     Ejected,
 }
 
-/// One endpoint, as listed by the platform.
+/// One endpoint, as listed by the platform, with this host's state of it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
     /// The stable id.
     pub id: EndpointId,
-    /// Where it listens.
+    /// The address on which it accepts calls.
     pub addr: SocketAddr,
-    /// What it is.
+    /// The kind of endpoint.
     pub role: Role,
-    /// Where it is.
+    /// The data centre in which it runs.
     pub data_centre: DataCentre,
-    /// The model or service.
+    /// The model or service that it runs.
     pub target: TargetName,
-    /// The layers it holds; empty for a service.
+    /// The layers that it runs; empty for a service.
     pub layers: wire::Layers,
     /// The kind of accelerator; empty for a service.
     pub accelerator: String,
     /// Nominal microseconds for one layer of one token; 0 for a service.
     pub layer_us: f64,
-    /// Whether it takes no new work. In the table: by any sign, not by the list alone.
-    pub leaving: bool,
-    /// Calls of this host that it hasn't answered.
+    /// Whether it is draining and accepts no new work. In the table this combines all signs; in the
+    /// list it is the list's own.
+    pub draining: bool,
+    /// Number of calls of this host that it has not answered.
     pub in_flight: u32,
-    /// Whether calls to it go well.
+    /// Whether it is ejected.
     pub health: Health,
 }
 
 impl Endpoint {
-    /// Whether new work may be sent.
-    pub fn takes_new_work(&self) -> bool {
-        !self.leaving && self.health == Health::Up
+    /// Whether new work may be sent to the endpoint.
+    pub fn accepts_new_work(&self) -> bool {
+        !self.draining && self.health == Health::Up
     }
 }
 
-/// The signs that an endpoint is leaving. Any one is enough.
+/// The signs that an endpoint is draining. Any one of them suffices.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct LeavingSigns {
-    /// The list says so.
+pub(crate) struct DrainSigns {
+    /// The list says that the endpoint is draining.
     pub(crate) listed: bool,
-    /// An operator says so.
+    /// An operator declared that the endpoint is to leave.
     pub(crate) intent: bool,
-    /// It said so itself, then.
-    pub(crate) told: Option<Duration>,
-    /// Another host says so.
-    pub(crate) shared: bool,
+    /// When the endpoint itself last refused work because it is draining.
+    pub(crate) reported_at: Option<Duration>,
+    /// A host of the data centre reported that the endpoint is draining.
+    pub(crate) reported_by_host: bool,
 }
 
-impl LeavingSigns {
+impl DrainSigns {
     fn any(&self) -> bool {
-        self.listed || self.intent || self.told.is_some() || self.shared
+        self.listed || self.intent || self.reported_at.is_some() || self.reported_by_host
     }
 }
 
-/// One endpoint with all that is known of it.
+/// An endpoint with all state that this host has of it.
 #[derive(Debug, Clone)]
 pub(crate) struct Slot {
     pub(crate) endpoint: Endpoint,
-    pub(crate) measured: Measured,
-    pub(crate) signs: LeavingSigns,
+    pub(crate) stats: EndpointStats,
+    pub(crate) signs: DrainSigns,
     pub(crate) group: GroupId,
     pub(crate) site: Site,
     pub(crate) member: Member,
 }
 
-/// All known endpoints, by id.
+/// All known endpoints, indexed by id.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointTable {
-    /// Free places are `None`. Boxed, as a place is small beside its content.
+    /// Free slots are `None`. Slots are boxed so that a free one is small.
     slots: Vec<Option<Box<Slot>>>,
     free: Vec<u32>,
     ordered: BTreeMap<EndpointId, u32>,
     by_id: FxHashMap<EndpointId, u32>,
-    /// Added since [`EndpointTable::take_added`].
+    /// Slots of the endpoints added since the last [`EndpointTable::take_added`].
     added: Vec<u32>,
     pub(crate) sites: Sites,
     pub(crate) index: Index,
 }
 
 impl EndpointTable {
-    /// Adds an endpoint, or takes over what the platform says of a known one.
+    /// Adds an endpoint, or updates a known one with what the platform lists.
     ///
-    /// What this host measured itself is kept unless the address or the role changed. A known
-    /// endpoint that said itself that it is leaving is so until the list has said it too and taken
-    /// it back, or until the word has lapsed.
+    /// This host's own measurements are kept unless the address or the role changed. A known
+    /// endpoint that itself reported that it is draining stays so until the list has shown it as
+    /// draining and then as serving again, until it reports a new incarnation, or until the notice
+    /// expires.
     pub fn upsert(&mut self, listed: Endpoint) {
         let known = self.by_id.get(&listed.id).copied();
         match known {
-            Some(at) if self.same_life(at, &listed) => self.relist(at, listed),
+            Some(at) if self.is_same_endpoint(at, &listed) => self.update_listed(at, listed),
             Some(at) => {
                 let intent = self.slot(at).signs.intent;
                 let id = listed.id.clone();
@@ -131,54 +133,54 @@
         }
     }
 
-    /// Makes the table hold just `listed`: the others are forgotten.
+    /// Replaces the contents of the table with `listed`. Endpoints that are not listed are removed.
     pub fn replace_all(&mut self, listed: Vec<Endpoint>) {
-        let mut gone: FxHashMap<EndpointId, u32> = self.by_id.clone();
+        let mut missing: FxHashMap<EndpointId, u32> = self.by_id.clone();
         for endpoint in listed {
-            gone.remove(&endpoint.id);
+            missing.remove(&endpoint.id);
             self.upsert(endpoint);
         }
-        for id in gone.keys() {
+        for id in missing.keys() {
             self.remove(id);
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &EndpointId) {
         let Some(at) = self.by_id.remove(id) else {
             return;
         };
         self.ordered.remove(id);
         self.added.retain(|a| *a != at);
-        self.withdraw(at);
+        self.remove_from_group(at);
         self.slots[at as usize] = None;
         self.free.push(at);
     }
 
-    /// Takes in whether the hosts of the data centre know by a sign that an endpoint is leaving.
+    /// Sets whether the hosts of the data centre report an endpoint as draining.
     ///
-    /// An unknown endpoint is passed over. The sign is forgotten with the endpoint, and when its
-    /// address changes.
-    pub fn set_leaving(&mut self, id: &EndpointId, leaving: bool) {
+    /// An unknown endpoint is ignored. The sign is removed with the endpoint, and when its address
+    /// or role changes.
+    pub fn set_draining(&mut self, id: &EndpointId, draining: bool) {
         let Some(at) = self.find(id) else {
             return;
         };
-        if self.slot(at).signs.shared != leaving {
-            self.sign(at, |signs| signs.shared = leaving);
+        if self.slot(at).signs.reported_by_host != draining {
+            self.update_signs(at, |signs| signs.reported_by_host = draining);
         }
     }
 
-    /// The endpoint `id`.
+    /// Returns the endpoint `id`.
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.find(id).map(|at| &self.slot(at).endpoint)
     }
 
-    /// All endpoints, in order of their ids.
+    /// Returns all endpoints in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
         self.ordered.values().map(|at| &self.slot(*at).endpoint)
     }
 
-    /// How many endpoints are known.
+    /// Returns the number of known endpoints.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -192,84 +194,89 @@
         self.by_id.get(id).copied()
     }
 
-    /// The slot at `at`, which has to be taken.
+    /// Returns the slot at index `at`, which must be in use.
     pub(crate) fn slot(&self, at: u32) -> &Slot {
-        self.slots[at as usize].as_ref().expect("the slot is taken")
+        self.slots[at as usize]
+            .as_ref()
+            .expect("the slot is in use")
     }
 
-    /// The slot at `at`, which has to be taken.
+    /// Returns the slot at index `at`, which must be in use.
     pub(crate) fn slot_mut(&mut self, at: u32) -> &mut Slot {
-        self.slots[at as usize].as_mut().expect("the slot is taken")
+        self.slots[at as usize]
+            .as_mut()
+            .expect("the slot is in use")
     }
 
-    /// The endpoints added since the last call.
+    /// Returns and clears the slots of the endpoints added since the last call.
     pub(crate) fn take_added(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.added)
     }
 
-    /// Whether endpoints were added since [`EndpointTable::take_added`].
+    /// Whether endpoints were added since the last [`EndpointTable::take_added`].
     pub(crate) fn has_added(&self) -> bool {
         !self.added.is_empty()
     }
 
-    /// The places of all endpoints.
-    pub(crate) fn places(&self) -> Vec<u32> {
+    /// Returns the slot indices of all endpoints, in the order of their ids.
+    pub(crate) fn slot_indices(&self) -> Vec<u32> {
         self.ordered.values().copied().collect()
     }
 
-    /// Changes the signs of leaving, and with them whether new work goes there.
-    pub(crate) fn sign(&mut self, at: u32, change: impl FnOnce(&mut LeavingSigns)) {
+    /// Changes the drain signs of an endpoint and updates whether it gets new work.
+    pub(crate) fn update_signs(&mut self, at: u32, change: impl FnOnce(&mut DrainSigns)) {
         let slot = self.slot_mut(at);
         change(&mut slot.signs);
-        slot.endpoint.leaving = slot.signs.any();
-        self.place(at);
+        slot.endpoint.draining = slot.signs.any();
+        self.update_membership(at);
     }
 
-    /// Forgets what was measured in an earlier life.
-    pub(crate) fn renew(&mut self, at: u32, incarnation: u64) {
+    /// Discards the measurements of an earlier incarnation. The count of chains through the
+    /// endpoint is kept.
+    pub(crate) fn reset_incarnation(&mut self, at: u32, incarnation: u64) {
         let slot = self.slot_mut(at);
-        let sessions = slot.measured.sessions;
-        slot.measured = Measured {
+        let sessions = slot.stats.sessions;
+        slot.stats = EndpointStats {
             incarnation: Some(incarnation),
             sessions,
-            ..Measured::default()
+            ..EndpointStats::default()
         };
         slot.endpoint.health = Health::Up;
         let group = slot.group;
         self.index.get_mut(group).ejected.retain(|slot| *slot != at);
-        self.sign(at, |signs| signs.told = None);
+        self.update_signs(at, |signs| signs.reported_at = None);
     }
 
-    fn same_life(&self, at: u32, listed: &Endpoint) -> bool {
+    fn is_same_endpoint(&self, at: u32, listed: &Endpoint) -> bool {
         let known = &self.slot(at).endpoint;
         known.addr == listed.addr && known.role == listed.role
     }
 
-    fn relist(&mut self, at: u32, listed: Endpoint) {
+    fn update_listed(&mut self, at: u32, listed: Endpoint) {
         let slot = self.slot_mut(at);
-        if slot.is_listed_as(&listed) {
+        if slot.matches_listing(&listed) {
             slot.endpoint.layer_us = listed.layer_us;
             slot.endpoint.accelerator = listed.accelerator;
             return;
         }
-        self.withdraw(at);
+        self.remove_from_group(at);
         let group = self.index.intern(group_key(&listed));
         let site = self.sites.intern(&listed.data_centre);
         let slot = self.slot_mut(at);
-        if slot.signs.listed && !listed.leaving {
-            slot.signs.told = None;
+        if slot.signs.listed && !listed.draining {
+            slot.signs.reported_at = None;
         }
-        slot.signs.listed = listed.leaving;
+        slot.signs.listed = listed.draining;
         let (in_flight, health) = (slot.endpoint.in_flight, slot.endpoint.health);
         slot.endpoint = Endpoint {
             in_flight,
             health,
-            leaving: slot.signs.any(),
+            draining: slot.signs.any(),
             ..listed
         };
         (slot.group, slot.site) = (group, site);
-        self.count(at);
-        self.place(at);
+        self.add_load_to_group(at);
+        self.update_membership(at);
     }
 
     fn insert(&mut self, listed: Endpoint, intent: bool) {
@@ -277,11 +284,11 @@
             self.slots.push(None);
             self.slots.len() as u32 - 1
         });
-        let signs = LeavingSigns {
-            listed: listed.leaving,
+        let signs = DrainSigns {
+            listed: listed.draining,
             intent,
-            told: None,
-            shared: false,
+            reported_at: None,
+            reported_by_host: false,
         };
         let hash = xxh3::xxh3_64(listed.id.as_str().as_bytes());
         self.by_id.insert(listed.id.clone(), at);
@@ -290,29 +297,30 @@
             group: self.index.intern(group_key(&listed)),
             site: self.sites.intern(&listed.data_centre),
             member: Member { hash, slot: at },
-            measured: Measured::default(),
+            stats: EndpointStats::default(),
             signs,
             endpoint: Endpoint {
                 in_flight: 0,
                 health: Health::Up,
-                leaving: signs.any(),
+                draining: signs.any(),
                 ..listed
             },
         };
         self.slots[at as usize] = Some(Box::new(slot));
         self.added.push(at);
-        self.place(at);
+        self.update_membership(at);
     }
 
-    /// Puts an endpoint among those that take new work, or takes it out.
-    fn place(&mut self, at: u32) {
+    /// Adds an endpoint to the members of its group that accept new work, or removes it from them
+    /// if it is draining.
+    fn update_membership(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, member) = (slot.group, slot.site, slot.member);
-        let ejected = slot.measured.record.is_ejected();
-        match slot.endpoint.leaving {
-            true => self.index.part(group, site, member),
+        let ejected = slot.stats.breaker.is_ejected();
+        match slot.endpoint.draining {
+            true => self.index.remove_member(group, site, member),
             false => {
-                self.index.join(group, site, member);
+                self.index.add_member(group, site, member);
                 let list = &mut self.index.get_mut(group).ejected;
                 if ejected && !list.contains(&at) {
                     list.push(at);
@@ -321,36 +329,37 @@
         }
     }
 
-    /// Takes an endpoint out of its group, with its load.
-    fn withdraw(&mut self, at: u32) {
+    /// Removes an endpoint and its load from its group.
+    fn remove_from_group(&mut self, at: u32) {
         let slot = self.slot(at);
         let (group, site, member) = (slot.group, slot.site, slot.member);
-        let own = slot.counted();
-        self.index.part(group, site, member);
-        self.index.get_mut(group).shift(site, own, 0);
+        let own = slot.own_load();
+        self.index.remove_member(group, site, member);
+        self.index.get_mut(group).change_own_load(site, own, 0);
     }
 
-    /// Counts an endpoint's load into its group.
-    fn count(&mut self, at: u32) {
+    /// Adds an endpoint's load to its group.
+    fn add_load_to_group(&mut self, at: u32) {
         let slot = self.slot(at);
-        let (group, site, own) = (slot.group, slot.site, slot.counted());
-        self.index.get_mut(group).shift(site, 0, own);
+        let (group, site, own) = (slot.group, slot.site, slot.own_load());
+        self.index.get_mut(group).change_own_load(site, 0, own);
     }
 }
 
 impl Slot {
-    /// Whether the list says of the endpoint what it said before, as far as choices depend on it.
-    fn is_listed_as(&self, listed: &Endpoint) -> bool {
+    /// Whether `listed` equals the last listed state in everything that choices depend on, apart
+    /// from the speed.
+    fn matches_listing(&self, listed: &Endpoint) -> bool {
         let known = &self.endpoint;
         known.target == listed.target
             && known.layers == listed.layers
             && known.data_centre == listed.data_centre
-            && self.signs.listed == listed.leaving
+            && self.signs.listed == listed.draining
     }
 
-    /// This host's load on the endpoint, as its group counts it.
-    pub(crate) fn counted(&self) -> u32 {
-        self.measured.own(self.endpoint.in_flight) as u32
+    /// Returns this host's load on the endpoint, as counted in its group.
+    pub(crate) fn own_load(&self) -> u32 {
+        self.stats.own_load(self.endpoint.in_flight) as u32
     }
 }
 
