--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -135,7 +135,7 @@
             data_centre,
             seed: rand::random(),
             terms: limits::Terms::default(),
-            queue: QUEUE,
+            max_queued_per_key: QUEUE,
         };
         let admission = Rc::new(Self {
             clock,
--- a/crates/limits/benches/admission.rs
+++ b/crates/limits/benches/admission.rs
@@ -19,7 +19,7 @@
         data_centre: data_centre(0),
         seed: 1,
         terms: Terms::default(),
-        queue: 256,
+        max_queued_per_key: 256,
     });
     let limits: Vec<_> = (0..owners * 3)
         .map(|i| limit(key(i / 3, i % 3), 1e6, 1e9, 1000))
--- a/crates/limits/src/baseline.rs
+++ b/crates/limits/src/baseline.rs
@@ -52,7 +52,7 @@
             parts: Vec::new(),
             index: HashMap::new(),
             running: HashMap::new(),
-            queue: cfg.queue,
+            queue: cfg.max_queued_per_key,
             next: 0,
         }
     }
@@ -191,7 +191,7 @@
 impl Leased {
     /// A limiter without limits.
     pub fn new(mut cfg: Config) -> Self {
-        cfg.terms.session = LEASE;
+        cfg.terms.session_term = LEASE;
         Self {
             limiter: HostLimiter::new(cfg.clone()),
             cfg,
--- a/crates/limits/src/config.rs
+++ b/crates/limits/src/config.rs
@@ -6,7 +6,7 @@
 use dragonflyrill_protocol::HostRef;
 
 /// The giver waits this part of a term besides the margin.
-const DRIFT: u32 = 100;
+const CLOCK_DRIFT_DIVISOR: u32 = 100;
 
 /// How long promises between hosts last.
 ///
@@ -15,42 +15,42 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
     /// How long lent rights last.
-    pub loan: Duration,
+    pub loan_term: Duration,
     /// How long a guard's acknowledgement keeps its host from being removed.
-    pub session: Duration,
+    pub session_term: Duration,
     /// What the giver waits beyond a term that the holder keeps.
-    pub margin: Duration,
+    pub clock_margin: Duration,
     /// How often a host sends its guard a heartbeat.
-    pub beat: Duration,
+    pub beat_interval: Duration,
     /// How long a host may lend the main part of its shards without a write to the table.
-    pub long: Duration,
+    pub main_term: Duration,
     /// How long a host may lend the floor part of its shards without a write to the table.
     pub floor_term: Duration,
     /// The fraction of each shard that is its floor part.
-    pub floor: f64,
+    pub floor_fraction: f64,
     /// How long a lost message or answer is waited for.
-    pub retry: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for Terms {
     fn default() -> Self {
         Self {
-            loan: Duration::from_millis(600),
-            session: Duration::from_millis(1000),
-            margin: Duration::from_millis(100),
-            beat: Duration::from_millis(200),
-            long: Duration::from_secs(120),
+            loan_term: Duration::from_millis(600),
+            session_term: Duration::from_millis(1000),
+            clock_margin: Duration::from_millis(100),
+            beat_interval: Duration::from_millis(200),
+            main_term: Duration::from_secs(120),
             floor_term: Duration::from_secs(24 * 3600),
-            floor: 0.75,
-            retry: Duration::from_millis(100),
+            floor_fraction: 0.75,
+            retry_interval: Duration::from_millis(100),
         }
     }
 }
 
 impl Terms {
     /// How long the giver waits before rights held for `term` are its own again.
-    pub(crate) fn giver(&self, term: Duration) -> Duration {
-        term + self.margin + term / DRIFT
+    pub(crate) fn with_clock_margin(&self, term: Duration) -> Duration {
+        term + self.clock_margin + term / CLOCK_DRIFT_DIVISOR
     }
 }
 
@@ -66,7 +66,7 @@
     /// The terms, the same on every host.
     pub terms: Terms,
     /// The most asks that wait under one key.
-    pub queue: usize,
+    pub max_queued_per_key: usize,
 }
 
 /// A host that membership holds to be alive. It may be wrong.
--- a/crates/limits/src/holder.rs
+++ b/crates/limits/src/holder.rs
@@ -316,15 +316,15 @@
             || grant.rights.in_flight < open.waiting.in_flight
             || !grant.last;
         if less {
-            account.short_until = now + terms.retry * SHORT_RETRIES;
-            account.not_before = now + terms.retry;
+            account.short_until = now + terms.retry_interval * SHORT_RETRIES;
+            account.not_before = now + terms.retry_interval;
         }
         if grant.last {
             account.open = None;
             return;
         }
         account.open = Some(Open {
-            resend_at: (served_at + terms.retry).min(open.sent_at + terms.loan / 2),
+            resend_at: (served_at + terms.retry_interval).min(open.sent_at + terms.loan_term / 2),
             ..open
         });
     }
@@ -379,7 +379,7 @@
 
     /// What this host would like to hold.
     fn target(&self, terms: &Terms) -> Rights {
-        let ahead = (self.arrivals * terms.loan.as_secs_f64() / 2.0) as u32;
+        let ahead = (self.arrivals * terms.loan_term.as_secs_f64() / 2.0) as u32;
         let ahead = if self.idle() { 0 } else { ahead };
         let waiting = self.queue.len() as u32;
         let tokens = self.queued_tokens as f64 + f64::from(ahead) * self.mean_tokens;
@@ -432,7 +432,7 @@
         // A report needs no answer.
         account.open = (want != Rights::default()).then_some(Open {
             sent_at: now,
-            resend_at: now + terms.retry,
+            resend_at: now + terms.retry_interval,
             waiting,
         });
         let demand = Demand {
--- a/crates/limits/src/host.rs
+++ b/crates/limits/src/host.rs
@@ -178,7 +178,7 @@
         let (ahead, tokens_ahead) = key.holder.backlog();
         let least = Duration::try_from_secs_f64(tokens_ahead as f64 / whole.tokens);
         let wait = key.holder.expected_wait(now).max(least.unwrap_or_default());
-        if ahead >= self.cfg.queue || (ahead > 0 && now + wait > ask.latest) {
+        if ahead >= self.cfg.max_queued_per_key || (ahead > 0 && now + wait > ask.latest) {
             let retry_after = self.spread(wait);
             actions.push(Action::Refuse {
                 ticket,
--- a/crates/limits/src/host/messages.rs
+++ b/crates/limits/src/host/messages.rs
@@ -126,7 +126,7 @@
         let Some(new) = self.session.known().cloned() else {
             return;
         };
-        let until = now + self.cfg.terms.giver(self.cfg.terms.loan);
+        let until = now + self.cfg.terms.with_clock_margin(self.cfg.terms.loan_term);
         for i in 0..SHARDS {
             let me = &self.cfg.me;
             let gained = |holders: fn(&ShardMap) -> &[Option<HostRef>]| {
--- a/crates/limits/src/host/work.rs
+++ b/crates/limits/src/host/work.rs
@@ -44,7 +44,7 @@
         };
         if key.hold(now, usable, &self.cfg.terms) && held == Held::default() {
             // Should it hold the shard again, its loans of now may still last.
-            let until = now + self.cfg.terms.giver(self.cfg.terms.loan);
+            let until = now + self.cfg.terms.with_clock_margin(self.cfg.terms.loan_term);
             (blind.main, blind.floor) = (until, until);
         }
     }
--- a/crates/limits/src/key.rs
+++ b/crates/limits/src/key.rs
@@ -83,7 +83,7 @@
 
     /// Lends what this host holds of the key's shard. True when it no longer lends.
     pub(crate) fn hold(&mut self, now: Duration, held: session::Held, terms: &Terms) -> bool {
-        let (main, floor) = self.share().parts(terms.floor);
+        let (main, floor) = self.share().parts(terms.floor_fraction);
         let share = match (held.main, held.floor) {
             (true, true) => main.plus(floor),
             (true, false) => main,
--- a/crates/limits/src/lender.rs
+++ b/crates/limits/src/lender.rs
@@ -82,7 +82,7 @@
 impl Lending {
     /// How long a loan given at `now` may last.
     fn term(&self, now: Duration) -> Duration {
-        self.terms.loan.min(self.until.saturating_sub(now))
+        self.terms.loan_term.min(self.until.saturating_sub(now))
     }
 }
 
@@ -222,7 +222,7 @@
         let Some(waiting) = account.waiting.take() else {
             return;
         };
-        if term < LEAST_TERM || now.saturating_sub(waiting.came) > lending.terms.loan {
+        if term < LEAST_TERM || now.saturating_sub(waiting.came) > lending.terms.loan_term {
             return;
         }
         let demand = &waiting.demand;
@@ -274,7 +274,7 @@
             .max(self.requests.wait(now, backlog.0));
         self.requests.hand_out(now, rights.requests);
         self.tokens.hand_out(now, rights.tokens);
-        let given = now + lending.terms.giver(term);
+        let given = now + lending.terms.with_clock_margin(term);
         account.requests += f64::from(rights.requests);
         account.tokens += f64::from(rights.tokens);
         if account.requests > 0.0 || account.tokens > 0.0 {
@@ -336,7 +336,7 @@
     pub(crate) fn close_idle(&mut self, now: Duration, terms: &Terms) {
         self.lapse(now);
         self.accounts
-            .retain(|_, a| now.saturating_sub(a.heard) < terms.loan * IDLE_LOANS);
+            .retain(|_, a| now.saturating_sub(a.heard) < terms.loan_term * IDLE_LOANS);
     }
 
     /// When [`Self::serve`] may have something to do.
--- a/crates/limits/src/session.rs
+++ b/crates/limits/src/session.rs
@@ -142,7 +142,7 @@
         // names one.
         let writes = self.pending.iter().chain(&self.doubts);
         let named = writes.filter(|w| w.map.is_some()).map(|w| w.sent_at).min();
-        named.unwrap_or(now) + self.terms.session
+        named.unwrap_or(now) + self.terms.session_term
     }
 
     /// The parts of shard `i` that this host may lend.
@@ -157,7 +157,7 @@
             mine(holders(&known.map)) && maps.all(|map| mine(holders(map)))
         };
         // A loan given now must have lapsed when others may take the part over.
-        let end = now + self.terms.loan;
+        let end = now + self.terms.loan_term;
         Held {
             main: end <= self.main_until && kept(|map| &map.main),
             floor: end <= self.floor_until && kept(|map| &map.floor),
@@ -175,7 +175,7 @@
             return None;
         }
         let guard = self.entry()?.guard.clone()?;
-        self.beat_at = now + self.terms.beat;
+        self.beat_at = now + self.terms.beat_interval;
         self.beat_seq += 1;
         self.beats.insert(self.beat_seq, now);
         if self.beats.len() > BEATS {
@@ -198,7 +198,7 @@
         if !guarded || self.pending.iter().chain(&self.doubts).any(removes) {
             return false;
         }
-        let until = now + self.terms.giver(self.terms.session);
+        let until = now + self.terms.with_clock_margin(self.terms.session_term);
         let promise = self.promises.entry(from.clone()).or_default();
         *promise = (*promise).max(until);
         true
@@ -214,7 +214,7 @@
             return;
         }
         self.guarded_at = self.guarded_at.max(sent_at);
-        self.session_until = self.session_until.max(sent_at + self.terms.session);
+        self.session_until = self.session_until.max(sent_at + self.terms.session_term);
     }
 
     /// Whether a write sent before `sent_at` may have named another guard than `guard`, who may
@@ -273,15 +273,15 @@
             live,
             leaving: self.leaving,
             touch: !self.doubts.is_empty() || self.refresh_due(now),
-            lost_guard: now.saturating_sub(self.guarded_at) > self.terms.session / 2,
-            settled: now.saturating_sub(self.changed_at) > self.terms.session,
+            lost_guard: now.saturating_sub(self.guarded_at) > self.terms.session_term / 2,
+            settled: now.saturating_sub(self.changed_at) > self.terms.session_term,
             fate: &|m| self.fate(now, m),
         };
         plan::next_map(&view)
     }
 
     fn refresh_due(&self, now: Duration) -> bool {
-        self.entry().is_some() && now + self.terms.long * 3 / 4 >= self.main_until
+        self.entry().is_some() && now + self.terms.main_term * 3 / 4 >= self.main_until
     }
 
     /// What may be done to another member.
@@ -291,14 +291,14 @@
         };
         let terms = &self.terms;
         let promised = self.promises.get(&member.host).copied();
-        let quiet = |term| now >= seen.at + terms.giver(term);
-        let released = promised.is_none_or(|t| t <= now) && quiet(terms.session);
+        let quiet = |term| now >= seen.at + terms.with_clock_margin(term);
+        let released = promised.is_none_or(|t| t <= now) && quiet(terms.session_term);
         let guarded = member.guard.as_ref() == Some(&self.me);
         let earlier = member.host.id == self.me.id;
         match () {
             () if (guarded || earlier) && released => plan::Fate::Remove,
             () if quiet(terms.floor_term) => plan::Fate::Remove,
-            () if quiet(terms.long) => plan::Fate::TakeMain,
+            () if quiet(terms.main_term) => plan::Fate::TakeMain,
             () => plan::Fate::Keep,
         }
     }
@@ -332,7 +332,7 @@
         let outcome = match result {
             Ok(outcome) => outcome,
             Err(cause) => {
-                let wait = self.terms.retry * (1 << self.failures.min(MOST_DOUBLINGS));
+                let wait = self.terms.retry_interval * (1 << self.failures.min(MOST_DOUBLINGS));
                 self.retry_at = now + wait.max(cause.retry_after().unwrap_or_default());
                 self.failures += 1;
                 if cause.is_unknown() && write.map.is_some() {
@@ -354,14 +354,14 @@
         let found = match outcome.rows.into_iter().flatten().next() {
             None if write.base > 0 => {
                 log::error!("limits: the row {} is gone", self.row);
-                self.retry_at = now + self.terms.session;
+                self.retry_at = now + self.terms.session_term;
                 return false;
             }
             None => Known::default(),
             Some(row) => match decode(&row) {
                 Some(known) => known,
                 None => {
-                    self.retry_at = now + self.terms.session;
+                    self.retry_at = now + self.terms.session_term;
                     return false;
                 }
             },
@@ -373,8 +373,8 @@
     /// This host's entry was written by a transaction sent at `sent_at`.
     fn renew(&mut self, sent_at: Duration) {
         let terms = &self.terms;
-        self.session_until = self.session_until.max(sent_at + terms.session);
-        self.main_until = self.main_until.max(sent_at + terms.long);
+        self.session_until = self.session_until.max(sent_at + terms.session_term);
+        self.main_until = self.main_until.max(sent_at + terms.main_term);
         self.floor_until = self.floor_until.max(sent_at + terms.floor_term);
         self.guarded_at = self.guarded_at.max(sent_at);
     }
@@ -417,7 +417,7 @@
 
     /// When something may be due.
     pub(crate) fn next(&self, now: Duration) -> Duration {
-        let mut at = now + self.terms.beat;
+        let mut at = now + self.terms.beat_interval;
         if self.entry().is_some_and(|m| m.guard.is_some()) {
             at = at.min(self.beat_at);
         }
--- a/crates/limits/tests/faults.rs
+++ b/crates/limits/tests/faults.rs
@@ -42,7 +42,7 @@
 
 fn terms() -> Terms {
     Terms {
-        long: 3000 * MS,
+        main_term: 3000 * MS,
         floor_term: 8000 * MS,
         ..Terms::default()
     }
--- a/crates/limits/tests/search.rs
+++ b/crates/limits/tests/search.rs
@@ -134,20 +134,20 @@
 fn terms(mutation: Mutation, i: usize) -> Terms {
     let ms = Duration::from_millis;
     let mut terms = Terms {
-        loan: ms(190),
-        session: ms(300),
-        margin: ms(50),
-        beat: ms(100),
-        long: ms(100_000),
+        loan_term: ms(190),
+        session_term: ms(300),
+        clock_margin: ms(50),
+        beat_interval: ms(100),
+        main_term: ms(100_000),
         floor_term: ms(1_000_000),
-        floor: 0.5,
-        retry: ms(100),
+        floor_fraction: 0.5,
+        retry_interval: ms(100),
     };
     match mutation {
-        Mutation::NoMargin if i == 0 => terms.margin = ms(0),
+        Mutation::NoMargin if i == 0 => terms.clock_margin = ms(0),
         // The last holder's loans, counted from the ask, run until the heir's bucket has filled.
-        Mutation::NoWait if i == 0 => (terms.loan, terms.session) = (ms(390), ms(500)),
-        Mutation::NoWait if i == 1 => (terms.loan, terms.margin) = (ms(30), ms(0)),
+        Mutation::NoWait if i == 0 => (terms.loan_term, terms.session_term) = (ms(390), ms(500)),
+        Mutation::NoWait if i == 1 => (terms.loan_term, terms.clock_margin) = (ms(30), ms(0)),
         _ => {}
     }
     terms
@@ -415,7 +415,7 @@
             data_centre: data_centre(0),
             seed: i as u64,
             terms: terms(i),
-            queue: 4,
+            max_queued_per_key: 4,
         })));
         state.declare(i, &[limit(key(0, 0), 1000.0, 1000.0, in_flight)], 1);
     }
@@ -527,7 +527,7 @@
 /// host out by now, and what is left to search is the time until its heir lends.
 fn answered_beats(mutation: Mutation) -> State {
     let short = |_| Terms {
-        loan: SHORT_LOAN,
+        loan_term: SHORT_LOAN,
         ..terms(Mutation::None, 0)
     };
     let mut state = fleet_with(short, mutation, 2, true, false, 1);
--- a/crates/limits/tests/support/fleet.rs
+++ b/crates/limits/tests/support/fleet.rs
@@ -248,7 +248,7 @@
             data_centre: data_centre(dc),
             seed: self.rng.random(),
             terms: self.terms,
-            queue: 256,
+            max_queued_per_key: 256,
         };
         let drift = self.weather.drift;
         let speed = 1.0 + self.rng.random_range(-1.0..=1.0) * drift;
