--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -152,14 +152,14 @@
     }
 
     /// Waits until a request may run, or is refused.
-    pub async fn admit(self: &Rc<Self>, ask: &limits::Ask) -> Result<Permit, Refusal> {
+    pub async fn admit(self: &Rc<Self>, ask: &limits::AdmissionRequest) -> Result<Permit, Refusal> {
         let (tx, rx) = oneshot::channel();
         let gate = Rc::new(Gate::default());
         let mut actions = Vec::new();
-        let ticket = self
-            .limiter
-            .borrow_mut()
-            .ask(self.clock.now(), ask, &mut actions);
+        let ticket =
+            self.limiter
+                .borrow_mut()
+                .request_admission(self.clock.now(), ask, &mut actions);
         let open = Open {
             verdict: Some(tx),
             gate: gate.clone(),
@@ -211,7 +211,7 @@
                 data_centre: p.data_centre.clone(),
             })
             .collect();
-        self.with(|limiter, now, actions| limiter.peers(now, &peers, actions));
+        self.with(|limiter, now, actions| limiter.set_peers(now, &peers, actions));
     }
 
     /// Takes in a message of a peer.
@@ -221,7 +221,7 @@
 
     /// Hands all rights to lend over to the other hosts.
     pub fn leave(self: &Rc<Self>) {
-        self.with(|limiter, now, actions| limiter.leave(now, actions));
+        self.with(|limiter, now, actions| limiter.hand_over(now, actions));
     }
 
     /// Ends all that the limiter does, as the end of the process would.
@@ -260,7 +260,7 @@
     fn carry_out(self: &Rc<Self>, actions: Vec<limits::Action>) {
         for action in actions {
             match action {
-                limits::Action::Grant(ticket) => self.answer(ticket, Ok(())),
+                limits::Action::Admit(ticket) => self.answer(ticket, Ok(())),
                 limits::Action::Refuse {
                     ticket,
                     refusal,
@@ -288,7 +288,7 @@
 
     async fn call_table(self: Rc<Self>, id: limits::TxnId, call: TableCall) {
         let result = self.table.call(&call).await;
-        self.with(|limiter, now, actions| limiter.table(now, id, result, actions));
+        self.with(|limiter, now, actions| limiter.handle_table_answer(now, id, result, actions));
     }
 
     fn answer(&self, ticket: limits::Ticket, verdict: Verdict) {
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -156,10 +156,10 @@
 
 async fn run_limited(host: &Rc<Host>, slot: &Slot, call: &Call) -> Result<CallAnswer, Failure> {
     let req = life::Request::received(slot.full_id());
-    let ask = limits::Ask {
+    let ask = limits::AdmissionRequest {
         key: call.limit.key.clone(),
         tokens: 0,
-        latest: call.envelope.deadline,
+        admit_by: call.envelope.deadline,
     };
     host.retries.request(&call.envelope.workspace, host.now());
     let _permit = match host.admission.admit(&ask).await {
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -151,10 +151,10 @@
 
 async fn admit(host: &Host, slot: &Slot, call: &Completion) -> Result<Permit, Refusal> {
     host.retries.request(&call.envelope.workspace, host.now());
-    let ask = limits::Ask {
+    let ask = limits::AdmissionRequest {
         key: call.limit_key(),
         tokens: call.tokens(),
-        latest: call.envelope.deadline,
+        admit_by: call.envelope.deadline,
     };
     let admitted = host.admission.admit(&ask).instrument(info_span!("admit"));
     tokio::select! {
--- a/crates/limits/benches/admission.rs
+++ b/crates/limits/benches/admission.rs
@@ -8,7 +8,7 @@
 use std::{hint::black_box, time::Duration};
 
 use criterion::{BenchmarkId, Criterion};
-use dragonflyrill_limits::{Action, Ask, Config, Declaration, HostLimiter, Terms};
+use dragonflyrill_limits::{Action, AdmissionRequest, Config, Declaration, HostLimiter, Terms};
 use dragonflyrill_store::table::memory::MemoryTable;
 use support::{data_centre, host, key, limit};
 
@@ -37,7 +37,7 @@
     while let Some(action) = actions.pop() {
         if let Action::Table { id, call } = action {
             let outcome = table.call(&call);
-            limiter.table(Duration::from_millis(1), id, Ok(outcome), &mut actions);
+            limiter.handle_table_answer(Duration::from_millis(1), id, Ok(outcome), &mut actions);
         }
     }
     limiter
@@ -55,15 +55,15 @@
             b.iter(|| {
                 now += Duration::from_micros(10);
                 i = (i + 1) % keys.len();
-                let ask = Ask {
+                let request = AdmissionRequest {
                     key: keys[i].clone(),
                     tokens: 280,
-                    latest: now + Duration::from_secs(1),
+                    admit_by: now + Duration::from_secs(1),
                 };
                 actions.clear();
                 limiter.tick(now, &mut actions);
-                let ticket = limiter.ask(now, &ask, &mut actions);
-                assert!(actions.contains(&Action::Grant(ticket)));
+                let ticket = limiter.request_admission(now, &request, &mut actions);
+                assert!(actions.contains(&Action::Admit(ticket)));
                 limiter.settle(now, ticket, 200, &mut actions);
                 black_box(&actions);
             });
--- a/crates/limits/benches/compare.rs
+++ b/crates/limits/benches/compare.rs
@@ -9,7 +9,7 @@
 
 use dragonflyrill_catalogue::entry::{LimitEntry, LimitKey};
 use dragonflyrill_limits::{
-    Action, Ask, Config, Declaration, HostLimiter, Peer, Ticket, TxnId,
+    Action, AdmissionRequest, Config, Declaration, HostLimiter, Peer, Ticket, TxnId,
     baseline::{Leased, StaticSplit},
 };
 use dragonflyrill_protocol::{HostRef, rights::Message};
@@ -17,7 +17,7 @@
 use rand::Rng;
 use support::{
     data_centre,
-    fleet::{Fleet, Limiter, Weather, forward},
+    fleet::{Conditions, Fleet, Limiter, forward},
     key, limit,
 };
 
@@ -33,11 +33,16 @@
     fn configure(&mut self, now: Duration, d: &Declaration<'_>, a: &mut Vec<Action>) {
         self.limiter().configure(now, d, a)
     }
-    fn peers(&mut self, now: Duration, peers: &[Peer], a: &mut Vec<Action>) {
-        Leased::peers(self, now, peers, a)
+    fn set_peers(&mut self, now: Duration, peers: &[Peer], a: &mut Vec<Action>) {
+        Leased::set_peers(self, now, peers, a)
     }
-    fn ask(&mut self, now: Duration, ask: &Ask, a: &mut Vec<Action>) -> Ticket {
-        self.limiter().ask(now, ask, a)
+    fn request_admission(
+        &mut self,
+        now: Duration,
+        request: &AdmissionRequest,
+        a: &mut Vec<Action>,
+    ) -> Ticket {
+        self.limiter().request_admission(now, request, a)
     }
     fn settle(&mut self, now: Duration, t: Ticket, used: u32, a: &mut Vec<Action>) {
         self.limiter().settle(now, t, used, a)
@@ -45,14 +50,14 @@
     fn receive(&mut self, now: Duration, f: &HostRef, m: Message, a: &mut Vec<Action>) {
         self.limiter().receive(now, f, m, a)
     }
-    fn table(
+    fn handle_table_answer(
         &mut self,
         now: Duration,
         id: TxnId,
         result: Result<TxnOutcome, PlatformError>,
         a: &mut Vec<Action>,
     ) {
-        self.limiter().table(now, id, result, a)
+        self.limiter().handle_table_answer(now, id, result, a)
     }
     fn tick(&mut self, now: Duration, a: &mut Vec<Action>) {
         self.limiter().tick(now, a)
@@ -60,8 +65,8 @@
     fn next_tick(&self, now: Duration) -> Duration {
         self.limiter_ref().next_tick(now)
     }
-    fn leave(&mut self, now: Duration, a: &mut Vec<Action>) {
-        self.limiter().leave(now, a)
+    fn hand_over(&mut self, now: Duration, a: &mut Vec<Action>) {
+        self.limiter().hand_over(now, a)
     }
 }
 
@@ -116,7 +121,7 @@
 impl<L: Limiter> Run<L> {
     fn new(size: Size, arrivals: Arrivals) -> Self {
         let limits = limits(size);
-        let mut fleet = Fleet::new(7, size.data_centres, &limits, Weather::default());
+        let mut fleet = Fleet::new(7, size.data_centres, &limits, Conditions::default());
         for i in 0..size.hosts {
             fleet.start(i, 1, i % size.data_centres);
             let next = fleet.now + Duration::from_millis(100);
@@ -144,10 +149,11 @@
             let owner = self.fleet.rng.random_range(0..self.size.owners);
             let host = self.host(owner);
             let used = self.fleet.rng.random_range(TOKENS / 2..=TOKENS);
-            let takes = Duration::from_millis(self.fleet.rng.random_range(100..900));
+            let run_time = Duration::from_millis(self.fleet.rng.random_range(100..900));
             wanted += f64::from(used);
             let key = key(owner, 0);
-            self.fleet.ask(host, &key, TOKENS, used, takes, SECOND);
+            self.fleet
+                .request_admission(host, &key, TOKENS, used, run_time, SECOND);
         }
         wanted
     }
@@ -160,19 +166,19 @@
             true => owner % hosts,
             false => self.fleet.rng.random_range(0..hosts),
         };
-        while !self.fleet.lives[i].alive {
+        while !self.fleet.incarnations[i].alive {
             i = (i + 1) % hosts;
         }
         i
     }
 
-    fn work(&self) -> Vec<f64> {
+    fn net_tokens(&self) -> Vec<f64> {
         let used = |i| {
             self.fleet
                 .ledger
                 .used
                 .get(&key(i, 0))
-                .map_or(0.0, |u| u.work)
+                .map_or(0.0, |u| u.net_tokens)
         };
         (0..self.size.owners).map(used).collect()
     }
@@ -194,47 +200,49 @@
 }
 
 fn measure<L: Limiter>(design: &str, size: Size, arrivals: Arrivals, fault: Fault) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut run: Run<L> = Run::new(size, arrivals);
     run.load(5 * SECOND);
     run.fleet.traffic = Default::default();
-    let whole = 20.0;
-    let before = run.work();
+    let seconds = 20.0;
+    let before = run.net_tokens();
     let mut wanted = run.load(5 * SECOND);
     match fault {
         Fault::None => {}
         Fault::HostDeath => run.fleet.kill(1),
         Fault::PlatformOut => run.fleet.table_up = false,
         Fault::Cut => {
-            run.fleet.cut_off.insert(data_centre(0));
+            run.fleet.table_unreachable_from.insert(data_centre(0));
             for other in 1..size.data_centres {
-                run.fleet.cut.insert((data_centre(0), data_centre(other)));
+                run.fleet
+                    .partitions
+                    .insert((data_centre(0), data_centre(other)));
             }
         }
     }
     let bound = run.fleet.ledger.limits[&key(0, 0)].tokens_per_second;
-    let all = bound * size.owners as f64;
+    let total_rate = bound * size.owners as f64;
     let mut slow_until = 0.0;
     let step = Duration::from_millis(500);
     for i in 0..30 {
-        let at = run.work().iter().sum::<f64>();
+        let at = run.net_tokens().iter().sum::<f64>();
         wanted += run.load(step);
-        let share = (run.work().iter().sum::<f64>() - at) / (all * step.as_secs_f64());
+        let share = (run.net_tokens().iter().sum::<f64>() - at) / (total_rate * step.as_secs_f64());
         if share < 0.95 * arrivals.demand(run.fleet.now).min(1.0) {
             slow_until = f64::from(i + 1) * step.as_secs_f64();
         }
     }
-    let after = run.work();
+    let after = run.net_tokens();
     let shares: Vec<f64> = (0..size.owners)
-        .map(|i| (after[i] - before[i]) / (bound * whole))
+        .map(|i| (after[i] - before[i]) / (bound * seconds))
         .collect();
     let useful = shares.iter().sum::<f64>() / size.owners as f64;
-    let least = shares.iter().copied().fold(f64::MAX, f64::min);
-    let possible = (wanted / (all * whole)).min(1.0);
+    let min_share = shares.iter().copied().fold(f64::MAX, f64::min);
+    let possible = (wanted / (total_rate * seconds)).min(1.0);
     let squares: f64 = shares.iter().map(|s| s * s).sum();
     let jain = (useful * size.owners as f64).powi(2) / (size.owners as f64 * squares);
     let traffic = &run.fleet.traffic;
-    let per = |n: u64| n as f64 / size.hosts as f64 / whole;
+    let per = |n: u64| n as f64 / size.hosts as f64 / seconds;
     let mut waits = traffic.waits.clone();
     waits.sort();
     let p99 = waits
@@ -243,7 +251,7 @@
         .unwrap_or_default();
     println!(
         "{:8} {design:8} {:9} {:12} useful/bound {useful:.3} of possible {:.3} least owner \
-         {least:.3} Jain {jain:.4} | slow until {slow_until:4.1} s | over {} | suspended {} | wait \
+         {min_share:.3} Jain {jain:.4} | slow until {slow_until:4.1} s | over {} | suspended {} | wait \
          p99 {:5.1} ms | {:6.1} msg/s {:7.0} B/s a host | table {:.2} reads/s {:.2} writes/s | \
          ran {:.1} s",
         size.name,
@@ -255,9 +263,9 @@
         p99.as_secs_f64() * 1e3,
         per(traffic.messages),
         per(traffic.bytes),
-        traffic.reads as f64 / whole,
-        traffic.writes as f64 / whole,
-        began.elapsed().as_secs_f64(),
+        traffic.reads as f64 / seconds,
+        traffic.writes as f64 / seconds,
+        started_at.elapsed().as_secs_f64(),
     );
 }
 
--- a/crates/limits/src/baseline.rs
+++ b/crates/limits/src/baseline.rs
@@ -2,7 +2,7 @@
 //!
 //! [`StaticSplit`] gives each live host an even part of each limit. [`Leased`] has one host of
 //! each data centre lend the data centre's part of a limit, never to other data centres, under a
-//! lease that is renewed in the table and therefore lasts [`LEASE`].
+//! lease that is renewed in the table and therefore lasts [`LEASE_TERM`].
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -14,18 +14,18 @@
 use dragonflyrill_store::{error::PlatformError, table::TxnOutcome};
 
 use crate::{
-    Action, Ask, HostLimiter, Refusal, Ticket, TxnId,
+    Action, AdmissionRequest, HostLimiter, Refusal, Ticket, TxnId,
     config::{Config, Declaration, Peer},
     pool::Pool,
 };
 
 /// 25 data centres with 660 leases each, renewed thrice in a term, would write 1,650 times a
 /// second at this term: already more than the table takes.
-pub const LEASE: Duration = Duration::from_secs(30);
+pub const LEASE_TERM: Duration = Duration::from_secs(30);
 
 /// One key of [`StaticSplit`].
 #[derive(Debug, Clone)]
-struct Part {
+struct HostPart {
     limit: LimitEntry,
     requests: Pool,
     tokens: Pool,
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct StaticSplit {
     hosts: u32,
-    parts: Vec<Part>,
+    parts: Vec<HostPart>,
     index: HashMap<LimitKey, usize>,
     running: HashMap<Ticket, (usize, u32)>,
     queue: usize,
@@ -62,7 +62,7 @@
         for limit in declared.limits {
             let parts = &mut self.parts;
             let i = *self.index.entry(limit.key.clone()).or_insert_with(|| {
-                parts.push(Part {
+                parts.push(HostPart {
                     limit: limit.clone(),
                     requests: Pool::new(now),
                     tokens: Pool::new(now),
@@ -77,7 +77,7 @@
     }
 
     /// Takes over the view of which hosts live.
-    pub fn peers(&mut self, now: Duration, peers: &[Peer], _: &mut Vec<Action>) {
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer], _: &mut Vec<Action>) {
         self.hosts = peers.len().max(1) as u32;
         self.split(now);
     }
@@ -88,37 +88,43 @@
             let limit = &part.limit;
             let (requests, tokens) = (limit.requests_per_second / n, limit.tokens_per_second / n);
             let burst = limit.burst_seconds;
-            part.requests.set(now, requests, requests * burst);
-            part.tokens.set(now, tokens, tokens * burst);
+            part.requests.set_rate(now, requests, requests * burst);
+            part.tokens.set_rate(now, tokens, tokens * burst);
         }
     }
 
     /// Asks for a request to be admitted.
-    pub fn ask(&mut self, now: Duration, ask: &Ask, actions: &mut Vec<Action>) -> Ticket {
+    pub fn request_admission(
+        &mut self,
+        now: Duration,
+        request: &AdmissionRequest,
+        actions: &mut Vec<Action>,
+    ) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
-        let found = self.index.get(&ask.key).copied();
+        let found = self.index.get(&request.key).copied();
         let Some(i) = found.filter(|i| self.parts[*i].queue.len() < self.queue) else {
             actions.push(refuse(ticket));
             return ticket;
         };
-        let ask = (ticket, ask.tokens, ask.latest);
-        self.parts[i].queue.push_back(ask);
+        let request = (ticket, request.tokens, request.admit_by);
+        self.parts[i].queue.push_back(request);
         self.admit(now, i, actions);
         ticket
     }
 
     fn admit(&mut self, now: Duration, i: usize, actions: &mut Vec<Action>) {
         let part = &mut self.parts[i];
-        let most = part.limit.in_flight / self.hosts;
+        let max_in_flight = part.limit.in_flight / self.hosts;
         while let Some((ticket, tokens, latest)) = part.queue.front().copied() {
             if latest <= now {
                 part.queue.pop_front();
                 actions.push(refuse(ticket));
                 continue;
             }
-            let enough = part.requests.available(now) > 0 && part.tokens.available(now) >= tokens;
-            if !enough || part.in_flight >= most {
+            let permitted =
+                part.requests.available(now) > 0 && part.tokens.available(now) >= tokens;
+            if !permitted || part.in_flight >= max_in_flight {
                 return;
             }
             part.queue.pop_front();
@@ -128,7 +134,7 @@
             part.tokens.settle(now, f64::from(tokens), 0.0);
             part.in_flight += 1;
             self.running.insert(ticket, (i, tokens));
-            actions.push(Action::Grant(ticket));
+            actions.push(Action::Admit(ticket));
         }
     }
 
@@ -147,7 +153,7 @@
     pub fn receive(&mut self, _: Duration, _: &HostRef, _: Message, _: &mut Vec<Action>) {}
 
     /// Hosts write nothing.
-    pub fn table(
+    pub fn handle_table_answer(
         &mut self,
         _: Duration,
         _: TxnId,
@@ -170,7 +176,7 @@
     }
 
     /// Nothing is handed over.
-    pub fn leave(&mut self, _: Duration, _: &mut Vec<Action>) {}
+    pub fn hand_over(&mut self, _: Duration, _: &mut Vec<Action>) {}
 }
 
 fn refuse(ticket: Ticket) -> Action {
@@ -191,7 +197,7 @@
 impl Leased {
     /// A limiter without limits.
     pub fn new(mut cfg: Config) -> Self {
-        cfg.terms.session_term = LEASE;
+        cfg.terms.session_term = LEASE_TERM;
         Self {
             limiter: HostLimiter::new(cfg.clone()),
             cfg,
@@ -209,11 +215,11 @@
     }
 
     /// Takes over the view of which hosts live, those of other data centres left out.
-    pub fn peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
         let near = peers
             .iter()
             .filter(|p| p.data_centre == self.cfg.data_centre);
         let near: Vec<Peer> = near.cloned().collect();
-        self.limiter.peers(now, &near, actions);
+        self.limiter.set_peers(now, &near, actions);
     }
 }
--- a/crates/limits/src/holder.rs
+++ b/crates/limits/src/holder.rs
@@ -13,20 +13,20 @@
 use crate::{Action, Refusal, Ticket, config::Terms};
 
 /// Over which time arrivals are averaged, in seconds.
-const AVERAGE_SECONDS: f64 = 1.0;
+const ARRIVAL_AVERAGE_SECONDS: f64 = 1.0;
 /// An account is kept for so long after its last demand, which is longer than its lender keeps it:
 /// forgotten sooner, its counts would start anew under the lender's eyes.
-const KEEP: Duration = Duration::from_secs(300);
+const ACCOUNT_RETENTION: Duration = Duration::from_secs(300);
 /// A lender that could not meet a demand is passed over for so many retries.
-const SHORT_RETRIES: u32 = 2;
+const SHORT_LENDER_RETRIES: u32 = 2;
 
 /// What this host has from one lender. Times are this host's.
 #[derive(Debug, Clone, PartialEq)]
 struct Account {
     lender: HostRef,
     seq: u32,
-    asked_at: Duration,
-    open: Option<Open>,
+    demanded_at: Duration,
+    open: Option<OpenDemand>,
     requests: u32,
     tokens: u32,
     permits_until: Duration,
@@ -36,16 +36,16 @@
     used_requests: u64,
     used_tokens: i64,
     /// Until then the lender has less than is wanted of it.
-    short_until: Duration,
+    depleted_until: Duration,
     /// A demand for what the lender had too little of is not repeated sooner.
-    not_before: Duration,
+    retry_not_before: Duration,
     /// Whether rights are left over and the lender should know.
-    report: bool,
+    report_due: bool,
 }
 
 /// A demand without its last answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Open {
+struct OpenDemand {
     sent_at: Duration,
     resend_at: Duration,
     /// The part of what is wanted that asks wait for.
@@ -54,10 +54,10 @@
 
 /// An ask that waits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Waiting {
+struct QueuedRequest {
     ticket: Ticket,
     tokens: u32,
-    latest: Duration,
+    admit_by: Duration,
 }
 
 /// An admitted request.
@@ -74,22 +74,22 @@
 pub(crate) struct Holder {
     key: KeyId,
     accounts: Vec<Account>,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<QueuedRequest>,
     queued_tokens: u64,
     running: BTreeMap<Ticket, Running>,
     suspended: u32,
     /// When the lenders expect to have served this host.
-    served_at: Duration,
-    arrivals: f64,
+    expected_service_at: Duration,
+    arrivals_per_second: f64,
     mean_tokens: f64,
-    arrived_at: Duration,
+    last_arrival_at: Duration,
 }
 
 /// How much a host holds and uses under a key.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Use {
+pub(crate) struct Usage {
     pub(crate) held: Rights,
-    pub(crate) busy: u32,
+    pub(crate) active: u32,
     pub(crate) suspended: u32,
     pub(crate) waiting: u32,
 }
@@ -104,18 +104,18 @@
             queued_tokens: 0,
             running: BTreeMap::new(),
             suspended: 0,
-            served_at: Duration::ZERO,
-            arrivals: 0.0,
+            expected_service_at: Duration::ZERO,
+            arrivals_per_second: 0.0,
             mean_tokens: 0.0,
-            arrived_at: Duration::ZERO,
+            last_arrival_at: Duration::ZERO,
         }
     }
 
     /// What it holds and uses.
-    pub(crate) fn usage(&self, now: Duration) -> Use {
-        Use {
+    pub(crate) fn usage(&self, now: Duration) -> Usage {
+        Usage {
             held: self.held(now),
-            busy: self.busy(),
+            active: self.active(),
             suspended: self.suspended,
             waiting: self.queue.len() as u32,
         }
@@ -126,7 +126,7 @@
         self.queue.is_empty() && self.running.is_empty()
     }
 
-    fn busy(&self) -> u32 {
+    fn active(&self) -> u32 {
         self.running.len() as u32 - self.suspended
     }
 
@@ -142,16 +142,18 @@
     }
 
     /// Puts an ask at the end of the queue.
-    pub(crate) fn push(&mut self, now: Duration, ticket: Ticket, tokens: u32, latest: Duration) {
-        let passed = now.saturating_sub(self.arrived_at).as_secs_f64();
-        self.arrivals = self.arrivals * (-passed / AVERAGE_SECONDS).exp() + 1.0 / AVERAGE_SECONDS;
-        self.arrived_at = now;
+    pub(crate) fn push(&mut self, now: Duration, ticket: Ticket, tokens: u32, admit_by: Duration) {
+        let elapsed = now.saturating_sub(self.last_arrival_at).as_secs_f64();
+        self.arrivals_per_second = self.arrivals_per_second
+            * (-elapsed / ARRIVAL_AVERAGE_SECONDS).exp()
+            + 1.0 / ARRIVAL_AVERAGE_SECONDS;
+        self.last_arrival_at = now;
         self.mean_tokens += (f64::from(tokens) - self.mean_tokens) * 0.1;
         self.queued_tokens += u64::from(tokens);
-        self.queue.push_back(Waiting {
+        self.queue.push_back(QueuedRequest {
             ticket,
             tokens,
-            latest,
+            admit_by,
         });
     }
 
@@ -162,17 +164,17 @@
 
     /// How long the lenders expect those that wait to wait.
     pub(crate) fn expected_wait(&self, now: Duration) -> Duration {
-        self.served_at.saturating_sub(now)
+        self.expected_service_at.saturating_sub(now)
     }
 
     /// Takes an ask that waits out of the queue.
     pub(crate) fn withdraw(&mut self, ticket: Ticket) {
         if let Some(i) = self.queue.iter().position(|w| w.ticket == ticket) {
-            self.remove(i);
+            self.remove_queued(i);
         }
     }
 
-    fn remove(&mut self, i: usize) -> Option<Waiting> {
+    fn remove_queued(&mut self, i: usize) -> Option<QueuedRequest> {
         let waiting = self.queue.remove(i)?;
         self.queued_tokens -= u64::from(waiting.tokens);
         Some(waiting)
@@ -189,25 +191,25 @@
             account.used_tokens -= i64::from(running.tokens) - i64::from(used);
         }
         if self.idle() {
-            self.accounts.iter_mut().for_each(Account::leave_over);
+            self.accounts.iter_mut().for_each(Account::drop_permits);
         }
     }
 
     /// Admits, suspends, resumes and refuses by what is held now.
     pub(crate) fn update(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.lapse(now);
-        self.shed(now, actions);
+        self.expire_rights(now);
+        self.refuse_expired(now, actions);
         let held = self.held(now);
         self.suspend(held.in_flight, actions);
         self.resume(held.in_flight, actions);
         self.admit(now, held, actions);
     }
 
-    fn lapse(&mut self, now: Duration) {
+    fn expire_rights(&mut self, now: Duration) {
         for account in &mut self.accounts {
             if account.permits_until <= now && account.requests + account.tokens > 0 {
                 (account.requests, account.tokens) = (0, 0);
-                account.report = true;
+                account.report_due = true;
             }
             if account.in_flight_until <= now {
                 account.in_flight = 0;
@@ -215,14 +217,14 @@
         }
     }
 
-    fn shed(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn refuse_expired(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut i = 0;
         while let Some(waiting) = self.queue.get(i).copied() {
-            if waiting.latest > now {
+            if waiting.admit_by > now {
                 i += 1;
                 continue;
             }
-            self.remove(i);
+            self.remove_queued(i);
             actions.push(Action::Refuse {
                 ticket: waiting.ticket,
                 refusal: Refusal::OverLimit,
@@ -232,9 +234,9 @@
     }
 
     fn suspend(&mut self, in_flight: u32, actions: &mut Vec<Action>) {
-        let over = self.busy().saturating_sub(in_flight);
+        let excess = self.active().saturating_sub(in_flight);
         let newest = self.running.iter_mut().rev().filter(|(_, r)| !r.suspended);
-        for (ticket, running) in newest.take(over as usize) {
+        for (ticket, running) in newest.take(excess as usize) {
             running.suspended = true;
             self.suspended += 1;
             actions.push(Action::Suspend(*ticket));
@@ -245,7 +247,7 @@
         if self.suspended == 0 {
             return;
         }
-        let free = in_flight.saturating_sub(self.busy());
+        let free = in_flight.saturating_sub(self.active());
         let oldest = self.running.iter_mut().filter(|(_, r)| r.suspended);
         for (ticket, running) in oldest.take(free as usize) {
             running.suspended = false;
@@ -262,22 +264,22 @@
             if !enough {
                 return;
             }
-            self.remove(0);
+            self.remove_queued(0);
             held.requests -= 1;
             held.tokens -= first.tokens;
-            let lender = self.take(now, first.tokens);
+            let lender = self.use_rights(now, first.tokens);
             let running = Running {
                 tokens: first.tokens,
                 lender,
                 suspended: false,
             };
             self.running.insert(first.ticket, running);
-            actions.push(Action::Grant(first.ticket));
+            actions.push(Action::Admit(first.ticket));
         }
     }
 
     /// Uses one request and `tokens` of what is held; the first lender it came from.
-    fn take(&mut self, now: Duration, tokens: u32) -> HostRef {
+    fn use_rights(&mut self, now: Duration, tokens: u32) -> HostRef {
         let mut first = None;
         let (mut requests, mut tokens) = (1, tokens);
         for account in &mut self.accounts {
@@ -298,7 +300,13 @@
     }
 
     /// Takes a lender's answer in.
-    pub(crate) fn grant(&mut self, now: Duration, from: &HostRef, grant: &Grant, terms: &Terms) {
+    pub(crate) fn receive_grant(
+        &mut self,
+        now: Duration,
+        from: &HostRef,
+        grant: &Grant,
+        terms: &Terms,
+    ) {
         let account = self.accounts.iter_mut().find(|a| a.lender == *from);
         let Some(account) = account.filter(|a| a.seq == grant.seq) else {
             return;
@@ -307,24 +315,25 @@
             return;
         };
         let until = open.sent_at + Duration::from_millis(u64::from(grant.term_ms));
-        let served_at = now + Duration::from_millis(u64::from(grant.wait_ms));
-        self.served_at = served_at;
-        account.lapse_into(now, until, &grant.rights);
+        let expected_service_at = now + Duration::from_millis(u64::from(grant.wait_ms));
+        self.expected_service_at = expected_service_at;
+        account.add_rights(now, until, &grant.rights);
         account.renew_at = open.sent_at + (until - open.sent_at) / 2;
-        let less = grant.rights.requests < open.waiting.requests
+        let insufficient = grant.rights.requests < open.waiting.requests
             || grant.rights.tokens < open.waiting.tokens
             || grant.rights.in_flight < open.waiting.in_flight
             || !grant.last;
-        if less {
-            account.short_until = now + terms.retry_interval * SHORT_RETRIES;
-            account.not_before = now + terms.retry_interval;
+        if insufficient {
+            account.depleted_until = now + terms.retry_interval * SHORT_LENDER_RETRIES;
+            account.retry_not_before = now + terms.retry_interval;
         }
         if grant.last {
             account.open = None;
             return;
         }
-        account.open = Some(Open {
-            resend_at: (served_at + terms.retry_interval).min(open.sent_at + terms.loan_term / 2),
+        account.open = Some(OpenDemand {
+            resend_at: (expected_service_at + terms.retry_interval)
+                .min(open.sent_at + terms.loan_term / 2),
             ..open
         });
     }
@@ -337,26 +346,26 @@
         terms: &Terms,
         out: &mut Vec<(HostRef, Demand)>,
     ) {
-        self.track(now, lenders);
+        self.update_accounts(now, lenders);
         let target = self.target(terms);
         for i in 0..self.accounts.len() {
             if !lenders.contains(&self.accounts[i].lender) {
                 continue;
             }
             let held = self.held(now);
-            let lacking = lacking(&target, &held);
+            let below_target = below_target(&target, &held);
             let needed = self.running.len() as u32 + held.requests;
-            let short = lacking && !self.queue.is_empty() || held.in_flight < needed;
-            let passed = self.accounts[..i].iter().any(|a| a.short_until <= now);
+            let short = below_target && !self.queue.is_empty() || held.in_flight < needed;
+            let earlier_can_lend = self.accounts[..i].iter().any(|a| a.depleted_until <= now);
             let account = &self.accounts[i];
             let renew = account.in_flight > 0 && account.renew_at <= now;
-            let refill = i == 0 && lacks_half(&target, &held);
-            let paced = account.not_before > now;
-            let more = !passed && !paced && (short || refill);
-            let due = renew || account.report || more;
+            let refill = i == 0 && below_half(&target, &held);
+            let delayed = account.retry_not_before > now;
+            let more = !earlier_can_lend && !delayed && (short || refill);
+            let due = renew || account.report_due || more;
             let resend = account.open.is_some_and(|o| o.resend_at <= now);
             if (account.open.is_none() && due) || (resend && (due || more)) {
-                out.push(self.demand(now, i, &target, &held, !more, terms));
+                out.push(self.prepare_demand(now, i, &target, &held, !more, terms));
             } else if resend {
                 self.accounts[i].open = None;
             }
@@ -364,9 +373,9 @@
     }
 
     /// Opens accounts with new lenders and closes those that are of no more use.
-    fn track(&mut self, now: Duration, lenders: &[HostRef]) {
+    fn update_accounts(&mut self, now: Duration, lenders: &[HostRef]) {
         self.accounts
-            .retain(|a| lenders.contains(&a.lender) || now < a.asked_at + KEEP);
+            .retain(|a| lenders.contains(&a.lender) || now < a.demanded_at + ACCOUNT_RETENTION);
         for lender in lenders {
             if !self.accounts.iter().any(|a| a.lender == *lender) {
                 self.accounts.push(Account::new(lender.clone(), now));
@@ -379,7 +388,7 @@
 
     /// What this host would like to hold.
     fn target(&self, terms: &Terms) -> Rights {
-        let ahead = (self.arrivals * terms.loan_term.as_secs_f64() / 2.0) as u32;
+        let ahead = (self.arrivals_per_second * terms.loan_term.as_secs_f64() / 2.0) as u32;
         let ahead = if self.idle() { 0 } else { ahead };
         let waiting = self.queue.len() as u32;
         let tokens = self.queued_tokens as f64 + f64::from(ahead) * self.mean_tokens;
@@ -390,7 +399,7 @@
         }
     }
 
-    fn demand(
+    fn prepare_demand(
         &mut self,
         now: Duration,
         i: usize,
@@ -402,8 +411,8 @@
         let head = self.queue.front().map_or(0, |w| w.tokens);
         let head = head.saturating_sub(held.tokens);
         let needed = self.running.len() as u32 + held.requests;
-        let lack_requests = (self.queue.len() as u32).saturating_sub(held.requests);
-        let lack_tokens = (self.queued_tokens as u32).saturating_sub(held.tokens);
+        let missing_requests = (self.queue.len() as u32).saturating_sub(held.requests);
+        let missing_tokens = (self.queued_tokens as u32).saturating_sub(held.tokens);
         let account = &mut self.accounts[i];
         let others = held.in_flight - account.held(now).in_flight;
         let busy = needed.saturating_sub(others);
@@ -422,15 +431,15 @@
             },
         };
         let waiting = Rights {
-            requests: want.requests.min(lack_requests),
-            tokens: want.tokens.min(lack_tokens),
+            requests: want.requests.min(missing_requests),
+            tokens: want.tokens.min(missing_tokens),
             in_flight: want.in_flight.min(busy),
         };
         account.seq += 1;
-        account.asked_at = now;
-        account.report = false;
+        account.demanded_at = now;
+        account.report_due = false;
         // A report needs no answer.
-        account.open = (want != Rights::default()).then_some(Open {
+        account.open = (want != Rights::default()).then_some(OpenDemand {
             sent_at: now,
             resend_at: now + terms.retry_interval,
             waiting,
@@ -449,8 +458,8 @@
     }
 
     /// When [`Self::update`] or [`Self::demands`] may have something to do.
-    pub(crate) fn next(&self, now: Duration) -> Option<Duration> {
-        let mut at = self.queue.iter().map(|w| w.latest).min();
+    pub(crate) fn next_due(&self, now: Duration) -> Option<Duration> {
+        let mut at = self.queue.iter().map(|w| w.admit_by).min();
         let mut due = |t: Duration| at = Some(at.map_or(t, |at| at.min(t)));
         for account in &self.accounts {
             if account.requests + account.tokens > 0 {
@@ -463,11 +472,11 @@
             if let Some(open) = account.open {
                 due(open.resend_at);
             }
-            if account.short_until > now && !self.idle() {
-                due(account.short_until);
+            if account.depleted_until > now && !self.idle() {
+                due(account.depleted_until);
             }
-            if account.not_before > now && !self.idle() {
-                due(account.not_before);
+            if account.retry_not_before > now && !self.idle() {
+                due(account.retry_not_before);
             }
         }
         at
@@ -479,7 +488,7 @@
         Self {
             lender,
             seq: 0,
-            asked_at: now,
+            demanded_at: now,
             open: None,
             requests: 0,
             tokens: 0,
@@ -489,15 +498,15 @@
             renew_at: now,
             used_requests: 0,
             used_tokens: 0,
-            short_until: Duration::ZERO,
-            not_before: Duration::ZERO,
-            report: false,
+            depleted_until: Duration::ZERO,
+            retry_not_before: Duration::ZERO,
+            report_due: false,
         }
     }
 
     /// No request is left: what it holds, or was settled back, is the lender's to lend on.
-    fn leave_over(&mut self) {
-        self.report |= self.requests + self.tokens + self.in_flight > 0;
+    fn drop_permits(&mut self) {
+        self.report_due |= self.requests + self.tokens + self.in_flight > 0;
         (self.requests, self.tokens) = (0, 0);
     }
 
@@ -515,10 +524,10 @@
     }
 
     /// Adds rights that last until `until` to those held.
-    fn lapse_into(&mut self, now: Duration, until: Duration, rights: &Rights) {
+    fn add_rights(&mut self, now: Duration, until: Duration, rights: &Rights) {
         let held = self.held(now);
         if until <= now {
-            self.report |= rights.requests + rights.tokens > 0;
+            self.report_due |= rights.requests + rights.tokens > 0;
             return;
         }
         self.requests = held.requests + rights.requests;
@@ -530,10 +539,10 @@
     }
 }
 
-fn lacking(target: &Rights, held: &Rights) -> bool {
+fn below_target(target: &Rights, held: &Rights) -> bool {
     held.requests < target.requests || held.tokens < target.tokens
 }
 
-fn lacks_half(target: &Rights, held: &Rights) -> bool {
+fn below_half(target: &Rights, held: &Rights) -> bool {
     held.requests < target.requests / 2 || held.tokens < target.tokens / 2
 }
--- a/crates/limits/src/host.rs
+++ b/crates/limits/src/host.rs
@@ -1,7 +1,7 @@
 //! The limiter of one host: dispatches events to the session and to the keys.
 
 mod messages;
-mod work;
+mod process;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,22 +23,22 @@
 use xxhash_rust::xxh3;
 
 use crate::{
-    Action, Ask, Refusal, Ticket, TxnId,
+    Action, AdmissionRequest, Refusal, Ticket, TxnId,
     config::{Config, Declaration, Peer},
-    key::{Key, Out},
-    session::{Known, Session},
+    key::{KeyMessage, KeyState},
+    session::{Session, VersionedMap},
     split::Fraction,
     status::{KeyStatus, Status},
 };
 
 /// How many hosts of a data centre tell a new host their map.
-const TELLERS: usize = 2;
+const MAP_SENDERS: usize = 2;
 /// A refused caller isn't asked back sooner.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Until when the parts of a shard are not lent, for loans of an earlier holder may last.
 #[derive(Debug, Clone, Copy, Default)]
-struct Blind {
+struct LoanWait {
     main: Duration,
     floor: Duration,
 }
@@ -49,19 +49,19 @@
     cfg: Config,
     session: Session,
     /// The shard maps of the other data centres.
-    maps: BTreeMap<DataCentre, Known>,
+    other_maps: BTreeMap<DataCentre, VersionedMap>,
     peers: Vec<Peer>,
-    keys: Vec<Key>,
-    index: FxHashMap<LimitKey, usize>,
-    ids: FxHashMap<KeyId, usize>,
+    keys: Vec<KeyState>,
+    key_index: FxHashMap<LimitKey, usize>,
+    id_index: FxHashMap<KeyId, usize>,
     tickets: FxHashMap<Ticket, usize>,
     timers: BTreeSet<(Duration, usize)>,
     /// For each shard, until when loans of earlier holders may last.
-    blind: Vec<Blind>,
+    loan_wait: Vec<LoanWait>,
     revision: u64,
     next_ticket: u64,
     rng: Pcg32,
-    out: Vec<Out>,
+    outgoing: Vec<KeyMessage>,
 }
 
 impl HostLimiter {
@@ -69,18 +69,18 @@
     pub fn new(cfg: Config) -> Self {
         Self {
             session: Session::new(&cfg),
-            maps: BTreeMap::new(),
+            other_maps: BTreeMap::new(),
             peers: Vec::new(),
             keys: Vec::new(),
-            index: FxHashMap::default(),
-            ids: FxHashMap::default(),
+            key_index: FxHashMap::default(),
+            id_index: FxHashMap::default(),
             tickets: FxHashMap::default(),
             timers: BTreeSet::new(),
-            blind: vec![Blind::default(); SHARDS],
+            loan_wait: vec![LoanWait::default(); SHARDS],
             revision: 0,
             next_ticket: 0,
             rng: Pcg32::seed_from_u64(cfg.seed),
-            out: Vec::new(),
+            outgoing: Vec::new(),
             cfg,
         }
     }
@@ -100,13 +100,13 @@
         for i in gone {
             self.keys[i].limit = None;
         }
-        self.find_lenders();
-        self.work_all(now, actions);
+        self.update_lenders();
+        self.process_all_keys(now, actions);
     }
 
     /// The place of `limit`'s key, taken over; `None` when its hash is another key's.
     fn declare(&mut self, limit: &LimitEntry, all: &[DataCentre]) -> Option<usize> {
-        let i = match self.index.get(&limit.key) {
+        let i = match self.key_index.get(&limit.key) {
             Some(i) => *i,
             None => self.add(&limit.key)?,
         };
@@ -118,68 +118,77 @@
 
     fn add(&mut self, key: &LimitKey) -> Option<usize> {
         let id = key_id(key);
-        if self.ids.contains_key(&id) {
+        if self.id_index.contains_key(&id) {
             log::error!("limits: the hash of {key:?} is another key's, it has no limit");
             return None;
         }
         let i = self.keys.len();
-        self.keys.push(Key::new(id));
-        self.index.insert(key.clone(), i);
-        self.ids.insert(id, i);
+        self.keys.push(KeyState::new(id));
+        self.key_index.insert(key.clone(), i);
+        self.id_index.insert(id, i);
         Some(i)
     }
 
     /// Takes over the view of which hosts live; this host itself may be left out.
-    pub fn peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
         let known: BTreeSet<&HostRef> = self.peers.iter().map(|p| &p.host).collect();
         let new = peers.iter().filter(|p| !known.contains(&p.host));
         let new: Vec<HostRef> = new.map(|p| p.host.clone()).collect();
         self.peers = peers.to_vec();
         self.peers.retain(|p| p.host != self.cfg.me);
-        self.find_lenders();
+        self.update_lenders();
         for host in new {
-            if self.tells(&host) {
+            if self.sends_map_to(&host) {
                 self.send_map(&host, actions);
             }
         }
-        self.work_session(now, actions);
-        self.work_all(now, actions);
+        self.process_session(now, actions);
+        self.process_all_keys(now, actions);
     }
 
     /// Whether it falls to this host to tell `host` its data centre's map.
-    fn tells(&self, host: &HostRef) -> bool {
+    fn sends_map_to(&self, host: &HostRef) -> bool {
         let rank = |h: &HostRef| xxh3::xxh3_64(format!("{}/{}", h.id, host.id).as_bytes());
         let mine = rank(&self.cfg.me);
-        self.live().iter().filter(|h| rank(h) < mine).count() < TELLERS
+        self.live_neighbours()
+            .iter()
+            .filter(|h| rank(h) < mine)
+            .count()
+            < MAP_SENDERS
     }
 
     /// The live hosts of this data centre but this one.
-    fn live(&self) -> Vec<HostRef> {
+    fn live_neighbours(&self) -> Vec<HostRef> {
         let peers = self.peers.iter();
         let near = peers.filter(|p| p.data_centre == self.cfg.data_centre);
         near.map(|p| p.host.clone()).collect()
     }
 
     /// Asks for a request to be admitted. The answer is among `actions`, now or later.
-    pub fn ask(&mut self, now: Duration, ask: &Ask, actions: &mut Vec<Action>) -> Ticket {
+    pub fn request_admission(
+        &mut self,
+        now: Duration,
+        request: &AdmissionRequest,
+        actions: &mut Vec<Action>,
+    ) -> Ticket {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let limited = self.index.get(&ask.key).copied();
+        let limited = self.key_index.get(&request.key).copied();
         let Some(i) = limited.filter(|i| self.keys[*i].limit.is_some()) else {
             actions.push(refuse(ticket, Refusal::NoLimit));
             return ticket;
         };
-        let whole = self.keys[i].whole();
-        if f64::from(ask.tokens) > whole.token_burst || whole.in_flight == 0 {
+        let full = self.keys[i].full_share();
+        if f64::from(request.tokens) > full.token_burst || full.in_flight == 0 {
             actions.push(refuse(ticket, Refusal::TooLarge));
             return ticket;
         }
         let key = &mut self.keys[i];
         let (ahead, tokens_ahead) = key.holder.backlog();
-        let least = Duration::try_from_secs_f64(tokens_ahead as f64 / whole.tokens);
+        let least = Duration::try_from_secs_f64(tokens_ahead as f64 / full.tokens);
         let wait = key.holder.expected_wait(now).max(least.unwrap_or_default());
-        if ahead >= self.cfg.max_queued_per_key || (ahead > 0 && now + wait > ask.latest) {
-            let retry_after = self.spread(wait);
+        if ahead >= self.cfg.max_queued_per_key || (ahead > 0 && now + wait > request.admit_by) {
+            let retry_after = self.add_jitter(wait);
             actions.push(Action::Refuse {
                 ticket,
                 refusal: Refusal::OverLimit,
@@ -187,10 +196,11 @@
             });
             return ticket;
         }
-        key.holder.push(now, ticket, ask.tokens, ask.latest);
+        key.holder
+            .push(now, ticket, request.tokens, request.admit_by);
         self.tickets.insert(ticket, i);
-        self.work(now, i, actions);
-        self.flush(actions);
+        self.process_key(now, i, actions);
+        self.flush_messages(actions);
         ticket
     }
 
@@ -198,8 +208,8 @@
     pub fn withdraw(&mut self, now: Duration, ticket: Ticket, actions: &mut Vec<Action>) {
         if let Some(i) = self.tickets.get(&ticket).copied() {
             self.keys[i].holder.withdraw(ticket);
-            self.work(now, i, actions);
-            self.flush(actions);
+            self.process_key(now, i, actions);
+            self.flush_messages(actions);
         }
     }
 
@@ -208,62 +218,62 @@
         if let Some(i) = self.tickets.remove(&ticket) {
             self.keys[i].holder.withdraw(ticket);
             self.keys[i].holder.settle(ticket, used);
-            self.work(now, i, actions);
-            self.flush(actions);
+            self.process_key(now, i, actions);
+            self.flush_messages(actions);
         }
     }
 
     /// Takes the answer to [`Action::Table`] in.
-    pub fn table(
+    pub fn handle_table_answer(
         &mut self,
         now: Duration,
         id: TxnId,
         result: Result<TxnOutcome, PlatformError>,
         actions: &mut Vec<Action>,
     ) {
-        let old = self.session.known().cloned();
-        let wrote = self.session.answer(now, id, result);
-        if self.session.known() != old.as_ref() {
-            self.map_changed(now, old, wrote, actions);
+        let old = self.session.known_map().cloned();
+        let wrote = self.session.handle_answer(now, id, result);
+        if self.session.known_map() != old.as_ref() {
+            self.handle_map_change(now, old, wrote, actions);
         }
-        self.work_session(now, actions);
-        self.work_all(now, actions);
+        self.process_session(now, actions);
+        self.process_all_keys(now, actions);
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.work_session(now, actions);
+        self.process_session(now, actions);
         while let Some((at, i)) = self.timers.first().copied() {
             if at > now {
                 break;
             }
-            self.work(now, i, actions);
+            self.process_key(now, i, actions);
         }
-        self.flush(actions);
+        self.flush_messages(actions);
     }
 
     /// When [`Self::tick`] is to be called next.
     pub fn next_tick(&self, now: Duration) -> Duration {
-        let session = self.session.next(now);
+        let session = self.session.next_due(now);
         let key = self.timers.first().map_or(session, |(at, _)| *at);
         session.min(key)
     }
 
     /// Hands all rights to lend over to the others. Admitted requests go on by borrowed rights.
-    pub fn leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.session.leave();
-        self.work_session(now, actions);
-        self.work_all(now, actions);
+    pub fn hand_over(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.session.hand_over();
+        self.process_session(now, actions);
+        self.process_all_keys(now, actions);
     }
 
     /// Whether all rights to lend are handed over.
-    pub fn left(&self) -> bool {
-        self.session.left()
+    pub fn is_handed_over(&self) -> bool {
+        self.session.is_handed_over()
     }
 
     /// What operators see.
     pub fn status(&self, now: Duration) -> Status {
-        let declared = self.index.iter();
+        let declared = self.key_index.iter();
         let mut keys: Vec<KeyStatus> = declared
             .map(|(name, i)| KeyStatus::of(now, name, &self.keys[*i]))
             .collect();
@@ -271,7 +281,7 @@
         Status {
             revision: self.revision,
             map_revision: self.map_revision(),
-            lends: self.session.until(now) > now,
+            may_lend: self.session.lend_until(now) > now,
             keys,
         }
     }
@@ -292,7 +302,7 @@
 }
 
 /// A time after `wait`, so drawn that callers refused together don't return together.
-fn spread(rng: &mut Pcg32, wait: Duration) -> Duration {
-    let wait = wait.max(LEAST_RETRY);
+fn add_jitter(rng: &mut Pcg32, wait: Duration) -> Duration {
+    let wait = wait.max(MIN_RETRY_AFTER);
     wait.mul_f64(rng.random_range(1.0..1.5))
 }
--- a/crates/limits/src/host/messages.rs
+++ b/crates/limits/src/host/messages.rs
@@ -8,7 +8,7 @@
 };
 
 use super::HostLimiter;
-use crate::{Action, session::Known};
+use crate::{Action, session::VersionedMap};
 
 impl HostLimiter {
     /// Takes a peer's message in.
@@ -22,11 +22,11 @@
         match message {
             Message::Beat { seq, revision } => self.receive_beat(now, from, seq, revision, actions),
             Message::BeatAck { seq, revision } => {
-                self.session.promised(from, seq);
-                self.tell_newer(from, revision, actions);
+                self.session.receive_promise(from, seq);
+                self.send_newer_map(from, revision, actions);
             }
             Message::Map { revision, map } => {
-                self.receive_map(now, from, Known { revision, map }, actions);
+                self.receive_map(now, from, VersionedMap { revision, map }, actions);
             }
             Message::Demand(demands) => {
                 for demand in &demands {
@@ -39,7 +39,7 @@
                 }
             }
         }
-        self.flush(actions);
+        self.flush_messages(actions);
     }
 
     pub(super) fn receive_beat(
@@ -50,7 +50,7 @@
         revision: u64,
         actions: &mut Vec<Action>,
     ) {
-        if self.session.promise(now, from) {
+        if self.session.promise_not_to_remove(now, from) {
             let message = Message::BeatAck {
                 seq,
                 revision: self.map_revision(),
@@ -60,21 +60,26 @@
                 message,
             });
         }
-        self.tell_newer(from, revision, actions);
+        self.send_newer_map(from, revision, actions);
     }
 
     pub(super) fn map_revision(&self) -> u64 {
-        self.session.known().map_or(0, |k| k.revision)
+        self.session.known_map().map_or(0, |k| k.revision)
     }
 
-    pub(super) fn tell_newer(&mut self, to: &HostRef, revision: u64, actions: &mut Vec<Action>) {
+    pub(super) fn send_newer_map(
+        &mut self,
+        to: &HostRef,
+        revision: u64,
+        actions: &mut Vec<Action>,
+    ) {
         if self.map_revision() > revision {
             self.send_map(to, actions);
         }
     }
 
     pub(super) fn send_map(&self, to: &HostRef, actions: &mut Vec<Action>) {
-        let Some(known) = self.session.known().filter(|k| k.revision > 0) else {
+        let Some(known) = self.session.known_map().filter(|k| k.revision > 0) else {
             return;
         };
         actions.push(Action::Send {
@@ -90,7 +95,7 @@
         &mut self,
         now: Duration,
         from: &HostRef,
-        found: Known,
+        found: VersionedMap,
         actions: &mut Vec<Action>,
     ) {
         let Some(peer) = self.peers.iter().find(|p| p.host == *from) else {
@@ -101,29 +106,29 @@
             return;
         }
         if peer.data_centre == self.cfg.data_centre {
-            let old = self.session.known().cloned();
-            if self.session.adopt(now, found) {
-                self.map_changed(now, old, false, actions);
+            let old = self.session.known_map().cloned();
+            if self.session.adopt_map(now, found) {
+                self.handle_map_change(now, old, false, actions);
             }
             return;
         }
-        let known = self.maps.entry(peer.data_centre.clone()).or_default();
+        let known = self.other_maps.entry(peer.data_centre.clone()).or_default();
         if known.revision < found.revision {
             *known = found;
-            self.find_lenders();
+            self.update_lenders();
         }
     }
 
     /// The map of this data centre is another than `old`.
-    pub(super) fn map_changed(
+    pub(super) fn handle_map_change(
         &mut self,
         now: Duration,
-        old: Option<Known>,
+        old: Option<VersionedMap>,
         wrote: bool,
         actions: &mut Vec<Action>,
     ) {
         let old = old.unwrap_or_default();
-        let Some(new) = self.session.known().cloned() else {
+        let Some(new) = self.session.known_map().cloned() else {
             return;
         };
         let until = now + self.cfg.terms.with_clock_margin(self.cfg.terms.loan_term);
@@ -136,15 +141,15 @@
                 let lapsed = wrote && (before.is_some() || old.revision == 0);
                 mine && before.as_ref() != Some(me) && !lapsed
             };
-            let blind = &mut self.blind[i];
+            let loan_wait = &mut self.loan_wait[i];
             if gained(|m| &m.main) {
-                blind.main = until;
+                loan_wait.main = until;
             }
             if gained(|m| &m.floor) {
-                blind.floor = until;
+                loan_wait.floor = until;
             }
         }
-        self.find_lenders();
+        self.update_lenders();
         if wrote && (old.map.main != new.map.main || old.map.members.len() != new.map.members.len())
         {
             let peers: Vec<HostRef> = self.peers.iter().map(|p| p.host.clone()).collect();
@@ -152,7 +157,7 @@
                 self.send_map(&peer, actions);
             }
         }
-        self.work_all(now, actions);
+        self.process_all_keys(now, actions);
     }
 
     pub(super) fn receive_demand(
@@ -162,17 +167,17 @@
         demand: &Demand,
         actions: &mut Vec<Action>,
     ) {
-        let Some(i) = self.ids.get(&demand.key).copied() else {
+        let Some(i) = self.id_index.get(&demand.key).copied() else {
             return;
         };
-        self.hold(now, i);
+        self.update_lender(now, i);
         let peer = self.peers.iter().find(|p| p.host == *from);
         let local = peer.is_some_and(|p| p.data_centre == self.cfg.data_centre);
         match &mut self.keys[i].lender {
-            Some(lender) => lender.demand(now, from, local, demand),
+            Some(lender) => lender.receive_demand(now, from, local, demand),
             None => self.send_map(from, actions),
         }
-        self.work(now, i, actions);
+        self.process_key(now, i, actions);
     }
 
     pub(super) fn receive_grant(
@@ -182,10 +187,12 @@
         grant: &Grant,
         actions: &mut Vec<Action>,
     ) {
-        let Some(i) = self.ids.get(&grant.key).copied() else {
+        let Some(i) = self.id_index.get(&grant.key).copied() else {
             return;
         };
-        self.keys[i].holder.grant(now, from, grant, &self.cfg.terms);
-        self.work(now, i, actions);
+        self.keys[i]
+            .holder
+            .receive_grant(now, from, grant, &self.cfg.terms);
+        self.process_key(now, i, actions);
     }
 }
--- a/crates/limits/src/host/work.rs
+++ b/crates/limits/src/host/process.rs
@@ -9,50 +9,52 @@
 
 use xxhash_rust::xxh3;
 
-use super::{HostLimiter, spread};
-use crate::{Action, key::Out, lender::Lending, session::Held, split::Fraction};
+use super::{HostLimiter, add_jitter};
+use crate::{
+    Action, key::KeyMessage, lender::LendingTerms, session::LendableParts, split::Fraction,
+};
 
 impl HostLimiter {
-    pub(super) fn work_session(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if let Some((to, seq)) = self.session.beat(now) {
+    pub(super) fn process_session(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if let Some((to, seq)) = self.session.next_beat(now) {
             let revision = self.map_revision();
             let message = Message::Beat { seq, revision };
             actions.push(Action::Send { to, message });
         }
-        let live = self.live();
-        if let Some((id, call)) = self.session.call(now, &live) {
+        let live = self.live_neighbours();
+        if let Some((id, call)) = self.session.next_call(now, &live) {
             actions.push(Action::Table { id, call });
         }
     }
 
-    pub(super) fn work_all(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn process_all_keys(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for i in 0..self.keys.len() {
-            self.work(now, i, actions);
+            self.process_key(now, i, actions);
         }
-        self.flush(actions);
+        self.flush_messages(actions);
     }
 
     /// Lends what this host holds of key `i`'s shard now.
-    pub(super) fn hold(&mut self, now: Duration, i: usize) {
+    pub(super) fn update_lender(&mut self, now: Duration, i: usize) {
         let key = &mut self.keys[i];
         let shard = key.id.shard();
-        let held = self.session.held(now, shard);
-        let blind = &mut self.blind[shard];
-        let usable = Held {
-            main: held.main && now >= blind.main,
-            floor: held.floor && now >= blind.floor,
+        let held = self.session.lendable_parts(now, shard);
+        let loan_wait = &mut self.loan_wait[shard];
+        let usable = LendableParts {
+            main: held.main && now >= loan_wait.main,
+            floor: held.floor && now >= loan_wait.floor,
         };
-        if key.hold(now, usable, &self.cfg.terms) && held == Held::default() {
+        if key.update_lender(now, usable, &self.cfg.terms) && held == LendableParts::default() {
             // Should it hold the shard again, its loans of now may still last.
             let until = now + self.cfg.terms.with_clock_margin(self.cfg.terms.loan_term);
-            (blind.main, blind.floor) = (until, until);
+            (loan_wait.main, loan_wait.floor) = (until, until);
         }
     }
 
-    pub(super) fn work(&mut self, now: Duration, i: usize, actions: &mut Vec<Action>) {
-        self.hold(now, i);
-        let lending = Lending {
-            until: self.session.until(now),
+    pub(super) fn process_key(&mut self, now: Duration, i: usize, actions: &mut Vec<Action>) {
+        self.update_lender(now, i);
+        let lending = LendingTerms {
+            until: self.session.lend_until(now),
             terms: self.cfg.terms,
         };
         let from = actions.len();
@@ -60,7 +62,7 @@
         if let Some(at) = key.due.take() {
             self.timers.remove(&(at, i));
         }
-        key.work(now, &self.cfg.me, &lending, actions, &mut self.out);
+        key.process(now, &self.cfg.me, &lending, actions, &mut self.outgoing);
         if let Some(at) = key.due {
             // Work that could not be done now is not tried again in the same instant.
             let at = at.max(now + Duration::from_millis(1));
@@ -76,25 +78,25 @@
             {
                 self.tickets.remove(ticket);
                 let wait = *retry_after;
-                *retry_after = spread(&mut self.rng, wait);
+                *retry_after = add_jitter(&mut self.rng, wait);
             }
         }
     }
 
-    pub(super) fn spread(&mut self, wait: Duration) -> Duration {
-        spread(&mut self.rng, wait)
+    pub(super) fn add_jitter(&mut self, wait: Duration) -> Duration {
+        add_jitter(&mut self.rng, wait)
     }
 
     /// Gathers the messages about keys by receiver.
-    pub(super) fn flush(&mut self, actions: &mut Vec<Action>) {
-        let mut gathered: BTreeMap<HostRef, (Vec<Demand>, Vec<Grant>)> = BTreeMap::new();
-        for out in self.out.drain(..) {
-            match out {
-                Out::Demand(to, demand) => gathered.entry(to).or_default().0.push(demand),
-                Out::Grant(to, grant) => gathered.entry(to).or_default().1.push(grant),
+    pub(super) fn flush_messages(&mut self, actions: &mut Vec<Action>) {
+        let mut by_receiver: BTreeMap<HostRef, (Vec<Demand>, Vec<Grant>)> = BTreeMap::new();
+        for outgoing in self.outgoing.drain(..) {
+            match outgoing {
+                KeyMessage::Demand(to, demand) => by_receiver.entry(to).or_default().0.push(demand),
+                KeyMessage::Grant(to, grant) => by_receiver.entry(to).or_default().1.push(grant),
             }
         }
-        for (to, (demands, grants)) in gathered {
+        for (to, (demands, grants)) in by_receiver {
             for message in [Message::Demand(demands), Message::Grant(grants)] {
                 let empty = matches!(&message, Message::Demand(d) if d.is_empty())
                     || matches!(&message, Message::Grant(g) if g.is_empty());
@@ -106,7 +108,7 @@
         }
     }
 
-    pub(super) fn find_lenders(&mut self) {
+    pub(super) fn update_lenders(&mut self) {
         for i in 0..self.keys.len() {
             self.keys[i].lenders = self.lenders(i);
         }
@@ -121,9 +123,9 @@
             return Vec::new();
         };
         let mut lenders = Vec::new();
-        let own = self.session.known().map(|k| (&self.cfg.data_centre, k));
+        let own = self.session.known_map().map(|k| (&self.cfg.data_centre, k));
         let seed = xxh3::xxh3_64(self.cfg.me.id.to_string().as_bytes());
-        let mut others: Vec<_> = self.maps.iter().collect();
+        let mut others: Vec<_> = self.other_maps.iter().collect();
         others.sort_by_key(|(dc, _)| xxh3::xxh3_64_with_seed(dc.as_str().as_bytes(), seed));
         for (dc, known) in own.into_iter().chain(others) {
             if Fraction::of(limit, key.id, &key.data_centres, dc) == Fraction::None {
--- a/crates/limits/src/key.rs
+++ b/crates/limits/src/key.rs
@@ -12,24 +12,24 @@
     Action,
     config::Terms,
     holder::Holder,
-    lender::{Lender, Lending},
+    lender::{Lender, LendingTerms},
     session,
     split::{Fraction, Share},
 };
 
 /// How often a key's two sides are let answer each other in one step.
-const ROUNDS: usize = 4;
+const MAX_LOCAL_ROUNDS: usize = 4;
 
 /// A message about a key for another host.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Out {
+pub(crate) enum KeyMessage {
     Demand(HostRef, Demand),
     Grant(HostRef, Grant),
 }
 
 /// One limit on one host.
 #[derive(Debug, Clone)]
-pub(crate) struct Key {
+pub(crate) struct KeyState {
     pub(crate) id: KeyId,
     /// `None` once it is no longer declared.
     pub(crate) limit: Option<LimitEntry>,
@@ -46,7 +46,7 @@
     pub(crate) due: Option<Duration>,
 }
 
-impl Key {
+impl KeyState {
     pub(crate) fn new(id: KeyId) -> Self {
         Self {
             id,
@@ -70,21 +70,26 @@
     }
 
     /// The whole limit.
-    pub(crate) fn whole(&self) -> Share {
-        self.limit.as_ref().map(Share::whole).unwrap_or_default()
+    pub(crate) fn full_share(&self) -> Share {
+        self.limit.as_ref().map(Share::full).unwrap_or_default()
     }
 
     /// What the data centre may lend.
     fn share(&self) -> Share {
-        let whole = self.whole();
-        let shares = self.fractions.iter().map(|f| f.share(&whole));
+        let full = self.full_share();
+        let shares = self.fractions.iter().map(|f| f.share(&full));
         shares.reduce(Share::min).unwrap_or_default()
     }
 
     /// Lends what this host holds of the key's shard. True when it no longer lends.
-    pub(crate) fn hold(&mut self, now: Duration, held: session::Held, terms: &Terms) -> bool {
-        let (main, floor) = self.share().parts(terms.floor_fraction);
-        let share = match (held.main, held.floor) {
+    pub(crate) fn update_lender(
+        &mut self,
+        now: Duration,
+        lendable: session::LendableParts,
+        terms: &Terms,
+    ) -> bool {
+        let (main, floor) = self.share().split_floor(terms.floor_fraction);
+        let share = match (lendable.main, lendable.floor) {
             (true, true) => main.plus(floor),
             (true, false) => main,
             (false, true) => floor,
@@ -92,37 +97,37 @@
         };
         let id = self.id;
         let lender = self.lender.get_or_insert_with(|| Lender::new(now, id));
-        lender.set(now, share, !held.main);
+        lender.set_share(now, share, !lendable.main);
         lender.close_idle(now, terms);
         false
     }
 
     /// Lets the holder and the lender do what is due.
-    pub(crate) fn work(
+    pub(crate) fn process(
         &mut self,
         now: Duration,
         me: &HostRef,
-        lending: &Lending,
+        lending: &LendingTerms,
         actions: &mut Vec<Action>,
-        out: &mut Vec<Out>,
+        outgoing: &mut Vec<KeyMessage>,
     ) {
         let terms = &lending.terms;
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_LOCAL_ROUNDS {
             self.holder.update(now, actions);
             let mut demands = Vec::new();
             self.holder.demands(now, &self.lenders, terms, &mut demands);
             for (to, demand) in demands {
                 match &mut self.lender {
-                    Some(lender) if to == *me => lender.demand(now, me, true, &demand),
+                    Some(lender) if to == *me => lender.receive_demand(now, me, true, &demand),
                     _ if to == *me => {}
-                    _ => out.push(Out::Demand(to, demand)),
+                    _ => outgoing.push(KeyMessage::Demand(to, demand)),
                 }
             }
-            if !self.serve(now, me, lending, out) {
+            if !self.serve(now, me, lending, outgoing) {
                 break;
             }
         }
-        self.due = self.next(now);
+        self.due = self.next_due(now);
     }
 
     /// Answers those who wait; true when this host was among them.
@@ -130,29 +135,29 @@
         &mut self,
         now: Duration,
         me: &HostRef,
-        lending: &Lending,
-        out: &mut Vec<Out>,
+        lending: &LendingTerms,
+        outgoing: &mut Vec<KeyMessage>,
     ) -> bool {
         let Some(lender) = &mut self.lender else {
             return false;
         };
         let mut grants = Vec::new();
         lender.serve(now, lending, &mut grants);
-        let mut mine = false;
+        let mut served_local = false;
         for (to, grant) in grants {
             if to == *me {
-                self.holder.grant(now, me, &grant, &lending.terms);
-                mine = true;
+                self.holder.receive_grant(now, me, &grant, &lending.terms);
+                served_local = true;
             } else {
-                out.push(Out::Grant(to, grant));
+                outgoing.push(KeyMessage::Grant(to, grant));
             }
         }
-        mine
+        served_local
     }
 
-    fn next(&mut self, now: Duration) -> Option<Duration> {
-        let lender = self.lender.as_mut().and_then(|l| l.next(now));
-        let holder = self.holder.next(now);
+    fn next_due(&mut self, now: Duration) -> Option<Duration> {
+        let lender = self.lender.as_mut().and_then(|l| l.next_due(now));
+        let holder = self.holder.next_due(now);
         lender.into_iter().chain(holder).min()
     }
 }
--- a/crates/limits/src/lender.rs
+++ b/crates/limits/src/lender.rs
@@ -14,9 +14,9 @@
 use crate::{config::Terms, pool::Pool, split::Share};
 
 /// An account without a sign of life for this many loans is closed.
-const IDLE_LOANS: u32 = 50;
+const IDLE_LOAN_TERMS: u32 = 50;
 /// A grant for less than this is not worth its message.
-const LEAST_TERM: Duration = Duration::from_millis(20);
+const MIN_LOAN_TERM: Duration = Duration::from_millis(20);
 
 /// What one host has from this lender.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -34,26 +34,26 @@
     /// In flight lent, until then.
     in_flight: u32,
     in_flight_until: Duration,
-    waiting: Option<Waiting>,
-    heard: Duration,
+    unmet: Option<UnmetDemand>,
+    last_demand_at: Duration,
     local: bool,
 }
 
 /// A demand that is not met yet.
 #[derive(Debug, Clone, PartialEq)]
-struct Waiting {
+struct UnmetDemand {
     /// Since when the host waits, over all its demands.
-    turn: Duration,
+    waiting_since: Duration,
     /// When this demand came.
-    came: Duration,
+    received_at: Duration,
     /// Whether the host knows that it waits.
-    told: bool,
+    answered: bool,
     demand: Demand,
 }
 
 /// What those further behind must wait for.
 #[derive(Debug, Clone, Copy, Default)]
-struct Blocked {
+struct Reserved {
     permits: bool,
     in_flight: bool,
 }
@@ -72,14 +72,14 @@
 
 /// How long grants may last, and what is waited beyond.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Lending {
+pub(crate) struct LendingTerms {
     /// Until when this host may lend.
     pub(crate) until: Duration,
     /// The terms.
     pub(crate) terms: Terms,
 }
 
-impl Lending {
+impl LendingTerms {
     /// How long a loan given at `now` may last.
     fn term(&self, now: Duration) -> Duration {
         self.terms.loan_term.min(self.until.saturating_sub(now))
@@ -100,14 +100,15 @@
     }
 
     /// Takes over another share. With `recall`, loans above it are not renewed.
-    pub(crate) fn set(&mut self, now: Duration, share: Share, recall: bool) {
+    pub(crate) fn set_share(&mut self, now: Duration, share: Share, recall: bool) {
         if share == self.share {
             return;
         }
         self.share = share;
         self.recall = recall;
-        self.requests.set(now, share.requests, share.request_burst);
-        self.tokens.set(now, share.tokens, share.token_burst);
+        self.requests
+            .set_rate(now, share.requests, share.request_burst);
+        self.tokens.set_rate(now, share.tokens, share.token_burst);
     }
 
     /// The share.
@@ -116,13 +117,19 @@
     }
 
     /// In flight lent, here and elsewhere.
-    pub(crate) fn lent(&self) -> u32 {
+    pub(crate) fn lent_in_flight(&self) -> u32 {
         self.accounts.values().map(|a| a.in_flight).sum()
     }
 
     /// Takes a demand in. It is answered by [`Self::serve`].
-    pub(crate) fn demand(&mut self, now: Duration, from: &HostRef, local: bool, demand: &Demand) {
-        self.lapse(now);
+    pub(crate) fn receive_demand(
+        &mut self,
+        now: Duration,
+        from: &HostRef,
+        local: bool,
+        demand: &Demand,
+    ) {
+        self.expire(now);
         let first = !self.accounts.contains_key(from);
         let account = self.accounts.entry(from.clone()).or_default();
         if !first && demand.seq <= account.seq {
@@ -133,19 +140,19 @@
             account.used_tokens = demand.used_tokens;
         }
         account.seq = demand.seq;
-        account.heard = now;
+        account.last_demand_at = now;
         account.local = local;
         account.in_flight = demand.held.in_flight.min(account.in_flight);
         self.settle(now, from, demand);
         let account = self.accounts.entry(from.clone()).or_default();
         if demand.want == Rights::default() {
-            account.waiting = None;
+            account.unmet = None;
             return;
         }
-        account.waiting = Some(Waiting {
-            turn: account.waiting.take().map_or(now, |w| w.turn),
-            came: now,
-            told: false,
+        account.unmet = Some(UnmetDemand {
+            waiting_since: account.unmet.take().map_or(now, |w| w.waiting_since),
+            received_at: now,
+            answered: false,
             demand: demand.clone(),
         });
     }
@@ -155,13 +162,13 @@
         let Some(account) = self.accounts.get_mut(from) else {
             return;
         };
-        let counted = account.permits_until.is_some();
+        let unexpired = account.permits_until.is_some();
         let used = demand.used_requests.wrapping_sub(account.used_requests) as f64;
         let held = f64::from(demand.held.requests).min(account.requests);
         settle_pool(
             &mut self.requests,
             now,
-            counted,
+            unexpired,
             account.requests,
             held,
             used,
@@ -170,10 +177,10 @@
         account.used_requests = demand.used_requests;
         let used = demand.used_tokens.wrapping_sub(account.used_tokens) as f64;
         let held = f64::from(demand.held.tokens).min(account.tokens);
-        settle_pool(&mut self.tokens, now, counted, account.tokens, held, used);
+        settle_pool(&mut self.tokens, now, unexpired, account.tokens, held, used);
         account.tokens = held;
         account.used_tokens = demand.used_tokens;
-        if !counted {
+        if !unexpired {
             (account.requests, account.tokens) = (0.0, 0.0);
         }
     }
@@ -182,131 +189,131 @@
     pub(crate) fn serve(
         &mut self,
         now: Duration,
-        lending: &Lending,
+        lending: &LendingTerms,
         out: &mut Vec<(HostRef, Grant)>,
     ) {
-        self.lapse(now);
-        let mut order: Vec<(bool, Duration, HostRef)> = self.waiting();
+        self.expire(now);
+        let mut order: Vec<(bool, Duration, HostRef)> = self.waiting_order();
         order.sort();
-        let mut blocked = Blocked::default();
+        let mut reserved = Reserved::default();
         for (i, (_, _, host)) in order.iter().enumerate() {
             let n = (order.len() - i) as u32;
-            self.answer(now, lending, host, n, &mut blocked, out);
+            self.answer_demand(now, lending, host, n, &mut reserved, out);
         }
     }
 
-    fn waiting(&self) -> Vec<(bool, Duration, HostRef)> {
+    fn waiting_order(&self) -> Vec<(bool, Duration, HostRef)> {
         let accounts = self.accounts.iter();
         accounts
-            .filter_map(|(host, a)| Some((!a.local, a.waiting.as_ref()?.turn, host.clone())))
+            .filter_map(|(host, a)| Some((!a.local, a.unmet.as_ref()?.waiting_since, host.clone())))
             .collect()
     }
 
     /// Answers `host`, one of `n` that wait, unless it has to go on waiting.
-    fn answer(
+    fn answer_demand(
         &mut self,
         now: Duration,
-        lending: &Lending,
+        lending: &LendingTerms,
         host: &HostRef,
         n: u32,
-        blocked: &mut Blocked,
+        reserved: &mut Reserved,
         out: &mut Vec<(HostRef, Grant)>,
     ) {
         let term = lending.term(now);
-        let cap = self.share.in_flight;
-        let lent = self.lent();
+        let max_in_flight = self.share.in_flight;
+        let lent = self.lent_in_flight();
         let backlog = self.backlog();
         let Some(account) = self.accounts.get_mut(host) else {
             return;
         };
-        let Some(waiting) = account.waiting.take() else {
+        let Some(unmet) = account.unmet.take() else {
             return;
         };
-        if term < LEAST_TERM || now.saturating_sub(waiting.came) > lending.terms.loan_term {
+        if term < MIN_LOAN_TERM || now.saturating_sub(unmet.received_at) > lending.terms.loan_term {
             return;
         }
-        let demand = &waiting.demand;
-        let over = lent.saturating_sub(cap);
-        let keep = match self.recall {
-            true => account.in_flight - over.min(account.in_flight),
+        let demand = &unmet.demand;
+        let excess = lent.saturating_sub(max_in_flight);
+        let retained = match self.recall {
+            true => account.in_flight - excess.min(account.in_flight),
             false => account.in_flight,
         };
-        let keep = keep.min(demand.want.in_flight);
-        let free = cap.saturating_sub(lent);
+        let retained = retained.min(demand.want.in_flight);
+        let free = max_in_flight.saturating_sub(lent);
         let requests = self.requests.available(now);
         let tokens = self.tokens.available(now);
-        let head = demand.head.min(self.tokens.most());
+        let head = demand.head.min(self.tokens.capacity());
         let want = demand.want;
         let permits = (want.requests == 0 || requests > 0)
             && (want.tokens == 0 || tokens >= head.max(1))
-            && !(blocked.permits && want.requests + want.tokens > 0);
+            && !(reserved.permits && want.requests + want.tokens > 0);
         let requests = match permits {
-            true => portion(requests, n, 1, want.requests),
+            true => fair_part(requests, n, 1, want.requests),
             false => 0,
         };
-        let most = match want.requests {
+        let max_tokens = match want.requests {
             0 => want.tokens,
             all => in_proportion(want.tokens, requests, all).max(head),
         };
         let tokens = match permits {
-            true => portion(tokens, n, head, most.min(want.tokens)),
+            true => fair_part(tokens, n, head, max_tokens.min(want.tokens)),
             false => 0,
         };
         // In flight is of use only for requests that run or may be admitted.
         let need = (demand.busy + requests).min(want.in_flight);
-        let free = if blocked.in_flight { 0 } else { free };
+        let free = if reserved.in_flight { 0 } else { free };
         let rights = Rights {
             requests,
             tokens,
             in_flight: match permits {
-                true => need.min(keep + free),
-                false => need.min(keep + free).max(keep),
+                true => need.min(retained + free),
+                false => need.min(retained + free).max(retained),
             },
         };
         // Only the last answer to a demand hands out permits: one that is doubled adds nothing.
         let in_flight = requests + tokens > 0 || rights.in_flight >= need;
-        blocked.permits |= !permits;
-        blocked.in_flight |= rights.in_flight < need;
-        let enough = permits && in_flight;
+        reserved.permits |= !permits;
+        reserved.in_flight |= rights.in_flight < need;
+        let met = permits && in_flight;
         let wait = self
             .tokens
-            .wait(now, backlog.1)
-            .max(self.requests.wait(now, backlog.0));
+            .time_until(now, backlog.1)
+            .max(self.requests.time_until(now, backlog.0));
         self.requests.hand_out(now, rights.requests);
         self.tokens.hand_out(now, rights.tokens);
-        let given = now + lending.terms.with_clock_margin(term);
+        let expires_at = now + lending.terms.with_clock_margin(term);
         account.requests += f64::from(rights.requests);
         account.tokens += f64::from(rights.tokens);
         if account.requests > 0.0 || account.tokens > 0.0 {
-            account.permits_until = account.permits_until.max(Some(given));
+            account.permits_until = account.permits_until.max(Some(expires_at));
         }
         account.in_flight = account.in_flight.max(rights.in_flight);
-        account.in_flight_until = account.in_flight_until.max(given);
+        account.in_flight_until = account.in_flight_until.max(expires_at);
         let grant = Grant {
             key: self.key,
             seq: account.seq,
-            term_ms: (now.saturating_sub(waiting.came) + term).as_millis() as u32,
+            term_ms: (now.saturating_sub(unmet.received_at) + term).as_millis() as u32,
             rights,
             wait_ms: wait.as_millis().min(u128::from(u32::MAX)) as u32,
-            last: enough,
+            last: met,
         };
-        let gained = rights.in_flight > keep;
-        if enough || !waiting.told || gained {
+        let gained = rights.in_flight > retained;
+        if met || !unmet.answered || gained {
             out.push((host.clone(), grant));
         }
-        if !enough {
-            account.waiting = Some(Waiting {
-                told: true,
-                ..waiting
+        if !met {
+            account.unmet = Some(UnmetDemand {
+                answered: true,
+                ..unmet
             });
         }
     }
 
     /// Requests and tokens that are waited for.
     fn backlog(&self) -> (f64, f64) {
-        let waiting = self.accounts.values().filter_map(|a| a.waiting.as_ref());
-        waiting.fold((0.0, 0.0), |(requests, tokens), waiting| {
-            let want = waiting.demand.want;
+        let unmet = self.accounts.values().filter_map(|a| a.unmet.as_ref());
+        unmet.fold((0.0, 0.0), |(requests, tokens), unmet| {
+            let want = unmet.demand.want;
             (
                 requests + f64::from(want.requests),
                 tokens + f64::from(want.tokens),
@@ -315,48 +322,49 @@
     }
 
     /// Counts what has lapsed as this lender's own again.
-    fn lapse(&mut self, now: Duration) {
+    fn expire(&mut self, now: Duration) {
         for account in self.accounts.values_mut() {
             if account.permits_until.is_some_and(|t| t <= now) {
                 account.permits_until = None;
-                self.requests.lapse(now, account.requests);
-                self.tokens.lapse(now, account.tokens);
+                self.requests.expire(now, account.requests);
+                self.tokens.expire(now, account.tokens);
                 (account.requests, account.tokens) = (0.0, 0.0);
             }
             if account.in_flight_until <= now {
                 account.in_flight = 0;
             }
         }
-        if self.lent() <= self.share.in_flight {
+        if self.lent_in_flight() <= self.share.in_flight {
             self.recall = false;
         }
     }
 
     /// Forgets accounts that have been silent for long.
     pub(crate) fn close_idle(&mut self, now: Duration, terms: &Terms) {
-        self.lapse(now);
-        self.accounts
-            .retain(|_, a| now.saturating_sub(a.heard) < terms.loan_term * IDLE_LOANS);
+        self.expire(now);
+        self.accounts.retain(|_, a| {
+            now.saturating_sub(a.last_demand_at) < terms.loan_term * IDLE_LOAN_TERMS
+        });
     }
 
     /// When [`Self::serve`] may have something to do.
-    pub(crate) fn next(&mut self, now: Duration) -> Option<Duration> {
-        let waiting: Vec<_> = self.waiting();
-        let (_, _, host) = waiting.into_iter().min()?;
-        let demand = &self.accounts.get(&host)?.waiting.as_ref()?.demand;
-        let head = demand.head.min(self.tokens.most()).max(1);
+    pub(crate) fn next_due(&mut self, now: Duration) -> Option<Duration> {
+        let unmet: Vec<_> = self.waiting_order();
+        let (_, _, host) = unmet.into_iter().min()?;
+        let demand = &self.accounts.get(&host)?.unmet.as_ref()?.demand;
+        let head = demand.head.min(self.tokens.capacity()).max(1);
         let (tokens, requests) = (demand.want.tokens, demand.want.requests);
         let mut wait = Duration::from_millis(1);
         if tokens > 0 {
-            wait = wait.max(self.tokens.wait(now, f64::from(head)));
+            wait = wait.max(self.tokens.time_until(now, f64::from(head)));
         }
         if requests > 0 {
-            wait = wait.max(self.requests.wait(now, 1.0));
+            wait = wait.max(self.requests.time_until(now, 1.0));
         }
-        let lapse = self.accounts.values().filter(|a| a.in_flight > 0);
-        let lapse = lapse.map(|a| a.in_flight_until).min();
+        let next_expiry = self.accounts.values().filter(|a| a.in_flight > 0);
+        let next_expiry = next_expiry.map(|a| a.in_flight_until).min();
         let at = now + wait.min(Duration::from_millis(100));
-        Some(lapse.map_or(at, |t| at.min(t.max(now + Duration::from_millis(1)))))
+        Some(next_expiry.map_or(at, |t| at.min(t.max(now + Duration::from_millis(1)))))
     }
 }
 
@@ -367,12 +375,12 @@
 }
 
 /// One of `n` parts of `available`, at least `least` and at most `want`.
-fn portion(available: u32, n: u32, least: u32, want: u32) -> u32 {
-    (available / n.max(1)).max(least).min(want).min(available)
+fn fair_part(available: u32, n: u32, min: u32, want: u32) -> u32 {
+    (available / n.max(1)).max(min).min(want).min(available)
 }
 
-fn settle_pool(pool: &mut Pool, now: Duration, counted: bool, out: f64, held: f64, used: f64) {
-    match counted {
+fn settle_pool(pool: &mut Pool, now: Duration, unexpired: bool, out: f64, held: f64, used: f64) {
+    match unexpired {
         true => pool.settle(now, used, out - held - used),
         // What has lapsed made room for new rights at once, and would count twice if it were
         // returned now; what was settled back since is another matter.
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -47,13 +47,13 @@
 
 /// A request that wants to be admitted.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Whose limit it falls under.
     pub key: LimitKey,
     /// Tokens it will use at most, prompt and generated; 0 for a plain service.
     pub tokens: u32,
     /// When it must have been admitted at the latest.
-    pub latest: Duration,
+    pub admit_by: Duration,
 }
 
 /// Why an ask was refused.
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Admit the request; settle its ticket when it ends.
-    Grant(Ticket),
+    Admit(Ticket),
     /// Refuse the request; its ticket is settled.
     Refuse {
         /// The ask.
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -12,21 +12,21 @@
     rate: f64,
     burst: f64,
     level: f64,
-    out: f64,
-    at: Duration,
+    outstanding: f64,
+    refilled_at: Duration,
 }
 
 impl Pool {
     /// An empty pool.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
-            at: now,
+            refilled_at: now,
             ..Self::default()
         }
     }
 
     /// Takes over another rate and burst from now on.
-    pub(crate) fn set(&mut self, now: Duration, rate: f64, burst: f64) {
+    pub(crate) fn set_rate(&mut self, now: Duration, rate: f64, burst: f64) {
         self.refill(now);
         self.rate = rate;
         self.burst = burst;
@@ -41,7 +41,7 @@
     }
 
     /// The most that it can ever hold.
-    pub(crate) fn most(&self) -> u32 {
+    pub(crate) fn capacity(&self) -> u32 {
         self.burst as u32
     }
 
@@ -49,7 +49,7 @@
     pub(crate) fn hand_out(&mut self, now: Duration, n: u32) {
         self.refill(now);
         self.level -= f64::from(n);
-        self.out += f64::from(n);
+        self.outstanding += f64::from(n);
     }
 
     /// Of what was handed out, `used` is used, `returned` is not and never will be.
@@ -57,19 +57,19 @@
     /// Both may be negative: more was used than estimated, or use was settled back.
     pub(crate) fn settle(&mut self, now: Duration, used: f64, returned: f64) {
         self.refill(now);
-        self.out = (self.out - used - returned).max(0.0);
+        self.outstanding = (self.outstanding - used - returned).max(0.0);
         self.level += returned;
         self.clamp();
     }
 
     /// What was handed out has lapsed, and whether it was used is not known.
-    pub(crate) fn lapse(&mut self, now: Duration, n: f64) {
+    pub(crate) fn expire(&mut self, now: Duration, n: f64) {
         self.refill(now);
-        self.out = (self.out - n).max(0.0);
+        self.outstanding = (self.outstanding - n).max(0.0);
     }
 
     /// How long until `n` can be handed out.
-    pub(crate) fn wait(&mut self, now: Duration, n: f64) -> Duration {
+    pub(crate) fn time_until(&mut self, now: Duration, n: f64) -> Duration {
         self.refill(now);
         let missing = n - self.level;
         if missing <= 0.0 {
@@ -79,13 +79,13 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.level += passed * self.rate;
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.level += elapsed * self.rate;
+        self.refilled_at = self.refilled_at.max(now);
         self.clamp();
     }
 
     fn clamp(&mut self) {
-        self.level = self.level.min(self.burst - self.out);
+        self.level = self.level.min(self.burst - self.outstanding);
     }
 }
--- a/crates/limits/src/session.rs
+++ b/crates/limits/src/session.rs
@@ -28,16 +28,16 @@
 };
 
 /// Where the rows of all data centres are.
-const ROWS: &str = "limits/shards/";
+const SHARD_ROW_PREFIX: &str = "limits/shards/";
 /// How many beats are remembered to date their acknowledgements.
-const BEATS: usize = 8;
+const MAX_TRACKED_BEATS: usize = 8;
 
 /// The wait before a transaction is tried again doubles so often.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// A shard map and the table's revision of it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(crate) struct Known {
+pub(crate) struct VersionedMap {
     /// 0 when the row does not exist.
     pub(crate) revision: u64,
     pub(crate) map: ShardMap,
@@ -45,7 +45,7 @@
 
 /// A write whose answer is awaited, or was lost.
 #[derive(Debug, Clone, PartialEq)]
-struct Write {
+struct PendingCall {
     id: TxnId,
     sent_at: Duration,
     /// The revision it replaces; it can't take effect once the row has another.
@@ -56,10 +56,10 @@
 
 /// What is known of another member.
 #[derive(Debug, Clone, PartialEq)]
-struct Seen {
+struct ObservedMember {
     member: Member,
     /// When this entry was first seen.
-    at: Duration,
+    since: Duration,
 }
 
 /// The session of one host.
@@ -68,17 +68,17 @@
     me: HostRef,
     row: String,
     terms: Terms,
-    known: Option<Known>,
-    pending: Option<Write>,
+    known: Option<VersionedMap>,
+    pending: Option<PendingCall>,
     /// Writes whose answers were lost and that may have taken effect, or may still.
-    doubts: Vec<Write>,
+    unconfirmed: Vec<PendingCall>,
     next_id: u64,
     retry_at: Duration,
     /// Transactions without a usable answer since the last one with.
     failures: u32,
     beats: BTreeMap<u32, Duration>,
     beat_seq: u32,
-    beat_at: Duration,
+    next_beat_at: Duration,
     /// Until when the guard or the table has promised not to remove this host.
     session_until: Duration,
     main_until: Duration,
@@ -87,14 +87,14 @@
     guarded_at: Duration,
     /// Until when this host has promised not to remove others.
     promises: BTreeMap<HostRef, Duration>,
-    seen: BTreeMap<HostRef, Seen>,
-    leaving: bool,
-    changed_at: Duration,
+    observed: BTreeMap<HostRef, ObservedMember>,
+    shutting_down: bool,
+    shards_changed_at: Duration,
 }
 
 /// Which parts of which shards this host may lend, and until when.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Held {
+pub(crate) struct LendableParts {
     pub(crate) main: bool,
     pub(crate) floor: bool,
 }
@@ -103,35 +103,35 @@
     pub(crate) fn new(cfg: &Config) -> Self {
         Self {
             me: cfg.me.clone(),
-            row: format!("{ROWS}{}", cfg.data_centre),
+            row: format!("{SHARD_ROW_PREFIX}{}", cfg.data_centre),
             terms: cfg.terms,
             known: None,
             pending: None,
-            doubts: Vec::new(),
+            unconfirmed: Vec::new(),
             next_id: 0,
             retry_at: Duration::ZERO,
             failures: 0,
             beats: BTreeMap::new(),
             beat_seq: 0,
-            beat_at: Duration::ZERO,
+            next_beat_at: Duration::ZERO,
             session_until: Duration::ZERO,
             main_until: Duration::ZERO,
             floor_until: Duration::ZERO,
             guarded_at: Duration::ZERO,
             promises: BTreeMap::new(),
-            seen: BTreeMap::new(),
-            leaving: false,
-            changed_at: Duration::ZERO,
+            observed: BTreeMap::new(),
+            shutting_down: false,
+            shards_changed_at: Duration::ZERO,
         }
     }
 
     /// The newest map seen.
-    pub(crate) fn known(&self) -> Option<&Known> {
+    pub(crate) fn known_map(&self) -> Option<&VersionedMap> {
         self.known.as_ref()
     }
 
     /// Until when this host may lend anything; no loan may last longer.
-    pub(crate) fn until(&self, now: Duration) -> Duration {
+    pub(crate) fn lend_until(&self, now: Duration) -> Duration {
         let Some(entry) = self.entry() else {
             return Duration::ZERO;
         };
@@ -140,27 +140,27 @@
         }
         // Without a guard nobody may remove this host by the short term, unless a write on its way
         // names one.
-        let writes = self.pending.iter().chain(&self.doubts);
+        let writes = self.pending.iter().chain(&self.unconfirmed);
         let named = writes.filter(|w| w.map.is_some()).map(|w| w.sent_at).min();
         named.unwrap_or(now) + self.terms.session_term
     }
 
     /// The parts of shard `i` that this host may lend.
-    pub(crate) fn held(&self, now: Duration, i: usize) -> Held {
+    pub(crate) fn lendable_parts(&self, now: Duration, i: usize) -> LendableParts {
         let Some(known) = &self.known else {
-            return Held::default();
+            return LendableParts::default();
         };
         let mine = |holders: &[Option<HostRef>]| holders.get(i) == Some(&Some(self.me.clone()));
-        let kept = |holders: fn(&ShardMap) -> &[Option<HostRef>]| {
-            let writes = self.pending.iter().chain(&self.doubts);
+        let mine_everywhere = |holders: fn(&ShardMap) -> &[Option<HostRef>]| {
+            let writes = self.pending.iter().chain(&self.unconfirmed);
             let mut maps = writes.filter_map(|w| w.map.as_ref());
             mine(holders(&known.map)) && maps.all(|map| mine(holders(map)))
         };
         // A loan given now must have lapsed when others may take the part over.
         let end = now + self.terms.loan_term;
-        Held {
-            main: end <= self.main_until && kept(|map| &map.main),
-            floor: end <= self.floor_until && kept(|map| &map.floor),
+        LendableParts {
+            main: end <= self.main_until && mine_everywhere(|map| &map.main),
+            floor: end <= self.floor_until && mine_everywhere(|map| &map.floor),
         }
     }
 
@@ -170,32 +170,32 @@
     }
 
     /// The beat that is due, and the guard it goes to.
-    pub(crate) fn beat(&mut self, now: Duration) -> Option<(HostRef, u32)> {
-        if now < self.beat_at {
+    pub(crate) fn next_beat(&mut self, now: Duration) -> Option<(HostRef, u32)> {
+        if now < self.next_beat_at {
             return None;
         }
         let guard = self.entry()?.guard.clone()?;
-        self.beat_at = now + self.terms.beat_interval;
+        self.next_beat_at = now + self.terms.beat_interval;
         self.beat_seq += 1;
         self.beats.insert(self.beat_seq, now);
-        if self.beats.len() > BEATS {
+        if self.beats.len() > MAX_TRACKED_BEATS {
             self.beats.pop_first();
         }
         Some((guard, self.beat_seq))
     }
 
     /// Whether `from`'s beat may be acknowledged; if so the promise is made.
-    pub(crate) fn promise(&mut self, now: Duration, from: &HostRef) -> bool {
+    pub(crate) fn promise_not_to_remove(&mut self, now: Duration, from: &HostRef) -> bool {
         let Some(known) = &self.known else {
             return false;
         };
         let mut members = known.map.members.iter();
         let guarded = members.any(|m| m.host == *from && m.guard.as_ref() == Some(&self.me));
-        let removes = |w: &Write| {
+        let removes = |w: &PendingCall| {
             let map = w.map.as_ref();
             map.is_some_and(|map| map.members.iter().all(|m| m.host != *from))
         };
-        if !guarded || self.pending.iter().chain(&self.doubts).any(removes) {
+        if !guarded || self.pending.iter().chain(&self.unconfirmed).any(removes) {
             return false;
         }
         let until = now + self.terms.with_clock_margin(self.terms.session_term);
@@ -205,12 +205,12 @@
     }
 
     /// The guard's promise, for the beat `seq`.
-    pub(crate) fn promised(&mut self, from: &HostRef, seq: u32) {
+    pub(crate) fn receive_promise(&mut self, from: &HostRef, seq: u32) {
         let Some(sent_at) = self.beats.get(&seq).copied() else {
             return;
         };
         let guard = self.entry().and_then(|m| m.guard.clone());
-        if guard.as_ref() != Some(from) || self.renames_guard(sent_at, from) {
+        if guard.as_ref() != Some(from) || self.may_rename_guard(sent_at, from) {
             return;
         }
         self.guarded_at = self.guarded_at.max(sent_at);
@@ -219,8 +219,8 @@
 
     /// Whether a write sent before `sent_at` may have named another guard than `guard`, who may
     /// remove this host a session's term after the write.
-    fn renames_guard(&self, sent_at: Duration, guard: &HostRef) -> bool {
-        let mut writes = self.pending.iter().chain(&self.doubts);
+    fn may_rename_guard(&self, sent_at: Duration, guard: &HostRef) -> bool {
+        let mut writes = self.pending.iter().chain(&self.unconfirmed);
         writes.any(|w| {
             let map = w.map.as_ref();
             let mut members = map.iter().flat_map(|map| &map.members);
@@ -231,33 +231,37 @@
     }
 
     /// Stops lending, and hands all shards over.
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
+    pub(crate) fn hand_over(&mut self) {
+        self.shutting_down = true;
         self.retry_at = Duration::ZERO;
     }
 
     /// Whether this host has left the map.
-    pub(crate) fn left(&self) -> bool {
-        self.leaving && self.known.is_some() && self.entry().is_none()
+    pub(crate) fn is_handed_over(&self) -> bool {
+        self.shutting_down && self.known.is_some() && self.entry().is_none()
     }
 
     /// The call that is due. `live` are the live hosts of the data centre.
-    pub(crate) fn call(&mut self, now: Duration, live: &[HostRef]) -> Option<(TxnId, TableCall)> {
+    pub(crate) fn next_call(
+        &mut self,
+        now: Duration,
+        live: &[HostRef],
+    ) -> Option<(TxnId, TableCall)> {
         if self.pending.is_some() || now < self.retry_at {
             return None;
         }
         let map = match &self.known {
             None => None,
-            Some(known) => Some(self.plan(now, known, live)?),
+            Some(known) => Some(self.plan_map(now, known, live)?),
         };
         self.next_id += 1;
         let id = TxnId(self.next_id);
         let base = self.known.as_ref().map_or(0, |k| k.revision);
         let call = match &map {
             None => TableCall::Read(vec![self.row.clone()]),
-            Some(map) => TableCall::Write(self.write(base, map)),
+            Some(map) => TableCall::Write(self.write_txn(base, map)),
         };
-        self.pending = Some(Write {
+        self.pending = Some(PendingCall {
             id,
             sent_at: now,
             base,
@@ -266,44 +270,44 @@
         Some((id, call))
     }
 
-    fn plan(&self, now: Duration, known: &Known, live: &[HostRef]) -> Option<ShardMap> {
-        let view = plan::View {
+    fn plan_map(&self, now: Duration, known: &VersionedMap, live: &[HostRef]) -> Option<ShardMap> {
+        let input = plan::PlanInput {
             me: &self.me,
             map: &known.map,
             live,
-            leaving: self.leaving,
-            touch: !self.doubts.is_empty() || self.refresh_due(now),
-            lost_guard: now.saturating_sub(self.guarded_at) > self.terms.session_term / 2,
-            settled: now.saturating_sub(self.changed_at) > self.terms.session_term,
-            fate: &|m| self.fate(now, m),
+            shutting_down: self.shutting_down,
+            force_write: !self.unconfirmed.is_empty() || self.renewal_due(now),
+            guard_lost: now.saturating_sub(self.guarded_at) > self.terms.session_term / 2,
+            may_balance: now.saturating_sub(self.shards_changed_at) > self.terms.session_term,
+            member_action: &|m| self.member_action(now, m),
         };
-        plan::next_map(&view)
+        plan::next_map(&input)
     }
 
-    fn refresh_due(&self, now: Duration) -> bool {
+    fn renewal_due(&self, now: Duration) -> bool {
         self.entry().is_some() && now + self.terms.main_term * 3 / 4 >= self.main_until
     }
 
     /// What may be done to another member.
-    fn fate(&self, now: Duration, member: &Member) -> plan::Fate {
-        let Some(seen) = self.seen.get(&member.host) else {
-            return plan::Fate::Keep;
+    fn member_action(&self, now: Duration, member: &Member) -> plan::MemberAction {
+        let Some(observed) = self.observed.get(&member.host) else {
+            return plan::MemberAction::Keep;
         };
         let terms = &self.terms;
         let promised = self.promises.get(&member.host).copied();
-        let quiet = |term| now >= seen.at + terms.with_clock_margin(term);
-        let released = promised.is_none_or(|t| t <= now) && quiet(terms.session_term);
+        let unchanged_for = |term| now >= observed.since + terms.with_clock_margin(term);
+        let may_remove = promised.is_none_or(|t| t <= now) && unchanged_for(terms.session_term);
         let guarded = member.guard.as_ref() == Some(&self.me);
-        let earlier = member.host.id == self.me.id;
+        let earlier_incarnation = member.host.id == self.me.id;
         match () {
-            () if (guarded || earlier) && released => plan::Fate::Remove,
-            () if quiet(terms.floor_term) => plan::Fate::Remove,
-            () if quiet(terms.main_term) => plan::Fate::TakeMain,
-            () => plan::Fate::Keep,
+            () if (guarded || earlier_incarnation) && may_remove => plan::MemberAction::Remove,
+            () if unchanged_for(terms.floor_term) => plan::MemberAction::Remove,
+            () if unchanged_for(terms.main_term) => plan::MemberAction::TakeOverMain,
+            () => plan::MemberAction::Keep,
         }
     }
 
-    fn write(&self, base: u64, map: &ShardMap) -> Txn {
+    fn write_txn(&self, base: u64, map: &ShardMap) -> Txn {
         let key = self.row.clone();
         let condition = match base {
             0 => Condition::Absent(key.clone()),
@@ -320,7 +324,7 @@
     }
 
     /// Takes a call's answer in; true when a map was changed by this host.
-    pub(crate) fn answer(
+    pub(crate) fn handle_answer(
         &mut self,
         now: Duration,
         id: TxnId,
@@ -332,32 +336,33 @@
         let outcome = match result {
             Ok(outcome) => outcome,
             Err(cause) => {
-                let wait = self.terms.retry_interval * (1 << self.failures.min(MOST_DOUBLINGS));
+                let wait =
+                    self.terms.retry_interval * (1 << self.failures.min(MAX_BACKOFF_DOUBLINGS));
                 self.retry_at = now + wait.max(cause.retry_after().unwrap_or_default());
                 self.failures += 1;
                 if cause.is_unknown() && write.map.is_some() {
-                    self.doubts.push(write);
+                    self.unconfirmed.push(write);
                 }
                 return false;
             }
         };
         self.failures = 0;
         if let Some(map) = write.map.as_ref().filter(|_| outcome.succeeded) {
-            let written = Known {
+            let written = VersionedMap {
                 revision: outcome.table_revision,
                 map: map.clone(),
             };
-            self.adopt(now, written);
-            self.renew(write.sent_at);
+            self.adopt_map(now, written);
+            self.extend_terms(write.sent_at);
             return true;
         }
-        let found = match outcome.rows.into_iter().flatten().next() {
+        let received = match outcome.rows.into_iter().flatten().next() {
             None if write.base > 0 => {
                 log::error!("limits: the row {} is gone", self.row);
                 self.retry_at = now + self.terms.session_term;
                 return false;
             }
-            None => Known::default(),
+            None => VersionedMap::default(),
             Some(row) => match decode(&row) {
                 Some(known) => known,
                 None => {
@@ -366,12 +371,12 @@
                 }
             },
         };
-        self.adopt(now, found);
+        self.adopt_map(now, received);
         false
     }
 
     /// This host's entry was written by a transaction sent at `sent_at`.
-    fn renew(&mut self, sent_at: Duration) {
+    fn extend_terms(&mut self, sent_at: Duration) {
         let terms = &self.terms;
         self.session_until = self.session_until.max(sent_at + terms.session_term);
         self.main_until = self.main_until.max(sent_at + terms.main_term);
@@ -380,26 +385,27 @@
     }
 
     /// Takes a map over unless a newer one is known.
-    pub(crate) fn adopt(&mut self, now: Duration, found: Known) -> bool {
+    pub(crate) fn adopt_map(&mut self, now: Duration, received: VersionedMap) -> bool {
         let newer = self
             .known
             .as_ref()
-            .is_none_or(|k| k.revision < found.revision);
+            .is_none_or(|k| k.revision < received.revision);
         if !newer {
             return false;
         }
-        self.doubts.retain(|w| w.base >= found.revision);
-        for member in &found.map.members {
-            let same = self.seen.get(&member.host);
-            if same.is_none_or(|seen| seen.member != *member) {
+        self.unconfirmed.retain(|w| w.base >= received.revision);
+        for member in &received.map.members {
+            let same = self.observed.get(&member.host);
+            if same.is_none_or(|observed| observed.member != *member) {
                 let member = member.clone();
                 let host = member.host.clone();
-                self.seen.insert(host, Seen { member, at: now });
+                self.observed
+                    .insert(host, ObservedMember { member, since: now });
             }
         }
-        let members = &found.map.members;
+        let members = &received.map.members;
         let is_member = |host: &HostRef| members.iter().any(|m| m.host == *host);
-        self.seen.retain(|host, _| is_member(host));
+        self.observed.retain(|host, _| is_member(host));
         self.promises.retain(|host, _| is_member(host));
         if !is_member(&self.me) {
             self.session_until = Duration::ZERO;
@@ -407,19 +413,19 @@
         if self
             .known
             .as_ref()
-            .is_none_or(|k| k.map.main != found.map.main)
+            .is_none_or(|k| k.map.main != received.map.main)
         {
-            self.changed_at = now;
+            self.shards_changed_at = now;
         }
-        self.known = Some(found);
+        self.known = Some(received);
         true
     }
 
     /// When something may be due.
-    pub(crate) fn next(&self, now: Duration) -> Duration {
+    pub(crate) fn next_due(&self, now: Duration) -> Duration {
         let mut at = now + self.terms.beat_interval;
         if self.entry().is_some_and(|m| m.guard.is_some()) {
-            at = at.min(self.beat_at);
+            at = at.min(self.next_beat_at);
         }
         if self.pending.is_none() && self.retry_at > now {
             at = at.min(self.retry_at);
@@ -428,13 +434,13 @@
     }
 }
 
-fn decode(row: &Row) -> Option<Known> {
+fn decode(row: &Row) -> Option<VersionedMap> {
     let map: Option<ShardMap> = serde_json::from_slice(&row.value).ok();
     let map = map.filter(|map| map.main.len() == SHARDS && map.floor.len() == SHARDS);
     if map.is_none() {
         log::error!("limits: the row {} is not a shard map", row.key);
     }
-    Some(Known {
+    Some(VersionedMap {
         revision: row.mod_revision,
         map: map?,
     })
--- a/crates/limits/src/split.rs
+++ b/crates/limits/src/split.rs
@@ -6,7 +6,7 @@
 
 /// A limit is parted only so far that each part's burst, and its requests in flight, are at least
 /// this many; a data centre without a part borrows.
-const LEAST_BURST: f64 = 4.0;
+const MIN_PART_REQUESTS: f64 = 4.0;
 
 /// Rights as a lender holds them.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -25,7 +25,7 @@
 
 impl Share {
     /// The whole limit. A burst of less than one request counts as one.
-    pub(crate) fn whole(limit: &LimitEntry) -> Self {
+    pub(crate) fn full(limit: &LimitEntry) -> Self {
         Self {
             requests: limit.requests_per_second,
             tokens: limit.tokens_per_second,
@@ -36,7 +36,7 @@
     }
 
     /// This with the rates and bursts times `f`, and `in_flight`.
-    fn part(&self, f: f64, in_flight: u32) -> Self {
+    fn scaled(&self, f: f64, in_flight: u32) -> Self {
         Self {
             requests: self.requests * f,
             tokens: self.tokens * f,
@@ -60,12 +60,16 @@
     /// The parts `(main, floor)` of a shard, of which `floor` is the second's fraction.
     ///
     /// What is too little to be parted stays whole in the second.
-    pub(crate) fn parts(self, floor: f64) -> (Self, Self) {
-        let least = self.request_burst.min(f64::from(self.in_flight));
-        let f = if least < LEAST_BURST { 1.0 } else { floor };
+    pub(crate) fn split_floor(self, floor: f64) -> (Self, Self) {
+        let smallest = self.request_burst.min(f64::from(self.in_flight));
+        let f = if smallest < MIN_PART_REQUESTS {
+            1.0
+        } else {
+            floor
+        };
         let in_flight = (f64::from(self.in_flight) * f) as u32;
-        let main = self.part(1.0 - f, self.in_flight - in_flight);
-        (main, self.part(f, in_flight))
+        let main = self.scaled(1.0 - f, self.in_flight - in_flight);
+        (main, self.scaled(f, in_flight))
     }
 
     /// Both together.
@@ -110,7 +114,7 @@
         }
         let mut order: Vec<&DataCentre> = all.iter().collect();
         order.sort_by_key(|d| (xxh3::xxh3_64_with_seed(d.as_str().as_bytes(), key.0), *d));
-        let of = holders(limit).clamp(1, order.len().max(1));
+        let of = max_data_centres(limit).clamp(1, order.len().max(1));
         match order.iter().take(of).position(|d| *d == dc) {
             Some(rank) => Self::Even {
                 rank: rank as u32,
@@ -122,7 +126,7 @@
 
     /// The amount held of `limit`.
     pub(crate) fn share(self, limit: &Share) -> Share {
-        let (part, in_flight) = match self {
+        let (fraction, in_flight) = match self {
             Self::None => return Share::default(),
             Self::Declared(f) => (f, (f64::from(limit.in_flight) * f) as u32),
             Self::Even { rank, of } => {
@@ -130,13 +134,13 @@
                 (1.0 / f64::from(of), limit.in_flight / of + extra)
             }
         };
-        limit.part(part, in_flight)
+        limit.scaled(fraction, in_flight)
     }
 }
 
-/// Over how many data centres a limit can be split without falling under [`LEAST_BURST`].
-fn holders(limit: &LimitEntry) -> usize {
+/// Over how many data centres a limit can be split without falling under [`MIN_PART_REQUESTS`].
+fn max_data_centres(limit: &LimitEntry) -> usize {
     let burst = limit.requests_per_second * limit.burst_seconds;
-    let least = burst.min(f64::from(limit.in_flight)) / LEAST_BURST;
-    least as usize
+    let smallest = burst.min(f64::from(limit.in_flight)) / MIN_PART_REQUESTS;
+    smallest as usize
 }
--- a/crates/limits/src/status.rs
+++ b/crates/limits/src/status.rs
@@ -5,7 +5,7 @@
 use dragonflyrill_catalogue::entry::LimitKey;
 use dragonflyrill_protocol::rights::Rights;
 
-use crate::key::Key;
+use crate::key::KeyState;
 
 /// A host's limits.
 #[derive(Debug, Clone, PartialEq)]
@@ -15,7 +15,7 @@
     /// The table's revision of the shard map this host knows; 0 before it knows one.
     pub map_revision: u64,
     /// Whether this host may lend.
-    pub lends: bool,
+    pub may_lend: bool,
     /// The limits, in the order of their keys.
     pub keys: Vec<KeyStatus>,
 }
@@ -34,28 +34,28 @@
     /// Asks that wait.
     pub waiting: u32,
     /// In flight that this host may lend; 0 when it does not hold the key's shard.
-    pub lends: u32,
+    pub lendable_in_flight: u32,
     /// In flight that it has lent, to itself too.
-    pub lent: u32,
+    pub lent_in_flight: u32,
     /// Whether what it has lent is within what it may lend. A lowered limit is in force everywhere
     /// once this is so at its revision on every host that a shard map names.
     pub in_force: bool,
 }
 
 impl KeyStatus {
-    pub(crate) fn of(now: Duration, name: &LimitKey, key: &Key) -> Self {
+    pub(crate) fn of(now: Duration, name: &LimitKey, key: &KeyState) -> Self {
         let usage = key.holder.usage(now);
-        let lends = key.lender.as_ref().map_or(0, |l| l.share().in_flight);
-        let lent = key.lender.as_ref().map_or(0, |l| l.lent());
+        let lendable_in_flight = key.lender.as_ref().map_or(0, |l| l.share().in_flight);
+        let lent_in_flight = key.lender.as_ref().map_or(0, |l| l.lent_in_flight());
         Self {
             key: name.clone(),
             held: usage.held,
-            in_use: usage.busy,
+            in_use: usage.active,
             suspended: usage.suspended,
             waiting: usage.waiting,
-            lends,
-            lent,
-            in_force: lent <= lends,
+            lendable_in_flight,
+            lent_in_flight,
+            in_force: lent_in_flight <= lendable_in_flight,
         }
     }
 }
--- a/crates/limits/tests/faults.rs
+++ b/crates/limits/tests/faults.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use support::{
     data_centre,
-    fleet::{Fleet, Weather},
+    fleet::{Conditions, Fleet},
     key, limit,
 };
 
@@ -18,25 +18,25 @@
 #[derive(Debug, Clone)]
 enum Fault {
     Pause(usize, u32),
-    Replace(usize),
-    Leave(usize),
-    Cut(usize, usize),
-    CutOff(usize),
+    Restart(usize),
+    HandOver(usize),
+    Partition(usize, usize),
+    CutOffTable(usize),
     Heal,
-    Table(bool),
-    Lower(u32),
+    TableUp(bool),
+    SetInFlight(u32),
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         3 => (0..6usize, 100..4000u32).prop_map(|(i, ms)| Fault::Pause(i, ms)),
-        3 => (0..6usize).prop_map(Fault::Replace),
-        1 => (0..6usize).prop_map(Fault::Leave),
-        2 => (0..2usize, 0..2usize).prop_map(|(a, b)| Fault::Cut(a, b)),
-        2 => (0..2usize).prop_map(Fault::CutOff),
+        3 => (0..6usize).prop_map(Fault::Restart),
+        1 => (0..6usize).prop_map(Fault::HandOver),
+        2 => (0..2usize, 0..2usize).prop_map(|(a, b)| Fault::Partition(a, b)),
+        2 => (0..2usize).prop_map(Fault::CutOffTable),
         2 => Just(Fault::Heal),
-        2 => any::<bool>().prop_map(Fault::Table),
-        1 => (2..8u32).prop_map(Fault::Lower),
+        2 => any::<bool>().prop_map(Fault::TableUp),
+        1 => (2..8u32).prop_map(Fault::SetInFlight),
     ]
 }
 
@@ -53,64 +53,64 @@
         limit(key(0, 0), 60.0, 6_000.0, 8),
         limit(key(1, 0), 3.0, 900.0, 2),
     ];
-    let weather = Weather {
+    let conditions = Conditions {
         loss: 0.03,
-        double: 0.05,
+        duplicate: 0.05,
         lost_answers: 0.1,
         drift: 0.004,
         delay: (Duration::from_micros(200), 30 * MS),
-        ..Weather::default()
+        ..Conditions::default()
     };
-    let mut fleet: Fleet<HostLimiter> = Fleet::new(seed, 2, &limits, weather);
+    let mut fleet: Fleet<HostLimiter> = Fleet::new(seed, 2, &limits, conditions);
     fleet.terms = terms();
-    let mut lives: Vec<usize> = (0..6).map(|i| fleet.start(i, 1, i % 2)).collect();
+    let mut hosts: Vec<usize> = (0..6).map(|i| fleet.start(i, 1, i % 2)).collect();
     let mut incarnation = 1;
     for (wait, fault) in faults {
-        load(&mut fleet, &lives, *wait);
+        load(&mut fleet, &hosts, *wait);
         match fault {
             Fault::Pause(i, ms) => {
                 let until = fleet.now + *ms * MS;
-                fleet.pause(lives[*i], until);
+                fleet.pause(hosts[*i], until);
             }
-            Fault::Replace(i) => {
-                fleet.kill(lives[*i]);
+            Fault::Restart(i) => {
+                fleet.kill(hosts[*i]);
                 incarnation += 1;
-                lives[*i] = fleet.start(*i, incarnation, *i % 2);
+                hosts[*i] = fleet.start(*i, incarnation, *i % 2);
             }
-            Fault::Leave(i) => fleet.leave(lives[*i]),
-            Fault::Cut(a, b) => {
-                fleet.cut.insert((data_centre(*a), data_centre(*b)));
+            Fault::HandOver(i) => fleet.hand_over(hosts[*i]),
+            Fault::Partition(a, b) => {
+                fleet.partitions.insert((data_centre(*a), data_centre(*b)));
             }
-            Fault::CutOff(i) => {
-                fleet.cut_off.insert(data_centre(*i));
+            Fault::CutOffTable(i) => {
+                fleet.table_unreachable_from.insert(data_centre(*i));
             }
             Fault::Heal => {
-                fleet.cut.clear();
-                fleet.cut_off.clear();
+                fleet.partitions.clear();
+                fleet.table_unreachable_from.clear();
             }
-            Fault::Table(up) => fleet.table_up = *up,
-            Fault::Lower(n) => fleet.lower_in_flight(&key(0, 0), *n),
+            Fault::TableUp(up) => fleet.table_up = *up,
+            Fault::SetInFlight(n) => fleet.set_in_flight(&key(0, 0), *n),
         }
     }
-    load(&mut fleet, &lives, 1000);
+    load(&mut fleet, &hosts, 1000);
     fleet.ledger.violations
 }
 
 /// Asks on random hosts for `ms` milliseconds.
-fn load(fleet: &mut Fleet<HostLimiter>, lives: &[usize], ms: u32) {
+fn load(fleet: &mut Fleet<HostLimiter>, hosts: &[usize], ms: u32) {
     let end = fleet.now + ms * MS;
     while fleet.now < end {
-        let i = lives[fleet.rng.random_range(0..lives.len())];
+        let i = hosts[fleet.rng.random_range(0..hosts.len())];
         let small = fleet.rng.random_bool(0.1);
         let tokens = fleet.rng.random_range(1..300);
         let used = fleet.rng.random_range(0..=tokens);
-        let takes = fleet.rng.random_range(1..1500) * MS;
-        fleet.ask(
+        let run_time = fleet.rng.random_range(1..1500) * MS;
+        fleet.request_admission(
             i,
             &key(usize::from(small), 0),
             tokens,
             used,
-            takes,
+            run_time,
             2000 * MS,
         );
         let next = fleet.now + 7 * MS;
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use dragonflyrill_limits::HostLimiter;
 use support::{
-    fleet::{Fleet, Weather},
+    fleet::{Conditions, Fleet},
     key, limit,
 };
 
@@ -15,7 +15,7 @@
 
 fn fleet(seed: u64, hosts: usize, data_centres: usize) -> Fleet<HostLimiter> {
     let limits = [limit(key(0, 0), 100.0, 20_000.0, 40)];
-    let mut fleet = Fleet::new(seed, data_centres, &limits, Weather::default());
+    let mut fleet = Fleet::new(seed, data_centres, &limits, Conditions::default());
     for i in 0..hosts {
         fleet.start(i, 1, i % data_centres);
     }
@@ -31,23 +31,27 @@
     while fleet.now < end {
         let i = hosts[turn % hosts.len()];
         turn += 1;
-        fleet.ask(i, &key(0, 0), 200, 200, 200 * MS, SECOND);
+        fleet.request_admission(i, &key(0, 0), 200, 200, 200 * MS, SECOND);
         let next = fleet.now + step;
         fleet.run(next);
     }
 }
 
-fn work(fleet: &Fleet<HostLimiter>) -> f64 {
-    fleet.ledger.used.get(&key(0, 0)).map_or(0.0, |u| u.work)
+fn net_tokens(fleet: &Fleet<HostLimiter>) -> f64 {
+    fleet
+        .ledger
+        .used
+        .get(&key(0, 0))
+        .map_or(0.0, |u| u.net_tokens)
 }
 
 #[test]
 fn demand_above_the_limit_gets_nearly_all_of_it_and_never_more() {
     let mut fleet = fleet(1, 6, 3);
     load(&mut fleet, &[0, 1, 2, 3, 4, 5], 300, 5 * SECOND);
-    let before = work(&fleet);
+    let before = net_tokens(&fleet);
     load(&mut fleet, &[0, 1, 2, 3, 4, 5], 300, 20 * SECOND);
-    let share = (work(&fleet) - before) / (20_000.0 * 20.0);
+    let share = (net_tokens(&fleet) - before) / (20_000.0 * 20.0);
     eprintln!("{share} {:?}", fleet.traffic.messages);
     assert_eq!(fleet.ledger.violations, Vec::<String>::new());
     assert!(share > 0.97, "{share}");
@@ -57,9 +61,9 @@
 fn one_host_with_all_demand_gets_the_whole_limit() {
     let mut fleet = fleet(2, 6, 3);
     load(&mut fleet, &[3], 300, 5 * SECOND);
-    let before = work(&fleet);
+    let before = net_tokens(&fleet);
     load(&mut fleet, &[3], 300, 20 * SECOND);
-    let share = (work(&fleet) - before) / (20_000.0 * 20.0);
+    let share = (net_tokens(&fleet) - before) / (20_000.0 * 20.0);
     assert_eq!(fleet.ledger.violations, Vec::<String>::new());
     assert!(share > 0.97, "{share}");
 }
@@ -70,9 +74,9 @@
     load(&mut fleet, &[0, 1, 2, 3, 4, 5], 300, 5 * SECOND);
     fleet.kill(2);
     load(&mut fleet, &[0, 1, 3, 4, 5], 300, 2 * SECOND);
-    let before = work(&fleet);
+    let before = net_tokens(&fleet);
     load(&mut fleet, &[0, 1, 3, 4, 5], 300, 10 * SECOND);
-    let share = (work(&fleet) - before) / (20_000.0 * 10.0);
+    let share = (net_tokens(&fleet) - before) / (20_000.0 * 10.0);
     assert_eq!(fleet.ledger.violations, Vec::<String>::new());
     assert!(share > 0.97, "{share}");
 }
@@ -82,9 +86,9 @@
     let mut fleet = fleet(4, 6, 3);
     fleet.table_up = false;
     load(&mut fleet, &[0, 1, 2, 3, 4, 5], 300, 30 * SECOND);
-    let before = work(&fleet);
+    let before = net_tokens(&fleet);
     load(&mut fleet, &[0, 1, 2, 3, 4, 5], 300, 20 * SECOND);
-    let share = (work(&fleet) - before) / (20_000.0 * 20.0);
+    let share = (net_tokens(&fleet) - before) / (20_000.0 * 20.0);
     assert_eq!(fleet.ledger.violations, Vec::<String>::new());
     assert!(share > 0.97, "{share}");
 }
--- a/crates/limits/tests/search.rs
+++ b/crates/limits/tests/search.rs
@@ -15,7 +15,7 @@
 
 use dragonflyrill_catalogue::entry::LimitEntry;
 use dragonflyrill_limits::{
-    Action, Ask, Config, Declaration, HostLimiter, Peer, Terms, Ticket, TxnId,
+    Action, AdmissionRequest, Config, Declaration, HostLimiter, Peer, Terms, Ticket, TxnId,
 };
 use dragonflyrill_protocol::{HostRef, rights::Message};
 use dragonflyrill_store::{
@@ -27,9 +27,9 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 /// A search that takes more is not done, and its test fails.
-const MOST_STATES: usize = 25_000;
+const MAX_STATES: usize = 25_000;
 /// One step of time, in true milliseconds.
-const STEP: u64 = 100;
+const STEP_MS: u64 = 100;
 /// Steps in which a holder's beats are answered before a takeover is searched: enough for a guard
 /// that forgets its answers to remove its host.
 const ANSWERED_STEPS: u32 = 3;
@@ -37,7 +37,7 @@
 /// takes over from: only the guard's promise keeps the two apart.
 const SHORT_LOAN: Duration = Duration::from_millis(30);
 /// The first host's clock is true, the others' run slow.
-const SLOW: f64 = 0.9;
+const SLOW_CLOCK_SPEED: f64 = 0.9;
 
 /// A safeguard taken away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -45,7 +45,7 @@
     #[default]
     None,
     /// A holder uses rights past their term.
-    LateHolder,
+    LongGrants,
     /// A lender counts rights as its own again at the end of the term, without the margin.
     NoMargin,
     /// A lender sends rights and does not deduct them.
@@ -53,9 +53,9 @@
     /// Writes of the shard map are unconditional.
     Unfenced,
     /// A guard forgets what it promised, and removes its host sooner.
-    EarlyGuard,
+    ForgetfulGuard,
     /// A new holder of a shard does not wait for the loans of the last one.
-    NoWait,
+    NoLoanWait,
     /// A host does not stop what runs under a lapsed right.
     NoSuspend,
 }
@@ -64,15 +64,15 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Budget {
     steps: u32,
-    asks: u32,
+    requests: u32,
     ends: u32,
     drops: u32,
-    doubles: u32,
+    duplicates: u32,
     crashes: u32,
     pauses: u32,
     lost_answers: u32,
-    leaves: u32,
-    declares: u32,
+    handovers: u32,
+    declarations: u32,
 }
 
 #[derive(Clone)]
@@ -80,7 +80,7 @@
     mutation: Mutation,
     limit: u32,
     budget: Budget,
-    t: u64,
+    elapsed_steps: u64,
     hosts: Vec<Option<HostLimiter>>,
     paused: Vec<bool>,
     running: Vec<BTreeSet<Ticket>>,
@@ -93,24 +93,24 @@
 #[derive(Clone)]
 struct Node {
     state: Rc<State>,
-    print: u128,
+    fingerprint: u128,
     step: String,
 }
 
 impl PartialEq for Node {
     fn eq(&self, other: &Self) -> bool {
-        self.print == other.print
+        self.fingerprint == other.fingerprint
     }
 }
 impl Eq for Node {}
 impl Hash for Node {
     fn hash<H: Hasher>(&self, h: &mut H) {
-        h.write_u128(self.print);
+        h.write_u128(self.fingerprint);
     }
 }
 
-struct Printer(Xxh3Default);
-impl Write for Printer {
+struct Fingerprinter(Xxh3Default);
+impl Write for Fingerprinter {
     fn write_str(&mut self, s: &str) -> std::fmt::Result {
         self.0.update(s.as_bytes());
         Ok(())
@@ -119,14 +119,14 @@
 
 fn node(mut state: State, step: impl Into<String>) -> Node {
     state.net.sort_by_cached_key(|m| format!("{m:?}"));
-    let mut printer = Printer(Xxh3Default::new());
+    let mut fingerprinter = Fingerprinter(Xxh3Default::new());
     let s = &state;
-    s.table.hash(&mut printer.0);
-    let rest = (s.t, &s.paused, &s.running, &s.net, &s.calls);
-    write!(printer, "{:?}{:?}{:?}", s.budget, s.hosts, rest).unwrap();
+    s.table.hash(&mut fingerprinter.0);
+    let rest = (s.elapsed_steps, &s.paused, &s.running, &s.net, &s.calls);
+    write!(fingerprinter, "{:?}{:?}{:?}", s.budget, s.hosts, rest).unwrap();
     Node {
         state: Rc::new(state),
-        print: printer.0.digest128(),
+        fingerprint: fingerprinter.0.digest128(),
         step: step.into(),
     }
 }
@@ -146,8 +146,10 @@
     match mutation {
         Mutation::NoMargin if i == 0 => terms.clock_margin = ms(0),
         // The last holder's loans, counted from the ask, run until the heir's bucket has filled.
-        Mutation::NoWait if i == 0 => (terms.loan_term, terms.session_term) = (ms(390), ms(500)),
-        Mutation::NoWait if i == 1 => (terms.loan_term, terms.clock_margin) = (ms(30), ms(0)),
+        Mutation::NoLoanWait if i == 0 => {
+            (terms.loan_term, terms.session_term) = (ms(390), ms(500))
+        }
+        Mutation::NoLoanWait if i == 1 => (terms.loan_term, terms.clock_margin) = (ms(30), ms(0)),
         _ => {}
     }
     terms
@@ -155,8 +157,8 @@
 
 impl State {
     fn now(&self, i: usize) -> Duration {
-        let speed = if i == 0 { 1.0 } else { SLOW };
-        Duration::from_millis(self.t * STEP).mul_f64(speed)
+        let speed = if i == 0 { 1.0 } else { SLOW_CLOCK_SPEED };
+        Duration::from_millis(self.elapsed_steps * STEP_MS).mul_f64(speed)
     }
 
     fn with(&mut self, i: usize, call: impl FnOnce(&mut HostLimiter, Duration, &mut Vec<Action>)) {
@@ -173,7 +175,7 @@
 
     fn carry_out(&mut self, i: usize, action: Action) {
         match action {
-            Action::Grant(ticket) | Action::Resume(ticket) => {
+            Action::Admit(ticket) | Action::Resume(ticket) => {
                 self.running[i].insert(ticket);
             }
             Action::Suspend(ticket) => {
@@ -196,7 +198,7 @@
         let Some(to) = (0..self.hosts.len()).find(|k| host(*k, 1) == *to) else {
             return;
         };
-        if let (Mutation::LateHolder, Message::Grant(grants)) = (self.mutation, &mut message) {
+        if let (Mutation::LongGrants, Message::Grant(grants)) = (self.mutation, &mut message) {
             grants.iter_mut().for_each(|g| g.term_ms *= 3);
         }
         // Of a host's beats, and of their acknowledgements, the newest may still arrive.
@@ -214,14 +216,14 @@
         let beat = matches!(message, Message::Beat { .. });
         self.with(to, |l, now, a| l.receive(now, &host(from, 1), message, a));
         let forgets = (demand && self.mutation == Mutation::NoDeduction)
-            || (beat && self.mutation == Mutation::EarlyGuard);
+            || (beat && self.mutation == Mutation::ForgetfulGuard);
         if forgets {
             self.hosts[to] = before;
         }
     }
 
     /// Has `from` tell `to` the map of the table.
-    fn tell_map(&mut self, from: usize, to: usize) {
+    fn deliver_table_map(&mut self, from: usize, to: usize) {
         let key = self.table.keys().next().unwrap();
         let row = self.table.row(key).unwrap();
         let message = Message::Map {
@@ -238,11 +240,11 @@
             true => Err(PlatformError::Unknown(String::new())),
             false => Ok(outcome),
         };
-        self.with(i, |l, now, a| l.table(now, id, result, a));
+        self.with(i, |l, now, a| l.handle_table_answer(now, id, result, a));
     }
 
     fn step(&mut self) {
-        self.t += 1;
+        self.elapsed_steps += 1;
         for i in 0..self.hosts.len() {
             if !self.paused[i] {
                 self.with(i, |l, now, a| l.tick(now, a));
@@ -282,9 +284,9 @@
                     s.net.remove(k);
                     s.deliver(from, to, message.clone());
                 });
-                if b.doubles > 0 {
+                if b.duplicates > 0 {
                     go(format!("deliver and keep {what}"), &|s| {
-                        s.budget.doubles -= 1;
+                        s.budget.duplicates -= 1;
                         s.deliver(from, to, message.clone());
                     });
                 }
@@ -324,10 +326,10 @@
                 });
                 continue;
             }
-            if b.asks > 0 {
+            if b.requests > 0 {
                 go(format!("ask {i}"), &|s| {
-                    s.budget.asks -= 1;
-                    ask(s, i);
+                    s.budget.requests -= 1;
+                    request_admission(s, i);
                 });
             }
             let first = self.running[i].first().copied();
@@ -351,15 +353,15 @@
                     s.running[i].clear();
                 });
             }
-            if b.leaves > 0 && i == 0 {
+            if b.handovers > 0 && i == 0 {
                 go(format!("{i} leaves"), &|s| {
-                    s.budget.leaves -= 1;
-                    s.with(i, |l, now, a| l.leave(now, a));
+                    s.budget.handovers -= 1;
+                    s.with(i, |l, now, a| l.hand_over(now, a));
                 });
             }
-            if b.declares > 0 {
+            if b.declarations > 0 {
                 go(format!("{i} learns of the raised limit"), &|s| {
-                    s.budget.declares -= 1;
+                    s.budget.declarations -= 1;
                     let raised = [limit(key(0, 0), 1000.0, 1000.0, s.limit)];
                     s.declare(i, &raised, 2);
                 });
@@ -377,13 +379,19 @@
 
 /// A data centre of `n` hosts in which the first holds all shards and, if `guarded`, the second
 /// is its guard; all in order.
-fn fleet(mutation: Mutation, n: usize, guarded: bool, heir: bool, in_flight: u32) -> State {
+fn fleet(
+    mutation: Mutation,
+    n: usize,
+    guarded: bool,
+    with_replacement: bool,
+    in_flight: u32,
+) -> State {
     fleet_with(
         |i| terms(mutation, i),
         mutation,
         n,
         guarded,
-        heir,
+        with_replacement,
         in_flight,
     )
 }
@@ -394,14 +402,14 @@
     mutation: Mutation,
     n: usize,
     guarded: bool,
-    heir: bool,
+    with_replacement: bool,
     in_flight: u32,
 ) -> State {
     let mut state = State {
         mutation: Mutation::None,
         limit: in_flight,
         budget: Budget::default(),
-        t: 0,
+        elapsed_steps: 0,
         hosts: Vec::new(),
         paused: vec![false; n],
         running: vec![BTreeSet::new(); n],
@@ -426,35 +434,39 @@
         })
         .collect();
     for i in 0..n {
-        settle(&mut state);
-        state.with(i, |l, now, a| l.peers(now, &[], a));
-        settle(&mut state);
+        deliver_all(&mut state);
+        state.with(i, |l, now, a| l.set_peers(now, &[], a));
+        deliver_all(&mut state);
     }
     if guarded {
-        state.with(0, |l, now, a| l.peers(now, &peers, a));
-        state.tell_map(1, 0);
+        state.with(0, |l, now, a| l.set_peers(now, &peers, a));
+        state.deliver_table_map(1, 0);
         state.with(0, |l, now, a| l.tick(now, a));
-        settle(&mut state);
-        state.with(1, |l, now, a| l.peers(now, &peers, a));
-        state.tell_map(0, 1);
-        state.with(1, |l, now, a| l.peers(now, &[], a));
-    } else if heir {
-        state.with(1, |l, now, a| l.peers(now, &peers, a));
-        state.with(0, |l, now, a| l.peers(now, &peers, a));
-        state.tell_map(1, 0);
+        deliver_all(&mut state);
+        state.with(1, |l, now, a| l.set_peers(now, &peers, a));
+        state.deliver_table_map(0, 1);
+        state.with(1, |l, now, a| l.set_peers(now, &[], a));
+    } else if with_replacement {
+        state.with(1, |l, now, a| l.set_peers(now, &peers, a));
+        state.with(0, |l, now, a| l.set_peers(now, &peers, a));
+        state.deliver_table_map(1, 0);
     }
-    settle(&mut state);
+    deliver_all(&mut state);
     // From here on hosts neither move shards for balance nor name further guards.
-    let seen = if heir { &peers[..] } else { &peers[..0] };
-    state.with(0, |l, now, a| l.peers(now, seen, a));
-    settle(&mut state);
+    let seen = if with_replacement {
+        &peers[..]
+    } else {
+        &peers[..0]
+    };
+    state.with(0, |l, now, a| l.set_peers(now, seen, a));
+    deliver_all(&mut state);
     assert!(state.net.is_empty() && state.calls.is_empty());
     state.mutation = mutation;
     state
 }
 
 /// Time in which the guard hears nothing.
-fn silence(state: &mut State) {
+fn drop_messages_for_two_steps(state: &mut State) {
     for _ in 0..2 {
         state.step();
         state.net.clear();
@@ -462,7 +474,7 @@
 }
 
 /// Delivers what is on its way.
-fn settle(state: &mut State) {
+fn deliver_all(state: &mut State) {
     for _ in 0..10 {
         if let Some((from, to, message)) = state.net.pop() {
             state.deliver(from, to, message);
@@ -483,23 +495,23 @@
             states.set(states.get() + 1);
             n.state.successors()
         },
-        |n| n.state.in_flight() > limit || states.get() > MOST_STATES,
+        |n| n.state.in_flight() > limit || states.get() > MAX_STATES,
     );
     assert!(
-        states.get() <= MOST_STATES,
-        "not done after {MOST_STATES} states"
+        states.get() <= MAX_STATES,
+        "not done after {MAX_STATES} states"
     );
     let path = path.map(|nodes| nodes.into_iter().map(|n| n.step).collect());
     (states.get(), path)
 }
 
-fn holds(name: &str, start: State) {
+fn assert_holds(name: &str, start: State) {
     let (states, path) = search(start);
     println!("search {name}: {states} states, none over the limit");
     assert_eq!(path, None);
 }
 
-fn caught(name: &str, start: State) {
+fn assert_caught(name: &str, start: State) {
     let (states, path) = search(start);
     let path = path.unwrap_or_else(|| panic!("{name} was not caught in {states} states"));
     println!(
@@ -517,7 +529,7 @@
 
 fn takeover(mutation: Mutation, budget: Budget) -> State {
     let mut state = fleet(mutation, 2, true, false, 1);
-    silence(&mut state);
+    drop_messages_for_two_steps(&mut state);
     State { budget, ..state }
 }
 
@@ -535,12 +547,12 @@
         state.step();
         deliver_beats(&mut state);
     }
-    ask(&mut state, 0);
+    request_admission(&mut state, 0);
     State {
         budget: Budget {
             steps: 2,
-            asks: 1,
-            ..NONE
+            requests: 1,
+            ..NO_EVENTS
         },
         ..state
     }
@@ -563,151 +575,154 @@
 }
 
 /// A handover by a host that has just lent rights and runs a request under them.
-fn left_with_a_loan(mutation: Mutation) -> State {
+fn handover_with_a_loan(mutation: Mutation) -> State {
     let mut state = fleet(mutation, 2, false, true, 1);
-    ask(&mut state, 0);
+    request_admission(&mut state, 0);
     while state.running[0].is_empty() {
         state.step();
-        settle(&mut state);
+        deliver_all(&mut state);
     }
-    state.with(0, |l, now, a| l.leave(now, a));
-    settle(&mut state);
+    state.with(0, |l, now, a| l.hand_over(now, a));
+    deliver_all(&mut state);
     State {
         budget: Budget {
             steps: 2,
-            asks: 1,
-            ..NONE
+            requests: 1,
+            ..NO_EVENTS
         },
         ..state
     }
 }
 
-fn ask(state: &mut State, i: usize) {
-    let ask = Ask {
+fn request_admission(state: &mut State, i: usize) {
+    let request = AdmissionRequest {
         key: key(0, 0),
         tokens: 1,
-        latest: state.now(i) + Duration::from_secs(60),
+        admit_by: state.now(i) + Duration::from_secs(60),
     };
     state.with(i, |l, now, a| {
-        l.ask(now, &ask, a);
+        l.request_admission(now, &request, a);
     });
 }
 
-const NONE: Budget = Budget {
+const NO_EVENTS: Budget = Budget {
     steps: 0,
-    asks: 0,
+    requests: 0,
     ends: 0,
     drops: 0,
-    doubles: 0,
+    duplicates: 0,
     crashes: 0,
     pauses: 0,
     lost_answers: 0,
-    leaves: 0,
-    declares: 0,
+    handovers: 0,
+    declarations: 0,
 };
 
-const TERMS: Budget = Budget {
+const TERM_ENDS: Budget = Budget {
     steps: 3,
-    asks: 2,
-    ..NONE
+    requests: 2,
+    ..NO_EVENTS
 };
 
 /// Enough for a right to lapse with its lender and be lent again.
-const LONGER: Budget = Budget { steps: 4, ..TERMS };
+const RELENDING: Budget = Budget {
+    steps: 4,
+    ..TERM_ENDS
+};
 
 const LOSSES: Budget = Budget {
     steps: 1,
-    asks: 2,
+    requests: 2,
     ends: 1,
     drops: 1,
-    doubles: 1,
-    ..NONE
+    duplicates: 1,
+    ..NO_EVENTS
 };
 
 const PAUSES: Budget = Budget {
     steps: 2,
-    asks: 2,
+    requests: 2,
     pauses: 1,
-    ..NONE
+    ..NO_EVENTS
 };
 
 const TAKEOVER: Budget = Budget {
     steps: 2,
-    asks: 2,
-    ..NONE
+    requests: 2,
+    ..NO_EVENTS
 };
 
-const TAKEOVER_IN_DOUBT: Budget = Budget {
+const TAKEOVER_LOST_ANSWER: Budget = Budget {
     steps: 1,
-    asks: 2,
+    requests: 2,
     lost_answers: 1,
-    ..NONE
+    ..NO_EVENTS
 };
 
 const HANDOVER: Budget = Budget {
     steps: 1,
-    asks: 2,
+    requests: 2,
     lost_answers: 1,
-    leaves: 1,
-    ..NONE
+    handovers: 1,
+    ..NO_EVENTS
 };
 
 #[test]
 fn loans_never_pass_the_limit_when_messages_are_lost_or_doubled() {
-    holds("loans with losses", loans(Mutation::None, LOSSES));
+    assert_holds("loans with losses", loans(Mutation::None, LOSSES));
 }
 
 #[test]
 fn loans_never_pass_the_limit_when_messages_are_late() {
-    holds("late messages", loans(Mutation::None, TERMS));
+    assert_holds("late messages", loans(Mutation::None, TERM_ENDS));
 }
 
 #[test]
 fn loans_never_pass_the_limit_when_hosts_pause() {
-    holds("loans with pauses", loans(Mutation::None, PAUSES));
+    assert_holds("loans with pauses", loans(Mutation::None, PAUSES));
 }
 
 #[test]
 fn takeovers_never_pass_the_limit() {
-    holds("takeover", takeover(Mutation::None, TAKEOVER));
+    assert_holds("takeover", takeover(Mutation::None, TAKEOVER));
 }
 
 #[test]
 fn takeovers_never_pass_the_limit_when_an_answer_is_lost() {
-    holds(
+    assert_holds(
         "takeover in doubt",
-        takeover(Mutation::None, TAKEOVER_IN_DOUBT),
+        takeover(Mutation::None, TAKEOVER_LOST_ANSWER),
     );
 }
 
 #[test]
 fn handovers_never_pass_the_limit() {
-    holds("handover", handover(Mutation::None, HANDOVER));
+    assert_holds("handover", handover(Mutation::None, HANDOVER));
 }
 
 #[test]
 fn a_holder_past_its_term_is_caught() {
-    caught("late holder", loans(Mutation::LateHolder, LONGER));
+    assert_caught("late holder", loans(Mutation::LongGrants, RELENDING));
 }
 
 #[test]
 fn a_lender_without_margin_is_caught() {
-    caught("no margin", loans(Mutation::NoMargin, LONGER));
+    assert_caught("no margin", loans(Mutation::NoMargin, RELENDING));
 }
 
 #[test]
 fn a_lender_that_does_not_deduct_is_caught() {
-    caught("no deduction", loans(Mutation::NoDeduction, LOSSES));
+    assert_caught("no deduction", loans(Mutation::NoDeduction, LOSSES));
 }
 
 #[test]
 fn a_host_that_does_not_suspend_is_caught() {
-    caught("no suspension", loans(Mutation::NoSuspend, LONGER));
+    assert_caught("no suspension", loans(Mutation::NoSuspend, RELENDING));
 }
 
 #[test]
 fn an_unfenced_takeover_is_caught() {
-    caught(
+    assert_caught(
         "unfenced",
         takeover(
             Mutation::Unfenced,
@@ -721,20 +736,20 @@
 
 #[test]
 fn takeovers_never_pass_the_limit_while_beats_are_answered() {
-    holds("answered beats", answered_beats(Mutation::None));
+    assert_holds("answered beats", answered_beats(Mutation::None));
 }
 
 #[test]
 fn a_guard_that_breaks_its_promise_is_caught() {
-    caught("early guard", answered_beats(Mutation::EarlyGuard));
+    assert_caught("early guard", answered_beats(Mutation::ForgetfulGuard));
 }
 
 #[test]
 fn handovers_never_pass_the_limit_while_a_loan_lasts() {
-    holds("loan of a leaver", left_with_a_loan(Mutation::None));
+    assert_holds("loan of a leaver", handover_with_a_loan(Mutation::None));
 }
 
 #[test]
 fn an_heir_that_does_not_wait_is_caught() {
-    caught("no wait", left_with_a_loan(Mutation::NoWait));
+    assert_caught("no wait", handover_with_a_loan(Mutation::NoLoanWait));
 }
--- a/crates/limits/tests/support/fleet.rs
+++ b/crates/limits/tests/support/fleet.rs
@@ -12,7 +12,7 @@
     entry::{LimitEntry, LimitKey},
 };
 use dragonflyrill_limits::{
-    Action, Ask, Config, Declaration, HostLimiter, Peer, Terms, Ticket, TxnId,
+    Action, AdmissionRequest, Config, Declaration, HostLimiter, Peer, Terms, Ticket, TxnId,
 };
 use dragonflyrill_protocol::{HostRef, rights::Message};
 use dragonflyrill_store::{
@@ -29,11 +29,16 @@
 pub trait Limiter {
     fn new(cfg: Config) -> Self;
     fn configure(&mut self, now: Duration, d: &Declaration<'_>, actions: &mut Vec<Action>);
-    fn peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>);
-    fn ask(&mut self, now: Duration, ask: &Ask, actions: &mut Vec<Action>) -> Ticket;
+    fn set_peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>);
+    fn request_admission(
+        &mut self,
+        now: Duration,
+        request: &AdmissionRequest,
+        actions: &mut Vec<Action>,
+    ) -> Ticket;
     fn settle(&mut self, now: Duration, ticket: Ticket, used: u32, actions: &mut Vec<Action>);
     fn receive(&mut self, now: Duration, from: &HostRef, m: Message, actions: &mut Vec<Action>);
-    fn table(
+    fn handle_table_answer(
         &mut self,
         now: Duration,
         id: TxnId,
@@ -42,7 +47,7 @@
     );
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>);
     fn next_tick(&self, now: Duration) -> Duration;
-    fn leave(&mut self, now: Duration, actions: &mut Vec<Action>);
+    fn hand_over(&mut self, now: Duration, actions: &mut Vec<Action>);
 }
 
 macro_rules! forward {
@@ -54,11 +59,16 @@
             fn configure(&mut self, now: Duration, d: &Declaration<'_>, a: &mut Vec<Action>) {
                 self.configure(now, d, a)
             }
-            fn peers(&mut self, now: Duration, peers: &[Peer], a: &mut Vec<Action>) {
-                self.peers(now, peers, a)
+            fn set_peers(&mut self, now: Duration, peers: &[Peer], a: &mut Vec<Action>) {
+                self.set_peers(now, peers, a)
             }
-            fn ask(&mut self, now: Duration, ask: &Ask, a: &mut Vec<Action>) -> Ticket {
-                self.ask(now, ask, a)
+            fn request_admission(
+                &mut self,
+                now: Duration,
+                request: &AdmissionRequest,
+                a: &mut Vec<Action>,
+            ) -> Ticket {
+                self.request_admission(now, request, a)
             }
             fn settle(&mut self, now: Duration, t: Ticket, used: u32, a: &mut Vec<Action>) {
                 self.settle(now, t, used, a)
@@ -66,14 +76,14 @@
             fn receive(&mut self, now: Duration, f: &HostRef, m: Message, a: &mut Vec<Action>) {
                 self.receive(now, f, m, a)
             }
-            fn table(
+            fn handle_table_answer(
                 &mut self,
                 now: Duration,
                 id: TxnId,
                 result: Result<TxnOutcome, PlatformError>,
                 a: &mut Vec<Action>,
             ) {
-                self.table(now, id, result, a)
+                self.handle_table_answer(now, id, result, a)
             }
             fn tick(&mut self, now: Duration, a: &mut Vec<Action>) {
                 self.tick(now, a)
@@ -81,8 +91,8 @@
             fn next_tick(&self, now: Duration) -> Duration {
                 self.next_tick(now)
             }
-            fn leave(&mut self, now: Duration, a: &mut Vec<Action>) {
-                self.leave(now, a)
+            fn hand_over(&mut self, now: Duration, a: &mut Vec<Action>) {
+                self.hand_over(now, a)
             }
         }
     };
@@ -93,12 +103,12 @@
 
 /// How the network and the clocks behave.
 #[derive(Debug, Clone)]
-pub struct Weather {
+pub struct Conditions {
     /// One-way delay between hosts, at least and at most.
     pub delay: (Duration, Duration),
     /// Of messages between hosts.
     pub loss: f64,
-    pub double: f64,
+    pub duplicate: f64,
     /// Of the table's answers.
     pub lost_answers: f64,
     pub table_delay: (Duration, Duration),
@@ -106,12 +116,12 @@
     pub drift: f64,
 }
 
-impl Default for Weather {
+impl Default for Conditions {
     fn default() -> Self {
         Self {
             delay: (Duration::from_micros(200), Duration::from_micros(800)),
             loss: 0.0,
-            double: 0.0,
+            duplicate: 0.0,
             lost_answers: 0.0,
             table_delay: (Duration::from_millis(2), Duration::from_millis(8)),
             drift: 0.0,
@@ -123,34 +133,34 @@
 enum Event {
     Tick(usize),
     Deliver(usize, HostRef, Message),
-    TableRun(usize, TxnId, TableCall),
+    RunTableCall(usize, TxnId, TableCall),
     TableAnswer(usize, TxnId, Result<TxnOutcome, PlatformError>),
     End(usize, Ticket),
     Configure(usize),
     Detect,
 }
 
-struct Timed(Duration, u64, Event);
+struct ScheduledEvent(Duration, u64, Event);
 
-impl PartialEq for Timed {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Timed {}
-impl PartialOrd for Timed {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Timed {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
 /// One life of a host. Lives are never reused.
-pub struct Life<L> {
+pub struct HostIncarnation<L> {
     pub me: HostRef,
     pub dc: DataCentre,
     pub limiter: L,
@@ -166,8 +176,8 @@
     key: LimitKey,
     tokens: u32,
     used: u32,
-    takes: Duration,
-    asked: Duration,
+    run_time: Duration,
+    requested_at: Duration,
     running: bool,
 }
 
@@ -185,22 +195,22 @@
 
 pub struct Fleet<L> {
     pub now: Duration,
-    pub lives: Vec<Life<L>>,
+    pub incarnations: Vec<HostIncarnation<L>>,
     pub ledger: Ledger,
     pub table: MemoryTable,
     pub table_up: bool,
-    pub cut: BTreeSet<(DataCentre, DataCentre)>,
+    pub partitions: BTreeSet<(DataCentre, DataCentre)>,
     /// Data centres that can't reach the table.
-    pub cut_off: BTreeSet<DataCentre>,
-    pub weather: Weather,
+    pub table_unreachable_from: BTreeSet<DataCentre>,
+    pub conditions: Conditions,
     pub traffic: Traffic,
     pub rng: Pcg64,
     pub terms: Terms,
-    pub detect: Duration,
-    events: BinaryHeap<Reverse<Timed>>,
+    pub detection_delay: Duration,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     seq: u64,
     requests: HashMap<(usize, Ticket), Request>,
-    by_ref: HashMap<HostRef, usize>,
+    host_index: HashMap<HostRef, usize>,
     limits: Vec<LimitEntry>,
     data_centres: Vec<DataCentre>,
     revision: u64,
@@ -208,9 +218,14 @@
 }
 
 impl<L: Limiter> Fleet<L> {
-    pub fn new(seed: u64, data_centres: usize, limits: &[LimitEntry], weather: Weather) -> Self {
+    pub fn new(
+        seed: u64,
+        data_centres: usize,
+        limits: &[LimitEntry],
+        conditions: Conditions,
+    ) -> Self {
         let mut ledger = Ledger {
-            drift: weather.drift,
+            drift: conditions.drift,
             ..Ledger::default()
         };
         for limit in limits {
@@ -218,21 +233,21 @@
         }
         Self {
             now: Duration::ZERO,
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             ledger,
             table: MemoryTable::default(),
             table_up: true,
-            cut: BTreeSet::new(),
-            cut_off: BTreeSet::new(),
-            weather,
+            partitions: BTreeSet::new(),
+            table_unreachable_from: BTreeSet::new(),
+            conditions,
             traffic: Traffic::default(),
             rng: Pcg64::seed_from_u64(seed),
             terms: Terms::default(),
-            detect: Duration::from_millis(500),
+            detection_delay: Duration::from_millis(500),
             events: BinaryHeap::new(),
             seq: 0,
             requests: HashMap::new(),
-            by_ref: HashMap::new(),
+            host_index: HashMap::new(),
             limits: limits.to_vec(),
             data_centres: (0..data_centres).map(data_centre).collect(),
             revision: 1,
@@ -250,11 +265,11 @@
             terms: self.terms,
             max_queued_per_key: 256,
         };
-        let drift = self.weather.drift;
+        let drift = self.conditions.drift;
         let speed = 1.0 + self.rng.random_range(-1.0..=1.0) * drift;
         let offset = Duration::from_millis(self.rng.random_range(0..1000));
-        let i = self.lives.len();
-        self.lives.push(Life {
+        let i = self.incarnations.len();
+        self.incarnations.push(HostIncarnation {
             me: me.clone(),
             dc: data_centre(dc),
             limiter: L::new(cfg),
@@ -263,9 +278,9 @@
             clock: (offset, speed),
             tick_at: Duration::MAX,
         });
-        self.by_ref.insert(me, i);
+        self.host_index.insert(me, i);
         self.configure(i);
-        self.tell_peers();
+        self.update_peers();
         i
     }
 
@@ -285,8 +300,8 @@
     pub fn declare(&mut self, limits: &[LimitEntry], to: impl Fn(usize) -> bool) {
         self.limits = limits.to_vec();
         self.revision += 1;
-        for i in 0..self.lives.len() {
-            if self.lives[i].alive && to(i) {
+        for i in 0..self.incarnations.len() {
+            if self.incarnations[i].alive && to(i) {
                 self.configure(i);
             }
         }
@@ -296,29 +311,29 @@
         self.configure(i);
     }
 
-    fn tell_peers(&mut self) {
-        let live = self.lives.iter().filter(|l| l.alive);
+    fn update_peers(&mut self) {
+        let live = self.incarnations.iter().filter(|l| l.alive);
         let peers: Vec<Peer> = live
             .map(|l| Peer {
                 host: l.me.clone(),
                 data_centre: l.dc.clone(),
             })
             .collect();
-        for i in 0..self.lives.len() {
-            let until = self.lives[i].paused_until;
-            if self.lives[i].alive && until > self.now {
+        for i in 0..self.incarnations.len() {
+            let until = self.incarnations[i].paused_until;
+            if self.incarnations[i].alive && until > self.now {
                 self.schedule(until + Duration::from_millis(1), Event::Detect);
-            } else if self.lives[i].alive {
-                self.with(i, |l, now, a| l.peers(now, &peers, a));
+            } else if self.incarnations[i].alive {
+                self.with(i, |l, now, a| l.set_peers(now, &peers, a));
             }
         }
     }
 
     /// Kills a host. Its peers learn of it by and by.
     pub fn kill(&mut self, i: usize) {
-        self.lives[i].alive = false;
+        self.incarnations[i].alive = false;
         self.ledger.stop(i);
-        let at = self.now + self.detect;
+        let at = self.now + self.detection_delay;
         self.schedule(at, Event::Detect);
     }
 
@@ -326,17 +341,17 @@
     ///
     /// The host drives its requests, so that nothing of them runs meanwhile.
     pub fn pause(&mut self, i: usize, until: Duration) {
-        if !self.lives[i].alive || self.lives[i].paused_until > self.now {
+        if !self.incarnations[i].alive || self.incarnations[i].paused_until > self.now {
             return;
         }
-        self.lives[i].paused_until = until;
-        self.lives[i].tick_at = until;
+        self.incarnations[i].paused_until = until;
+        self.incarnations[i].tick_at = until;
         self.schedule(until, Event::Tick(i));
         self.ledger.stop(i);
     }
 
     /// Counts again what a host that was paused still runs.
-    fn woken(&mut self, i: usize) {
+    fn resume_requests(&mut self, i: usize) {
         let mut running: Vec<(Ticket, LimitKey)> = self
             .requests
             .iter()
@@ -350,39 +365,45 @@
     }
 
     /// Lowers or raises a limit in flight; the hosts learn of it one after the other.
-    pub fn lower_in_flight(&mut self, key: &LimitKey, n: u32) {
+    pub fn set_in_flight(&mut self, key: &LimitKey, n: u32) {
         let old = self.ledger.limits[key].in_flight;
-        let old = old.max(self.ledger.lowering.get(key).copied().unwrap_or(0));
-        self.ledger.lowering.insert(key.clone(), old);
+        let old = old.max(
+            self.ledger
+                .previous_in_flight
+                .get(key)
+                .copied()
+                .unwrap_or(0),
+        );
+        self.ledger.previous_in_flight.insert(key.clone(), old);
         self.ledger.limits.get_mut(key).unwrap().in_flight = n;
         for limit in self.limits.iter_mut().filter(|l| l.key == *key) {
             limit.in_flight = n;
         }
         self.revision += 1;
-        for i in 0..self.lives.len() {
-            if self.lives[i].alive {
+        for i in 0..self.incarnations.len() {
+            if self.incarnations[i].alive {
                 let at = self.now + Duration::from_millis(self.rng.random_range(0..1500));
                 self.schedule(at, Event::Configure(i));
             }
         }
     }
 
-    pub fn leave(&mut self, i: usize) {
-        if self.lives[i].paused_until > self.now {
+    pub fn hand_over(&mut self, i: usize) {
+        if self.incarnations[i].paused_until > self.now {
             return;
         }
-        self.with(i, |l, now, a| l.leave(now, a));
+        self.with(i, |l, now, a| l.hand_over(now, a));
     }
 
     /// The host's own time.
-    pub fn local(&self, i: usize) -> Duration {
-        let (offset, speed) = self.lives[i].clock;
+    pub fn local_time(&self, i: usize) -> Duration {
+        let (offset, speed) = self.incarnations[i].clock;
         offset + self.now.mul_f64(speed)
     }
 
-    fn true_time(&self, i: usize, local: Duration) -> Duration {
-        let (offset, speed) = self.lives[i].clock;
-        local.saturating_sub(offset).div_f64(speed)
+    fn true_time(&self, i: usize, local_time: Duration) -> Duration {
+        let (offset, speed) = self.incarnations[i].clock;
+        local_time.saturating_sub(offset).div_f64(speed)
     }
 
     /// Calls a limiter and carries out its actions.
@@ -391,30 +412,30 @@
         i: usize,
         call: impl FnOnce(&mut L, Duration, &mut Vec<Action>) -> R,
     ) -> R {
-        let now = self.local(i);
+        let now = self.local_time(i);
         let mut actions = Vec::new();
-        let result = call(&mut self.lives[i].limiter, now, &mut actions);
-        self.finish(i, now, actions);
+        let result = call(&mut self.incarnations[i].limiter, now, &mut actions);
+        self.apply(i, now, actions);
         result
     }
 
-    fn finish(&mut self, i: usize, now: Duration, actions: Vec<Action>) {
+    fn apply(&mut self, i: usize, now: Duration, actions: Vec<Action>) {
         for action in actions {
             self.carry_out(i, action);
         }
-        let next = self.lives[i].limiter.next_tick(now);
+        let next = self.incarnations[i].limiter.next_tick(now);
         let at = self
             .true_time(i, next)
             .max(self.now + Duration::from_micros(1));
-        if at < self.lives[i].tick_at || self.lives[i].tick_at <= self.now {
-            self.lives[i].tick_at = at;
+        if at < self.incarnations[i].tick_at || self.incarnations[i].tick_at <= self.now {
+            self.incarnations[i].tick_at = at;
             self.schedule(at, Event::Tick(i));
         }
     }
 
     fn carry_out(&mut self, i: usize, action: Action) {
         match action {
-            Action::Grant(ticket) => self.granted(i, ticket),
+            Action::Admit(ticket) => self.granted(i, ticket),
             Action::Refuse { ticket, .. } => {
                 self.traffic.refused += 1;
                 self.requests.remove(&(i, ticket));
@@ -435,7 +456,7 @@
             Action::Send { to, message } => self.send(i, &to, message),
             Action::Table { id, call } => {
                 let at = self.now + self.table_delay();
-                self.schedule(at, Event::TableRun(i, id, call));
+                self.schedule(at, Event::RunTableCall(i, id, call));
             }
         }
     }
@@ -447,9 +468,9 @@
         };
         r.running = true;
         let r = r.clone();
-        self.traffic.waits.push(now - r.asked);
+        self.traffic.waits.push(now - r.requested_at);
         self.ledger.admit(now, i, ticket, &r.key, r.tokens);
-        self.schedule(now + r.takes, Event::End(i, ticket));
+        self.schedule(now + r.run_time, Event::End(i, ticket));
     }
 
     fn send(&mut self, i: usize, to: &HostRef, message: Message) {
@@ -457,18 +478,21 @@
         if self.measure_bytes {
             self.traffic.bytes += bytes(&message);
         }
-        let Some(to) = self.by_ref.get(to).copied() else {
+        let Some(to) = self.host_index.get(to).copied() else {
             return;
         };
-        let ends = (self.lives[i].dc.clone(), self.lives[to].dc.clone());
-        if self.cut.contains(&ends) || self.cut.contains(&(ends.1, ends.0)) {
+        let ends = (
+            self.incarnations[i].dc.clone(),
+            self.incarnations[to].dc.clone(),
+        );
+        if self.partitions.contains(&ends) || self.partitions.contains(&(ends.1, ends.0)) {
             return;
         }
-        if self.weather.loss > 0.0 && self.rng.random_bool(self.weather.loss) {
+        if self.conditions.loss > 0.0 && self.rng.random_bool(self.conditions.loss) {
             return;
         }
-        let from = self.lives[i].me.clone();
-        if self.weather.double > 0.0 && self.rng.random_bool(self.weather.double) {
+        let from = self.incarnations[i].me.clone();
+        if self.conditions.duplicate > 0.0 && self.rng.random_bool(self.conditions.duplicate) {
             let at = self.now + self.delay() * 3;
             self.schedule(at, Event::Deliver(to, from.clone(), message.clone()));
         }
@@ -477,61 +501,64 @@
     }
 
     fn delay(&mut self) -> Duration {
-        let (least, most) = self.weather.delay;
-        self.rng.random_range(least..=most)
+        let (min_delay, max_delay) = self.conditions.delay;
+        self.rng.random_range(min_delay..=max_delay)
     }
 
     fn table_delay(&mut self) -> Duration {
-        let (least, most) = self.weather.table_delay;
-        self.rng.random_range(least..=most) / 2
+        let (min_delay, max_delay) = self.conditions.table_delay;
+        self.rng.random_range(min_delay..=max_delay) / 2
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
         self.seq += 1;
-        self.events.push(Reverse(Timed(at, self.seq, event)));
+        self.events
+            .push(Reverse(ScheduledEvent(at, self.seq, event)));
     }
 
     /// Asks host `i` for a request of `tokens` that uses `used` and takes `takes`.
-    pub fn ask(
+    pub fn request_admission(
         &mut self,
         i: usize,
         key: &LimitKey,
         tokens: u32,
         used: u32,
-        takes: Duration,
+        run_time: Duration,
         within: Duration,
     ) {
-        let life = &self.lives[i];
-        if !life.alive || life.paused_until > self.now {
+        let target = &self.incarnations[i];
+        if !target.alive || target.paused_until > self.now {
             return;
         }
-        let ask = Ask {
+        let admission = AdmissionRequest {
             key: key.clone(),
             tokens,
-            latest: self.local(i) + within,
+            admit_by: self.local_time(i) + within,
         };
         let request = Request {
             key: key.clone(),
             tokens,
             used,
-            takes,
-            asked: self.now,
+            run_time,
+            requested_at: self.now,
             running: false,
         };
-        let now = self.local(i);
+        let now = self.local_time(i);
         let mut actions = Vec::new();
-        let ticket = self.lives[i].limiter.ask(now, &ask, &mut actions);
+        let ticket = self.incarnations[i]
+            .limiter
+            .request_admission(now, &admission, &mut actions);
         self.requests.insert((i, ticket), request);
-        self.finish(i, now, actions);
+        self.apply(i, now, actions);
     }
 
     /// Runs until `until`.
     pub fn run(&mut self, until: Duration) {
-        while let Some(Reverse(Timed(at, _, _))) = self.events.peek() {
+        while let Some(Reverse(ScheduledEvent(at, _, _))) = self.events.peek() {
             if *at > until {
                 break;
             }
-            let Some(Reverse(Timed(at, _, event))) = self.events.pop() else {
+            let Some(Reverse(ScheduledEvent(at, _, event))) = self.events.pop() else {
                 break;
             };
             self.now = at.max(self.now);
@@ -547,17 +574,17 @@
             | Event::TableAnswer(i, ..)
             | Event::End(i, _)
             | Event::Configure(i) => Some(*i),
-            Event::TableRun(..) | Event::Detect => None,
+            Event::RunTableCall(..) | Event::Detect => None,
         };
         if let Some(i) = target {
-            if !self.lives[i].alive {
+            if !self.incarnations[i].alive {
                 return;
             }
-            let until = self.lives[i].paused_until;
+            let until = self.incarnations[i].paused_until;
             if until > self.now {
                 // What waits for a paused host is handled when it wakes, its own timers first.
                 if matches!(event, Event::Tick(_)) {
-                    self.lives[i].tick_at = until;
+                    self.incarnations[i].tick_at = until;
                 }
                 let late = Duration::from_micros(u64::from(!matches!(event, Event::Tick(_))));
                 return self.schedule(until + late, event);
@@ -565,37 +592,44 @@
         }
         match event {
             Event::Tick(i) => {
-                if self.lives[i].tick_at > self.now {
+                if self.incarnations[i].tick_at > self.now {
                     return;
                 }
-                let woke = self.lives[i].paused_until == self.now;
+                let resumed = self.incarnations[i].paused_until == self.now;
                 self.with(i, |l, now, a| l.tick(now, a));
-                if woke {
-                    self.woken(i);
+                if resumed {
+                    self.resume_requests(i);
                 }
             }
             Event::Deliver(i, from, message) => {
                 self.with(i, |l, now, a| l.receive(now, &from, message, a));
             }
-            Event::TableRun(i, id, call) => self.table_run(i, id, &call),
+            Event::RunTableCall(i, id, call) => self.table_run(i, id, &call),
             Event::TableAnswer(i, id, result) => {
-                self.with(i, |l, now, a| l.table(now, id, result, a));
+                self.with(i, |l, now, a| l.handle_table_answer(now, id, result, a));
             }
             Event::End(i, ticket) => self.ended(i, ticket),
             Event::Configure(i) => self.configure(i),
-            Event::Detect => self.tell_peers(),
+            Event::Detect => self.update_peers(),
         }
     }
 
     fn table_run(&mut self, i: usize, id: TxnId, call: &TableCall) {
-        if !self.lives[i].alive {
+        if !self.incarnations[i].alive {
             // What a host sent before it died still takes effect.
-            if self.table_up && !self.cut_off.contains(&self.lives[i].dc) {
+            if self.table_up
+                && !self
+                    .table_unreachable_from
+                    .contains(&self.incarnations[i].dc)
+            {
                 self.table.call(call);
             }
             return;
         }
-        let down = !self.table_up || self.cut_off.contains(&self.lives[i].dc);
+        let down = !self.table_up
+            || self
+                .table_unreachable_from
+                .contains(&self.incarnations[i].dc);
         let result = if down {
             Err(PlatformError::NotSent("down".to_owned()))
         } else {
@@ -603,7 +637,8 @@
             self.traffic.writes += u64::from(write);
             self.traffic.reads += u64::from(!write);
             let outcome = self.table.call(call);
-            match self.weather.lost_answers > 0.0 && self.rng.random_bool(self.weather.lost_answers)
+            match self.conditions.lost_answers > 0.0
+                && self.rng.random_bool(self.conditions.lost_answers)
             {
                 true => Err(PlatformError::Unknown("lost".to_owned())),
                 false => Ok(outcome),
--- a/crates/limits/tests/support/ledger.rs
+++ b/crates/limits/tests/support/ledger.rs
@@ -12,40 +12,40 @@
 #[derive(Debug, Clone, Default)]
 struct Window {
     sum: f64,
-    least: f64,
-    most: f64,
+    min_excess: f64,
+    max_excess: f64,
 }
 
 impl Window {
     /// Adds `amount` at `now`; the largest excess of any window over `rate * window`.
     fn add(&mut self, now: Duration, amount: f64, rate: f64) -> f64 {
         let line = rate * now.as_secs_f64();
-        self.least = self.least.min(self.sum - line);
+        self.min_excess = self.min_excess.min(self.sum - line);
         self.sum += amount;
-        self.most = self.most.max(self.sum - line - self.least);
-        self.most
+        self.max_excess = self.max_excess.max(self.sum - line - self.min_excess);
+        self.max_excess
     }
 }
 
 /// One key's use.
 #[derive(Debug, Clone, Default)]
-pub struct Used {
+pub struct KeyUsage {
     in_flight: BTreeMap<(usize, Ticket), u32>,
     requests: Window,
     tokens: Window,
     /// Tokens admitted and not settled back.
-    pub work: f64,
+    pub net_tokens: f64,
     pub admitted: u64,
-    pub most_in_flight: usize,
+    pub max_in_flight: usize,
 }
 
 /// The fleet's use, checked against the limits at each event.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     pub limits: HashMap<LimitKey, LimitEntry>,
-    pub used: HashMap<LimitKey, Used>,
+    pub used: HashMap<LimitKey, KeyUsage>,
     /// Limits being lowered: in flight is not judged until it has once been within.
-    pub lowering: HashMap<LimitKey, u32>,
+    pub previous_in_flight: HashMap<LimitKey, u32>,
     pub violations: Vec<String>,
     /// How much faster than true a clock may run: rates are kept by the lenders' clocks.
     pub drift: f64,
@@ -56,23 +56,23 @@
         let limit = &self.limits[key];
         let used = self.used.entry(key.clone()).or_default();
         used.in_flight.insert((host, ticket), t);
-        used.work += f64::from(t);
+        used.net_tokens += f64::from(t);
         used.admitted += 1;
-        used.most_in_flight = used.most_in_flight.max(used.in_flight.len());
+        used.max_in_flight = used.max_in_flight.max(used.in_flight.len());
         let rate = limit.requests_per_second;
         let fast = 1.0 + self.drift;
         let over = used.requests.add(now, 1.0, rate * fast);
         let burst = (rate * limit.burst_seconds).max(1.0);
         if over > burst + 1e-3 {
-            let why = format!("{now:?} {key:?}: requests over by {}", over - burst);
-            self.violations.push(why);
+            let violation = format!("{now:?} {key:?}: requests over by {}", over - burst);
+            self.violations.push(violation);
         }
         let rate = limit.tokens_per_second;
         let over = used.tokens.add(now, f64::from(t), rate * fast);
         let burst = rate * limit.burst_seconds;
         if over > burst + 1e-3 {
-            let why = format!("{now:?} {key:?}: tokens over by {}", over - burst);
-            self.violations.push(why);
+            let violation = format!("{now:?} {key:?}: tokens over by {}", over - burst);
+            self.violations.push(violation);
         }
         self.check(now, key);
     }
@@ -82,7 +82,7 @@
         let used = self.used.entry(key.clone()).or_default();
         used.in_flight.remove(&(host, ticket));
         used.tokens.add(now, -f64::from(back), rate);
-        used.work -= f64::from(back);
+        used.net_tokens -= f64::from(back);
     }
 
     pub fn suspend(&mut self, host: usize, ticket: Ticket, key: &LimitKey) {
@@ -111,10 +111,10 @@
         let n = self.in_flight(key);
         let limit = self.limits[key]
             .in_flight
-            .max(self.lowering.get(key).copied().unwrap_or(0));
+            .max(self.previous_in_flight.get(key).copied().unwrap_or(0));
         if n > limit as usize {
-            let why = format!("{now:?} {key:?}: {n} in flight, {limit} allowed");
-            self.violations.push(why);
+            let violation = format!("{now:?} {key:?}: {n} in flight, {limit} allowed");
+            self.violations.push(violation);
         }
     }
 }
