--- a/crates/limits/src/fair.rs
+++ b/crates/limits/src/fair.rs
@@ -1,8 +1,9 @@
 //! Weighted fair queueing by cost between owners, with strict priority by class.
 //!
-//! Self-clocked: each item gets a virtual finish time, its owner's last one plus its cost over the
-//! owner's weight, and the item with the least goes first. An owner that was idle starts at the
-//! finish time of the item in service, so that it does not save up.
+//! The queue is self-clocked: each item gets a virtual finish time, the finish time of its owner's
+//! previous item plus its cost divided by the owner's weight, and the item with the smallest finish
+//! time is served first. An owner that was idle starts at the finish time of the item in service,
+//! so it accumulates no credit while idle.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,18 +15,18 @@
 /// Why an item was not queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Full {
-    /// Its owner has as many waiting as it may.
+    /// The owner's queue in this class is full.
     Owner,
 }
 
-/// An item that waits.
+/// A queued item.
 #[derive(Debug, Clone)]
 struct Item<T> {
     value: T,
     finish: f64,
 }
 
-/// What one owner has waiting in one class.
+/// The queued items of one owner in one class.
 #[derive(Debug, Clone)]
 struct Flow<T> {
     weight: f64,
@@ -36,7 +37,7 @@
 /// A queue shared by owners `O`.
 #[derive(Debug, Clone)]
 pub struct FairQueue<O, T> {
-    /// By priority, 0 first.
+    /// Classes by priority; 0 is served first.
     classes: BTreeMap<u8, Class<O, T>>,
     per_owner: usize,
     len: usize,
@@ -45,7 +46,7 @@
 #[derive(Debug, Clone)]
 struct Class<O, T> {
     flows: FxHashMap<O, Flow<T>>,
-    now: f64,
+    virtual_time: f64,
 }
 
 impl<O: Clone + Eq + Hash + Ord, T> FairQueue<O, T> {
@@ -58,12 +59,12 @@
         }
     }
 
-    /// How many wait.
+    /// The number of queued items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no item is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -71,7 +72,7 @@
     /// Queues `value` of cost `cost` for `owner`, whose weight is `weight`, at least 1.
     ///
     /// # Errors
-    /// [`Full`], with `value` given back, when the owner's queue is full.
+    /// Returns [`Full`] together with `value` if the owner's queue is full.
     pub fn push(
         &mut self,
         priority: u8,
@@ -82,9 +83,9 @@
     ) -> Result<(), (Full, T)> {
         let class = self.classes.entry(priority).or_insert_with(|| Class {
             flows: FxHashMap::default(),
-            now: 0.0,
+            virtual_time: 0.0,
         });
-        let start = class.now;
+        let start = class.virtual_time;
         let flow = class.flows.entry(owner.clone()).or_insert_with(|| Flow {
             weight: 1.0,
             finish: start,
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    /// The item that is to be served next.
+    /// Removes the next item to serve and returns it.
     pub fn pop(&mut self) -> Option<T> {
         let class = self.classes.values_mut().find(|c| !c.is_empty())?;
         let item = class.pop()?;
@@ -110,11 +111,11 @@
         Some(item.value)
     }
 
-    /// Takes out all items for which `keep` is false.
-    pub fn take_out(&mut self, mut keep: impl FnMut(&T) -> bool) -> Vec<T> {
+    /// Removes all items for which `keep` returns false and returns them.
+    pub fn remove_unless(&mut self, mut keep: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut out = Vec::new();
         for class in self.classes.values_mut() {
-            class.take_out(&mut keep, &mut out);
+            class.remove_unless(&mut keep, &mut out);
         }
         self.len -= out.len();
         out
@@ -133,26 +134,27 @@
         let owner = owner.clone();
         let flow = self.flows.get_mut(&owner)?;
         let item = flow.items.pop_front()?;
-        self.now = self.now.max(item.finish);
-        self.forget_if_idle();
+        self.virtual_time = self.virtual_time.max(item.finish);
+        self.reset_if_idle();
         Some(item)
     }
 
-    fn take_out(&mut self, keep: &mut impl FnMut(&T) -> bool, out: &mut Vec<T>) {
+    fn remove_unless(&mut self, keep: &mut impl FnMut(&T) -> bool, out: &mut Vec<T>) {
         for flow in self.flows.values_mut() {
-            let (kept, gone) = flow.items.drain(..).partition(|item| keep(&item.value));
+            let (kept, removed) = flow.items.drain(..).partition(|item| keep(&item.value));
             flow.items = kept;
-            let gone: VecDeque<Item<T>> = gone;
-            out.extend(gone.into_iter().map(|item| item.value));
+            let removed: VecDeque<Item<T>> = removed;
+            out.extend(removed.into_iter().map(|item| item.value));
         }
-        self.forget_if_idle();
+        self.reset_if_idle();
     }
 
-    /// Starts anew: finish times matter only between owners that wait at the same time.
-    fn forget_if_idle(&mut self) {
+    /// Resets the virtual time if no item is queued: finish times only order owners that wait at
+    /// the same time.
+    fn reset_if_idle(&mut self) {
         if self.is_empty() {
             self.flows.clear();
-            self.now = 0.0;
+            self.virtual_time = 0.0;
         }
     }
 }
--- a/crates/limits/src/host.rs
+++ b/crates/limits/src/host.rs
@@ -1,4 +1,4 @@
-//! The limiter of one host: dispatches events to the session and to the keys.
+//! The limiter of one host: dispatches events to the session and the keys.
 
 mod messages;
 mod process;
@@ -31,19 +31,20 @@
     status::{KeyStatus, Status},
 };
 
-/// How many hosts of a data centre tell a new host their map.
+/// How many hosts of a data centre send their shard map to a new host.
 const MAP_SENDERS: usize = 2;
-/// A refused caller isn't asked back sooner.
+/// The shortest retry delay that a refusal returns.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Until when the parts of a shard are not lent, for loans of an earlier holder may last.
+/// Until when the parts of a shard are not lent, because loans of an earlier holder may not have
+/// expired.
 #[derive(Debug, Clone, Copy, Default)]
 struct LoanWait {
     main: Duration,
     floor: Duration,
 }
 
-/// The limits of one host.
+/// The state machine that enforces all limits on one host.
 #[derive(Debug, Clone)]
 pub struct HostLimiter {
     cfg: Config,
@@ -56,7 +57,7 @@
     id_index: FxHashMap<KeyId, usize>,
     tickets: FxHashMap<Ticket, usize>,
     timers: BTreeSet<(Duration, usize)>,
-    /// For each shard, until when loans of earlier holders may last.
+    /// For each shard, until when loans of earlier holders may be valid.
     loan_wait: Vec<LoanWait>,
     revision: u64,
     next_ticket: u64,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes over the limits in force.
+    /// Applies the declared limits. Requests under a key that is no longer declared are refused.
     pub fn configure(&mut self, now: Duration, declared: &Declaration, actions: &mut Vec<Action>) {
         if declared.revision < self.revision {
             return;
@@ -104,7 +105,8 @@
         self.process_all_keys(now, actions);
     }
 
-    /// The place of `limit`'s key, taken over; `None` when its hash is another key's.
+    /// Applies one declared limit and returns the index of its key; `None` if the hash of the key
+    /// collides with that of another key.
     fn declare(&mut self, limit: &LimitEntry, all: &[DataCentre]) -> Option<usize> {
         let i = match self.key_index.get(&limit.key) {
             Some(i) => *i,
@@ -119,7 +121,9 @@
     fn add(&mut self, key: &LimitKey) -> Option<usize> {
         let id = key_id(key);
         if self.id_index.contains_key(&id) {
-            log::error!("limits: the hash of {key:?} is another key's, it has no limit");
+            log::error!(
+                "limits: the hash of {key:?} collides with that of another key; the key has no limit"
+            );
             return None;
         }
         let i = self.keys.len();
@@ -129,7 +133,7 @@
         Some(i)
     }
 
-    /// Takes over the view of which hosts live; this host itself may be left out.
+    /// Replaces the list of live hosts; it may leave out this host.
     pub fn set_peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
         let known: BTreeSet<&HostRef> = self.peers.iter().map(|p| &p.host).collect();
         let new = peers.iter().filter(|p| !known.contains(&p.host));
@@ -146,7 +150,7 @@
         self.process_all_keys(now, actions);
     }
 
-    /// Whether it falls to this host to tell `host` its data centre's map.
+    /// Whether this host is one of those that send `host` the map of their data centre.
     fn sends_map_to(&self, host: &HostRef) -> bool {
         let rank = |h: &HostRef| xxh3::xxh3_64(format!("{}/{}", h.id, host.id).as_bytes());
         let mine = rank(&self.cfg.me);
@@ -157,14 +161,14 @@
             < MAP_SENDERS
     }
 
-    /// The live hosts of this data centre but this one.
+    /// The other live hosts of this data centre.
     fn live_neighbours(&self) -> Vec<HostRef> {
         let peers = self.peers.iter();
         let near = peers.filter(|p| p.data_centre == self.cfg.data_centre);
         near.map(|p| p.host.clone()).collect()
     }
 
-    /// Asks for a request to be admitted. The answer is among `actions`, now or later.
+    /// Requests admission. The answer is an action of this call or of a later one.
     pub fn request_admission(
         &mut self,
         now: Duration,
@@ -204,7 +208,7 @@
         ticket
     }
 
-    /// The caller of an ask that waits has left. A granted ask is settled instead.
+    /// Cancels an admission request that waits. A request that is admitted is settled instead.
     pub fn withdraw(&mut self, now: Duration, ticket: Ticket, actions: &mut Vec<Action>) {
         if let Some(i) = self.tickets.get(&ticket).copied() {
             self.keys[i].holder.withdraw(ticket);
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Ends an admitted request that used `used` tokens.
+    /// Records the end of an admitted request that used `used` tokens.
     pub fn settle(&mut self, now: Duration, ticket: Ticket, used: u32, actions: &mut Vec<Action>) {
         if let Some(i) = self.tickets.remove(&ticket) {
             self.keys[i].holder.withdraw(ticket);
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Takes the answer to [`Action::Table`] in.
+    /// Applies the answer to [`Action::Table`].
     pub fn handle_table_answer(
         &mut self,
         now: Duration,
@@ -240,7 +244,7 @@
         self.process_all_keys(now, actions);
     }
 
-    /// Does what is due.
+    /// Does all work that is due at `now`.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.process_session(now, actions);
         while let Some((at, i)) = self.timers.first().copied() {
@@ -252,26 +256,26 @@
         self.flush_messages(actions);
     }
 
-    /// When [`Self::tick`] is to be called next.
+    /// When [`Self::tick`] has to be called next.
     pub fn next_tick(&self, now: Duration) -> Duration {
         let session = self.session.next_due(now);
         let key = self.timers.first().map_or(session, |(at, _)| *at);
         session.min(key)
     }
 
-    /// Hands all rights to lend over to the others. Admitted requests go on by borrowed rights.
+    /// Hands all rights to lend over to other hosts. Admitted requests continue on borrowed rights.
     pub fn hand_over(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.session.hand_over();
         self.process_session(now, actions);
         self.process_all_keys(now, actions);
     }
 
-    /// Whether all rights to lend are handed over.
+    /// Whether all rights to lend have been handed over.
     pub fn is_handed_over(&self) -> bool {
         self.session.is_handed_over()
     }
 
-    /// What operators see.
+    /// The state shown to operators.
     pub fn status(&self, now: Duration) -> Status {
         let declared = self.key_index.iter();
         let mut keys: Vec<KeyStatus> = declared
@@ -287,7 +291,7 @@
     }
 }
 
-/// The hash of a key.
+/// The hash that identifies a key in messages; the same on every host.
 fn key_id(key: &LimitKey) -> KeyId {
     let text = format!("{}/{}/{}", key.workspace, key.target, key.class);
     KeyId(xxh3::xxh3_64(text.as_bytes()))
@@ -301,7 +305,8 @@
     }
 }
 
-/// A time after `wait`, so drawn that callers refused together don't return together.
+/// Multiplies `wait` by a random factor from 1 to 1.5, so that callers that are refused together
+/// do not retry together.
 fn add_jitter(rng: &mut Pcg32, wait: Duration) -> Duration {
     let wait = wait.max(MIN_RETRY_AFTER);
     wait.mul_f64(rng.random_range(1.0..1.5))
--- a/crates/limits/src/host/messages.rs
+++ b/crates/limits/src/host/messages.rs
@@ -1,4 +1,4 @@
-//! What peers say: beats, maps, demands and grants.
+//! Handles messages from peers: heartbeats, shard maps, demands and grants.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::{Action, session::VersionedMap};
 
 impl HostLimiter {
-    /// Takes a peer's message in.
+    /// Handles a message from a peer.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -102,7 +102,10 @@
             return;
         };
         if found.map.main.len() != SHARDS || found.map.floor.len() != SHARDS {
-            log::warn!("limits: {} sent a shard map of another size", from.id);
+            log::warn!(
+                "limits: {} sent a shard map with a wrong number of shards",
+                from.id
+            );
             return;
         }
         if peer.data_centre == self.cfg.data_centre {
@@ -119,7 +122,8 @@
         }
     }
 
-    /// The map of this data centre is another than `old`.
+    /// Handles a change of this data centre's map from `old` to the known one. `wrote` is true if
+    /// this host wrote the new map.
     pub(super) fn handle_map_change(
         &mut self,
         now: Duration,
@@ -137,7 +141,8 @@
             let gained = |holders: fn(&ShardMap) -> &[Option<HostRef>]| {
                 let before = holders(&old.map).get(i).cloned().flatten();
                 let mine = holders(&new.map).get(i) == Some(&Some(me.clone()));
-                // What was taken from another, or from nobody as the first, had lapsed before.
+                // Rights that this host's write took from another holder, or from none when it
+                // created the row, had expired before the write.
                 let lapsed = wrote && (before.is_some() || old.revision == 0);
                 mine && before.as_ref() != Some(me) && !lapsed
             };
--- a/crates/limits/src/host/process.rs
+++ b/crates/limits/src/host/process.rs
@@ -1,4 +1,4 @@
-//! What is done after each event: the session, the keys that are due, and messages to peers.
+//! Work after each event: the session, the keys that are due, and messages to peers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -34,7 +34,7 @@
         self.flush_messages(actions);
     }
 
-    /// Lends what this host holds of key `i`'s shard now.
+    /// Sets the lender of key `i` to the parts of its shard that this host may lend now.
     pub(super) fn update_lender(&mut self, now: Duration, i: usize) {
         let key = &mut self.keys[i];
         let shard = key.id.shard();
@@ -45,7 +45,7 @@
             floor: held.floor && now >= loan_wait.floor,
         };
         if key.update_lender(now, usable, &self.cfg.terms) && held == LendableParts::default() {
-            // Should it hold the shard again, its loans of now may still last.
+            // If this host gets the shard again, its present loans may still be valid.
             let until = now + self.cfg.terms.with_clock_margin(self.cfg.terms.loan_term);
             (loan_wait.main, loan_wait.floor) = (until, until);
         }
@@ -64,7 +64,7 @@
         }
         key.process(now, &self.cfg.me, &lending, actions, &mut self.outgoing);
         if let Some(at) = key.due {
-            // Work that could not be done now is not tried again in the same instant.
+            // Work that could not be done now is not retried at the same instant.
             let at = at.max(now + Duration::from_millis(1));
             key.due = Some(at);
             self.timers.insert((at, i));
@@ -87,7 +87,7 @@
         add_jitter(&mut self.rng, wait)
     }
 
-    /// Gathers the messages about keys by receiver.
+    /// Groups the outgoing messages about keys by receiver and sends them.
     pub(super) fn flush_messages(&mut self, actions: &mut Vec<Action>) {
         let mut by_receiver: BTreeMap<HostRef, (Vec<Demand>, Vec<Grant>)> = BTreeMap::new();
         for outgoing in self.outgoing.drain(..) {
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Who may lend rights of key `i`: this data centre's holders first, then the others' in an
-    /// order that differs from host to host.
+    /// The hosts that may lend rights of key `i`: first the holders of this data centre, then those
+    /// of the others in an order that differs from host to host.
     pub(super) fn lenders(&self, i: usize) -> Vec<HostRef> {
         let key = &self.keys[i];
         let shard = key.id.shard();
--- a/crates/limits/src/key.rs
+++ b/crates/limits/src/key.rs
@@ -1,4 +1,4 @@
-//! One limit on one host: what it uses, and what it lends if it holds the key's shard.
+//! One limit on one host: what the host uses, and what it lends if it holds the key's shard.
 
 use std::time::Duration;
 
@@ -17,10 +17,11 @@
     split::{Fraction, Share},
 };
 
-/// How often a key's two sides are let answer each other in one step.
+/// The most rounds of demands and grants that a host's own holder and lender of a key exchange in
+/// one step.
 const MAX_LOCAL_ROUNDS: usize = 4;
 
-/// A message about a key for another host.
+/// A message about one key to another host.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum KeyMessage {
     Demand(HostRef, Demand),
@@ -31,18 +32,19 @@
 #[derive(Debug, Clone)]
 pub(crate) struct KeyState {
     pub(crate) id: KeyId,
-    /// `None` once it is no longer declared.
+    /// `None` once the limit is no longer declared.
     pub(crate) limit: Option<LimitEntry>,
-    /// The parts of the limit that the data centre has held by the declarations since the last
-    /// one that is known to be in force everywhere. It lends the least of them.
+    /// The fractions of the limit that the data centre has held, one for each declaration that
+    /// changed it. It lends the smallest of them, because another host may still apply an earlier
+    /// declaration until a later one is known to be in force everywhere.
     fractions: Vec<Fraction>,
-    /// All data centres, as last declared.
+    /// All data centres of the last declaration.
     pub(crate) data_centres: Vec<DataCentre>,
     pub(crate) holder: Holder,
     pub(crate) lender: Option<Lender>,
-    /// Who may lend, best first.
+    /// The hosts that may lend, most preferred first.
     pub(crate) lenders: Vec<HostRef>,
-    /// When it is to be worked on next.
+    /// When [`Self::process`] has to be called next.
     pub(crate) due: Option<Duration>,
 }
 
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Takes over a declaration.
+    /// Applies a declaration.
     pub(crate) fn declare(&mut self, limit: &LimitEntry, all: &[DataCentre], fraction: Fraction) {
         self.data_centres = all.to_vec();
         self.limit = Some(limit.clone());
@@ -69,19 +71,20 @@
         }
     }
 
-    /// The whole limit.
+    /// The share of a lender that holds the whole limit.
     pub(crate) fn full_share(&self) -> Share {
         self.limit.as_ref().map(Share::full).unwrap_or_default()
     }
 
-    /// What the data centre may lend.
+    /// The share of the limit that the data centre may lend.
     fn share(&self) -> Share {
         let full = self.full_share();
         let shares = self.fractions.iter().map(|f| f.share(&full));
         shares.reduce(Share::min).unwrap_or_default()
     }
 
-    /// Lends what this host holds of the key's shard. True when it no longer lends.
+    /// Sets the lender's share to the parts of the key's shard that this host may lend. Returns
+    /// true if the host lent before and no longer does.
     pub(crate) fn update_lender(
         &mut self,
         now: Duration,
@@ -102,7 +105,7 @@
         false
     }
 
-    /// Lets the holder and the lender do what is due.
+    /// Updates the holder, sends its demands, and answers the demands at this host's lender.
     pub(crate) fn process(
         &mut self,
         now: Duration,
@@ -130,7 +133,7 @@
         self.due = self.next_due(now);
     }
 
-    /// Answers those who wait; true when this host was among them.
+    /// Answers waiting demands at this host's lender. Returns true if a grant went to this host.
     fn serve(
         &mut self,
         now: Duration,
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,17 +1,18 @@
 //! Owners' limits: what a host may admit, and how rights move between hosts.
 //!
-//! An owner's limit holds over the whole fleet at every instant. It is kept by escrow: rights are
-//! held by exactly one host and lent for a short term, so that a lost message, a paused host or a
-//! cut wastes rights for a term and never doubles them.
+//! An owner's limit holds over the whole fleet at every instant. It is enforced by escrow: each
+//! right is held by exactly one host and lent for a short term. A lost message, a paused host or a
+//! network partition therefore wastes rights for a term and never duplicates them.
 //!
-//! - [`HostLimiter`] is the state machine on each host. The host hands it events with the time
-//!   and carries out the [`Action`]s that come back; it reads no clock and opens no socket.
-//! - `session` is the right of a host to lend: its shards in the table's row, its guard's promise.
+//! - [`HostLimiter`] is the state machine on each host. The host passes it events with the current
+//!   time and executes the [`Action`]s that it returns; it reads no clock and opens no socket.
+//! - `session` is the right of a host to lend: its shards in the table's row and the promise of
+//!   its guard not to remove it.
 //! - `lender` is the lending side of one limit, `holder` the using side, `pool` the token bucket.
 //! - [`fair`] is the queue for capacity that owners share.
-//! - [`baseline`] has the simpler designs that this one is measured against.
+//! - [`baseline`] has simpler designs to compare this one with.
 //!
-//! Start with [`HostLimiter::ask`].
+//! The entry point is [`HostLimiter::request_admission`].
 
 pub mod baseline;
 pub mod fair;
@@ -37,65 +38,66 @@
 use dragonflyrill_protocol::{HostRef, rights::Message};
 use dragonflyrill_store::table::TableCall;
 
-/// Names one ask until it is settled.
+/// Identifies an admission request until it is refused or settled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Names one transaction until it is answered.
+/// Identifies a call of the table until it is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TxnId(pub u64);
 
-/// A request that wants to be admitted.
+/// Asks for one request to be admitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionRequest {
-    /// Whose limit it falls under.
+    /// The limit that the request counts against.
     pub key: LimitKey,
-    /// Tokens it will use at most, prompt and generated; 0 for a plain service.
+    /// The most tokens that the request will use, prompt and generated; 0 for a plain service.
     pub tokens: u32,
-    /// When it must have been admitted at the latest.
+    /// The time at which the request is refused if it has not been admitted.
     pub admit_by: Duration,
 }
 
-/// Why an ask was refused.
+/// Why an admission request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// No limit is declared for its key.
+    /// No limit is declared for the key.
     NoLimit,
-    /// It is larger than the limit's burst, and would never be admitted.
+    /// The request needs more tokens than the limit's burst, or the limit allows no request in
+    /// flight: it would never be admitted.
     TooLarge,
-    /// The owner's limit is in use and won't be free in time.
+    /// The limit is in use and will not have free capacity in time.
     OverLimit,
 }
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Admit the request; settle its ticket when it ends.
+    /// Admit the request, and settle its ticket when it ends.
     Admit(Ticket),
-    /// Refuse the request; its ticket is settled.
+    /// Refuse the request. Its ticket is no longer valid.
     Refuse {
-        /// The ask.
+        /// The admission request.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
-    /// The right under which the request runs has lapsed: have nothing of it run at an endpoint
-    /// until [`Action::Resume`], or end and settle it.
+    /// The right under which the request runs has expired: stop its work at every endpoint until
+    /// [`Action::Resume`], or end and settle the request.
     Suspend(Ticket),
-    /// The request runs under a right again.
+    /// The request may run again.
     Resume(Ticket),
     /// Send a message to a peer.
     Send {
-        /// The peer. Another life of the host has no use for the message.
+        /// The peer. Another incarnation of the host must not receive the message.
         to: HostRef,
         /// The message.
         message: Message,
     },
-    /// Call the table, once, and hand the answer to [`HostLimiter::table`].
+    /// Call the table exactly once, and pass the answer to [`HostLimiter::handle_table_answer`].
     Table {
-        /// Names the call.
+        /// Identifies the call.
         id: TxnId,
         /// The call.
         call: TableCall,
--- a/crates/limits/src/plan.rs
+++ b/crates/limits/src/plan.rs
@@ -1,29 +1,29 @@
-//! The next shard map that a host would write, by what it knows.
+//! Computes the next shard map that a host writes, from what the host knows.
 
 use dragonflyrill_protocol::{
     HostRef,
     rights::{Member, SHARDS, ShardMap},
 };
 
-/// What may be done to another member.
+/// What this host may do to another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MemberAction {
     /// Nothing.
     Keep,
-    /// The main part of its shards may be taken over.
+    /// Take over the main part of its shards.
     TakeOverMain,
-    /// It may be removed.
+    /// Remove the member and take over both parts of its shards.
     Remove,
 }
 
-/// What the plan is made from.
+/// What a host knows when it computes the next map.
 pub(crate) struct PlanInput<'a> {
     pub(crate) me: &'a HostRef,
     pub(crate) map: &'a ShardMap,
-    /// The live hosts of the data centre, by membership.
+    /// The hosts of the data centre that membership reports as alive.
     pub(crate) live: &'a [HostRef],
     pub(crate) shutting_down: bool,
-    /// Whether to write though nothing else changes.
+    /// Whether to write the map even if nothing else changes.
     pub(crate) force_write: bool,
     /// Whether this host's guard no longer acknowledges its beats.
     pub(crate) guard_lost: bool,
@@ -32,7 +32,7 @@
     pub(crate) member_action: &'a dyn Fn(&Member) -> MemberAction,
 }
 
-/// The map to write, or `None` when there is nothing to change.
+/// The map to write, or `None` if nothing has to change.
 pub(crate) fn next_map(input: &PlanInput<'_>) -> Option<ShardMap> {
     let mut map = input.map.clone();
     map.main.resize(SHARDS, None);
@@ -98,7 +98,7 @@
     changed
 }
 
-/// Names the live member after this host as its guard when it has none that lives.
+/// Sets the next live member in the list, after this host, as its guard if it has no live guard.
 fn choose_guard(input: &PlanInput<'_>, map: &mut ShardMap) -> bool {
     let members: Vec<HostRef> = map.members.iter().map(|m| m.host.clone()).collect();
     let Some(index) = members.iter().position(|h| h == input.me) else {
@@ -116,7 +116,7 @@
         .take(members.len() - 1);
     let mut live = after.filter(|h| input.live.contains(h) && me.guard.as_ref() != Some(h));
     let next = live.next().cloned();
-    // With nobody else alive a guard that may come back is worth no less than none.
+    // If no other member is alive, keep the present guard, which may come back.
     if next.is_none() && !input.guard_lost {
         return false;
     }
@@ -125,7 +125,8 @@
     changed
 }
 
-/// Moves shards from this host to the live members that hold the fewest.
+/// Moves shards from this host to the live members with the fewest shards, until this host holds
+/// at most one more than each of them.
 fn balance(input: &PlanInput<'_>, map: &mut ShardMap) -> bool {
     let members = map.members.iter().map(|m| &m.host);
     let live: Vec<HostRef> = members
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -1,12 +1,12 @@
-//! Rights that accrue at a rate and are handed out to be used within a term.
+//! A token bucket for rights that are handed out to be used within a term.
 
 use std::time::Duration;
 
-/// A token bucket that counts what it has handed out and not yet seen used.
+/// A token bucket that also counts the units that are handed out and not known to be used.
 ///
-/// Invariant: `level + out <= burst`, so that what may be used at one instant, here and by those
-/// it was handed to, is never more than the burst, and over any window no more than
-/// `rate * window + burst`.
+/// Invariant: `level + outstanding <= burst`. The units that can be used at one instant, from the
+/// bucket and by the hosts that received them, therefore never exceed the burst, and the units
+/// used over any window never exceed `rate * window + burst`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Pool {
     rate: f64,
@@ -17,7 +17,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// An empty pool with rate and burst 0.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             refilled_at: now,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes over another rate and burst from now on.
+    /// Sets the rate, in units a second, and the burst from `now` on.
     pub(crate) fn set_rate(&mut self, now: Duration, rate: f64, burst: f64) {
         self.refill(now);
         self.rate = rate;
@@ -33,28 +33,29 @@
         self.clamp();
     }
 
-    /// What can be handed out now, in whole units.
+    /// How many whole units can be handed out now.
     pub(crate) fn available(&mut self, now: Duration) -> u32 {
         self.refill(now);
-        // A rest of a float sum must not keep back a whole unit.
+        // A rounding error of a float sum must not withhold a whole unit.
         (self.level.max(0.0) + 1e-6) as u32
     }
 
-    /// The most that it can ever hold.
+    /// The most whole units that the pool can hold.
     pub(crate) fn capacity(&self) -> u32 {
         self.burst as u32
     }
 
-    /// Hands out `n`.
+    /// Hands out `n` units.
     pub(crate) fn hand_out(&mut self, now: Duration, n: u32) {
         self.refill(now);
         self.level -= f64::from(n);
         self.outstanding += f64::from(n);
     }
 
-    /// Of what was handed out, `used` is used, `returned` is not and never will be.
+    /// Records that of the units handed out `used` were used and `returned` will never be used.
     ///
-    /// Both may be negative: more was used than estimated, or use was settled back.
+    /// Either may be negative: `returned` if more was used than estimated, `used` if a use was
+    /// settled back.
     pub(crate) fn settle(&mut self, now: Duration, used: f64, returned: f64) {
         self.refill(now);
         self.outstanding = (self.outstanding - used - returned).max(0.0);
@@ -62,13 +63,13 @@
         self.clamp();
     }
 
-    /// What was handed out has lapsed, and whether it was used is not known.
+    /// Records that `n` units handed out have expired; they count as used.
     pub(crate) fn expire(&mut self, now: Duration, n: f64) {
         self.refill(now);
         self.outstanding = (self.outstanding - n).max(0.0);
     }
 
-    /// How long until `n` can be handed out.
+    /// How long until `n` units can be handed out.
     pub(crate) fn time_until(&mut self, now: Duration, n: f64) -> Duration {
         self.refill(now);
         let missing = n - self.level;
--- a/crates/limits/src/session.rs
+++ b/crates/limits/src/session.rs
@@ -1,13 +1,13 @@
-//! The right of a host to lend: its place in the data centre's shard map in the table.
+//! The right of a host to lend: its entry in the data centre's shard map, a row of the table.
 //!
-//! The row says who holds which shard. It changes only by compare-and-set, and no write to it is
-//! needed to go on: a host's guard, a peer that the row names, acknowledges its heartbeats, and
-//! each acknowledgement promises not to remove the host for the session's term. So rights of a
-//! dead host come back by one write of its guard after that term, and an outage of the table
-//! takes nothing from a host whose guard lives.
+//! The row names the holder of each shard. It changes only by compare-and-set, and a host goes on
+//! lending without writing to it: the host's guard, a peer that the row names, acknowledges its
+//! heartbeats, and each acknowledgement promises not to remove the host for the session term. The
+//! guard of a dead host recovers its rights by one write after that term, and an outage of the
+//! table takes no rights from a host whose guard is alive.
 //!
-//! When host and guard are lost together nobody may remove the host by the short term. Others take
-//! over the main part of its shards once its entry has not changed for the long term; a host
+//! If host and guard fail together, nobody may remove the host after the session term. Other hosts
+//! take over the main part of its shards once its entry has not changed for `main_term`; a host
 //! that could not write its entry for that long stops lending that part and keeps the floor part.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -27,42 +27,42 @@
     plan,
 };
 
-/// Where the rows of all data centres are.
+/// The key prefix of the rows of all data centres; the name of the data centre follows.
 const SHARD_ROW_PREFIX: &str = "limits/shards/";
-/// How many beats are remembered to date their acknowledgements.
+/// The most heartbeats whose sending times are kept, as each acknowledgement counts from them.
 const MAX_TRACKED_BEATS: usize = 8;
 
-/// The wait before a transaction is tried again doubles so often.
+/// How many times the delay before a transaction is retried doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// A shard map and the table's revision of it.
+/// A shard map with its revision in the table.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct VersionedMap {
-    /// 0 when the row does not exist.
+    /// 0 if the row does not exist.
     pub(crate) revision: u64,
     pub(crate) map: ShardMap,
 }
 
-/// A write whose answer is awaited, or was lost.
+/// A call of the table whose answer is awaited, or a write whose answer was lost.
 #[derive(Debug, Clone, PartialEq)]
 struct PendingCall {
     id: TxnId,
     sent_at: Duration,
-    /// The revision it replaces; it can't take effect once the row has another.
+    /// The revision that the write replaces; it can't take effect once the row has another.
     base: u64,
-    /// What it writes; `None` for a read.
+    /// The map that is written; `None` for a read.
     map: Option<ShardMap>,
 }
 
-/// What is known of another member.
+/// The last observed entry of a member.
 #[derive(Debug, Clone, PartialEq)]
 struct ObservedMember {
     member: Member,
-    /// When this entry was first seen.
+    /// When this host first observed the entry in this form.
     since: Duration,
 }
 
-/// The session of one host.
+/// The session of one host: its entry in the shard map and the promises that protect it.
 #[derive(Debug, Clone)]
 pub(crate) struct Session {
     me: HostRef,
@@ -70,29 +70,29 @@
     terms: Terms,
     known: Option<VersionedMap>,
     pending: Option<PendingCall>,
-    /// Writes whose answers were lost and that may have taken effect, or may still.
+    /// Writes whose answers were lost: they may have taken effect, or may still do so.
     unconfirmed: Vec<PendingCall>,
     next_id: u64,
     retry_at: Duration,
-    /// Transactions without a usable answer since the last one with.
+    /// Consecutive transactions without a usable answer.
     failures: u32,
     beats: BTreeMap<u32, Duration>,
     beat_seq: u32,
     next_beat_at: Duration,
-    /// Until when the guard or the table has promised not to remove this host.
+    /// Until when this host can't be removed, by a promise of its guard or by its own last write.
     session_until: Duration,
     main_until: Duration,
     floor_until: Duration,
-    /// When this host last had its beats acknowledged, or named its guard.
+    /// When this host sent the newest heartbeat that was acknowledged, or wrote its entry.
     guarded_at: Duration,
-    /// Until when this host has promised not to remove others.
+    /// Until when this host has promised not to remove each other host.
     promises: BTreeMap<HostRef, Duration>,
     observed: BTreeMap<HostRef, ObservedMember>,
     shutting_down: bool,
     shards_changed_at: Duration,
 }
 
-/// Which parts of which shards this host may lend, and until when.
+/// Which parts of one shard this host may lend now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct LendableParts {
     pub(crate) main: bool,
@@ -125,12 +125,12 @@
         }
     }
 
-    /// The newest map seen.
+    /// The newest known map.
     pub(crate) fn known_map(&self) -> Option<&VersionedMap> {
         self.known.as_ref()
     }
 
-    /// Until when this host may lend anything; no loan may last longer.
+    /// Until when this host may lend; no loan may last longer.
     pub(crate) fn lend_until(&self, now: Duration) -> Duration {
         let Some(entry) = self.entry() else {
             return Duration::ZERO;
@@ -138,14 +138,15 @@
         if entry.guard.is_some() {
             return self.session_until;
         }
-        // Without a guard nobody may remove this host by the short term, unless a write on its way
+        // Without a guard nobody may remove this host after the session term, unless a write in flight
         // names one.
         let writes = self.pending.iter().chain(&self.unconfirmed);
         let named = writes.filter(|w| w.map.is_some()).map(|w| w.sent_at).min();
         named.unwrap_or(now) + self.terms.session_term
     }
 
-    /// The parts of shard `i` that this host may lend.
+    /// The parts of shard `i` that this host may lend: those that it holds in the known map and in
+    /// every write whose outcome is not known.
     pub(crate) fn lendable_parts(&self, now: Duration, i: usize) -> LendableParts {
         let Some(known) = &self.known else {
             return LendableParts::default();
@@ -156,7 +157,7 @@
             let mut maps = writes.filter_map(|w| w.map.as_ref());
             mine(holders(&known.map)) && maps.all(|map| mine(holders(map)))
         };
-        // A loan given now must have lapsed when others may take the part over.
+        // A loan granted now must have expired when other hosts may take over the part.
         let end = now + self.terms.loan_term;
         LendableParts {
             main: end <= self.main_until && mine_everywhere(|map| &map.main),
@@ -169,7 +170,8 @@
         known.map.members.iter().find(|m| m.host == self.me)
     }
 
-    /// The beat that is due, and the guard it goes to.
+    /// The receiver and the sequence number of the heartbeat that is due, if one is, which counts as
+    /// sent.
     pub(crate) fn next_beat(&mut self, now: Duration) -> Option<(HostRef, u32)> {
         if now < self.next_beat_at {
             return None;
@@ -184,7 +186,8 @@
         Some((guard, self.beat_seq))
     }
 
-    /// Whether `from`'s beat may be acknowledged; if so the promise is made.
+    /// Whether a heartbeat of `from` may be acknowledged. If so, records the promise not to remove
+    /// `from`.
     pub(crate) fn promise_not_to_remove(&mut self, now: Duration, from: &HostRef) -> bool {
         let Some(known) = &self.known else {
             return false;
@@ -204,7 +207,7 @@
         true
     }
 
-    /// The guard's promise, for the beat `seq`.
+    /// Applies the acknowledgement of the heartbeat `seq` by the guard.
     pub(crate) fn receive_promise(&mut self, from: &HostRef, seq: u32) {
         let Some(sent_at) = self.beats.get(&seq).copied() else {
             return;
@@ -217,8 +220,8 @@
         self.session_until = self.session_until.max(sent_at + self.terms.session_term);
     }
 
-    /// Whether a write sent before `sent_at` may have named another guard than `guard`, who may
-    /// remove this host a session's term after the write.
+    /// Whether a write sent before `sent_at` may have named another guard than `guard`; that guard
+    /// may remove this host a session term after the write.
     fn may_rename_guard(&self, sent_at: Duration, guard: &HostRef) -> bool {
         let mut writes = self.pending.iter().chain(&self.unconfirmed);
         writes.any(|w| {
@@ -230,18 +233,18 @@
         })
     }
 
-    /// Stops lending, and hands all shards over.
+    /// Stops lending and hands all shards over to other hosts.
     pub(crate) fn hand_over(&mut self) {
         self.shutting_down = true;
         self.retry_at = Duration::ZERO;
     }
 
-    /// Whether this host has left the map.
+    /// Whether the handover is complete: this host is no longer in the map.
     pub(crate) fn is_handed_over(&self) -> bool {
         self.shutting_down && self.known.is_some() && self.entry().is_none()
     }
 
-    /// The call that is due. `live` are the live hosts of the data centre.
+    /// The call of the table that is due, if one is. `live` are the live hosts of the data centre.
     pub(crate) fn next_call(
         &mut self,
         now: Duration,
@@ -288,7 +291,7 @@
         self.entry().is_some() && now + self.terms.main_term * 3 / 4 >= self.main_until
     }
 
-    /// What may be done to another member.
+    /// What this host may do to another member.
     fn member_action(&self, now: Duration, member: &Member) -> plan::MemberAction {
         let Some(observed) = self.observed.get(&member.host) else {
             return plan::MemberAction::Keep;
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Takes a call's answer in; true when a map was changed by this host.
+    /// Applies the answer to call `id`. Returns true if this host's write succeeded.
     pub(crate) fn handle_answer(
         &mut self,
         now: Duration,
@@ -358,7 +361,7 @@
         }
         let received = match outcome.rows.into_iter().flatten().next() {
             None if write.base > 0 => {
-                log::error!("limits: the row {} is gone", self.row);
+                log::error!("limits: the row {} no longer exists", self.row);
                 self.retry_at = now + self.terms.session_term;
                 return false;
             }
@@ -375,7 +378,8 @@
         false
     }
 
-    /// This host's entry was written by a transaction sent at `sent_at`.
+    /// Extends the terms of this host after its entry was written by a transaction sent at
+    /// `sent_at`.
     fn extend_terms(&mut self, sent_at: Duration) {
         let terms = &self.terms;
         self.session_until = self.session_until.max(sent_at + terms.session_term);
@@ -384,7 +388,7 @@
         self.guarded_at = self.guarded_at.max(sent_at);
     }
 
-    /// Takes a map over unless a newer one is known.
+    /// Stores a received map if it is newer than the known one. Returns whether it did.
     pub(crate) fn adopt_map(&mut self, now: Duration, received: VersionedMap) -> bool {
         let newer = self
             .known
@@ -421,7 +425,7 @@
         true
     }
 
-    /// When something may be due.
+    /// When a heartbeat or a call of the table may be due next.
     pub(crate) fn next_due(&self, now: Duration) -> Duration {
         let mut at = now + self.terms.beat_interval;
         if self.entry().is_some_and(|m| m.guard.is_some()) {
@@ -438,7 +442,10 @@
     let map: Option<ShardMap> = serde_json::from_slice(&row.value).ok();
     let map = map.filter(|map| map.main.len() == SHARDS && map.floor.len() == SHARDS);
     if map.is_none() {
-        log::error!("limits: the row {} is not a shard map", row.key);
+        log::error!(
+            "limits: the row {} does not hold a valid shard map",
+            row.key
+        );
     }
     Some(VersionedMap {
         revision: row.mod_revision,
--- a/crates/limits/src/split.rs
+++ b/crates/limits/src/split.rs
@@ -1,14 +1,14 @@
-//! How much of a limit a data centre and a part of a shard hold.
+//! How much of a limit a data centre holds, and how much of that the two parts of a shard hold.
 
 use dragonflyrill_catalogue::{DataCentre, entry::LimitEntry};
 use dragonflyrill_protocol::rights::KeyId;
 use xxhash_rust::xxh3;
 
-/// A limit is parted only so far that each part's burst, and its requests in flight, are at least
-/// this many; a data centre without a part borrows.
+/// A limit is split only as long as the burst of each part, in requests, and its requests in flight
+/// are at least this many. A data centre without a part borrows from the others.
 const MIN_PART_REQUESTS: f64 = 4.0;
 
-/// Rights as a lender holds them.
+/// The rates, bursts and concurrency that a lender may lend.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Share {
     /// Requests a second.
@@ -17,14 +17,14 @@
     pub(crate) tokens: f64,
     /// Requests in flight.
     pub(crate) in_flight: u32,
-    /// Unused requests kept at most.
+    /// The most unused requests that accumulate.
     pub(crate) request_burst: f64,
-    /// Unused tokens kept at most.
+    /// The most unused tokens that accumulate.
     pub(crate) token_burst: f64,
 }
 
 impl Share {
-    /// The whole limit. A burst of less than one request counts as one.
+    /// The share that holds the whole limit. A burst of less than one request counts as one.
     pub(crate) fn full(limit: &LimitEntry) -> Self {
         Self {
             requests: limit.requests_per_second,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// This with the rates and bursts times `f`, and `in_flight`.
+    /// Returns this share with its rates and bursts multiplied by `f`, and with `in_flight`.
     fn scaled(&self, f: f64, in_flight: u32) -> Self {
         Self {
             requests: self.requests * f,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The smaller of each.
+    /// The smaller value of each field.
     pub(crate) fn min(self, other: Self) -> Self {
         Self {
             requests: self.requests.min(other.requests),
@@ -57,9 +57,9 @@
         }
     }
 
-    /// The parts `(main, floor)` of a shard, of which `floor` is the second's fraction.
+    /// Splits the share into `(main, floor)`, where the second part is the fraction `floor` of it.
     ///
-    /// What is too little to be parted stays whole in the second.
+    /// A share that is too small to be split goes entirely to the floor part.
     pub(crate) fn split_floor(self, floor: f64) -> (Self, Self) {
         let smallest = self.request_burst.min(f64::from(self.in_flight));
         let f = if smallest < MIN_PART_REQUESTS {
@@ -72,7 +72,7 @@
         (main, self.scaled(f, in_flight))
     }
 
-    /// Both together.
+    /// The sum of both shares.
     pub(crate) fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests + other.requests,
@@ -84,27 +84,27 @@
     }
 }
 
-/// The part of a limit that a data centre holds.
+/// The fraction of a limit that a data centre holds.
 ///
-/// Each amount grows with the limit's, so that hosts that know different revisions of one limit
-/// never hold more than the larger of them.
+/// Every amount increases monotonically with that of the limit, so the hosts that apply different
+/// revisions of one limit never hold more in total than the larger of them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Fraction {
-    /// Declared by the operator.
+    /// A fraction declared by the operator.
     Declared(f64),
-    /// The `rank`th of `of` equal parts.
+    /// The part with number `rank` of `parts` equal parts.
     Even {
         /// From 0.
         rank: u32,
         /// At least 1.
-        of: u32,
+        parts: u32,
     },
-    /// Nothing.
+    /// No rights.
     None,
 }
 
 impl Fraction {
-    /// The part of `limit` held by `data_centre`, one of `all`.
+    /// The fraction of `limit` that data centre `dc`, one of `all`, holds.
     pub(crate) fn of(limit: &LimitEntry, key: KeyId, all: &[DataCentre], dc: &DataCentre) -> Self {
         if !limit.shares.is_empty() {
             return limit
@@ -114,31 +114,32 @@
         }
         let mut order: Vec<&DataCentre> = all.iter().collect();
         order.sort_by_key(|d| (xxh3::xxh3_64_with_seed(d.as_str().as_bytes(), key.0), *d));
-        let of = max_data_centres(limit).clamp(1, order.len().max(1));
-        match order.iter().take(of).position(|d| *d == dc) {
+        let parts = max_data_centres(limit).clamp(1, order.len().max(1));
+        match order.iter().take(parts).position(|d| *d == dc) {
             Some(rank) => Self::Even {
                 rank: rank as u32,
-                of: of as u32,
+                parts: parts as u32,
             },
             None => Self::None,
         }
     }
 
-    /// The amount held of `limit`.
+    /// The share that this fraction is of `limit`.
     pub(crate) fn share(self, limit: &Share) -> Share {
         let (fraction, in_flight) = match self {
             Self::None => return Share::default(),
             Self::Declared(f) => (f, (f64::from(limit.in_flight) * f) as u32),
-            Self::Even { rank, of } => {
-                let extra = u32::from(rank < limit.in_flight % of);
-                (1.0 / f64::from(of), limit.in_flight / of + extra)
+            Self::Even { rank, parts } => {
+                let extra = u32::from(rank < limit.in_flight % parts);
+                (1.0 / f64::from(parts), limit.in_flight / parts + extra)
             }
         };
         limit.scaled(fraction, in_flight)
     }
 }
 
-/// Over how many data centres a limit can be split without falling under [`MIN_PART_REQUESTS`].
+/// The most data centres over which a limit can be split so that each part still has at least
+/// [`MIN_PART_REQUESTS`].
 fn max_data_centres(limit: &LimitEntry) -> usize {
     let burst = limit.requests_per_second * limit.burst_seconds;
     let smallest = burst.min(f64::from(limit.in_flight)) / MIN_PART_REQUESTS;
--- a/crates/limits/src/status.rs
+++ b/crates/limits/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a host's limits.
+//! The state of a host's limits as shown to operators.
 
 use std::time::Duration;
 
@@ -7,38 +7,39 @@
 
 use crate::key::KeyState;
 
-/// A host's limits.
+/// The state of a host's limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Status {
-    /// The catalogue's revision of the limits this host applies.
+    /// The catalogue revision of the limits that this host applies.
     pub revision: u64,
-    /// The table's revision of the shard map this host knows; 0 before it knows one.
+    /// The table's revision of the newest shard map that this host knows; 0 if it knows none.
     pub map_revision: u64,
     /// Whether this host may lend.
     pub may_lend: bool,
-    /// The limits, in the order of their keys.
+    /// The limits, ordered by key.
     pub keys: Vec<KeyStatus>,
 }
 
-/// One limit on one host.
+/// The state of one limit on one host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KeyStatus {
     /// The limit.
     pub key: LimitKey,
-    /// Unexpired rights this host holds for its own requests.
+    /// Unexpired rights that this host holds for its own requests.
     pub held: Rights,
-    /// Requests in flight.
+    /// Requests in flight that are not suspended.
     pub in_use: u32,
-    /// Requests whose right lapsed and that wait for another.
+    /// Requests whose right has expired and that wait for another.
     pub suspended: u32,
-    /// Asks that wait.
+    /// Admission requests that wait.
     pub waiting: u32,
-    /// In flight that this host may lend; 0 when it does not hold the key's shard.
+    /// Requests in flight that this host may lend; 0 if it does not hold the key's shard.
     pub lendable_in_flight: u32,
-    /// In flight that it has lent, to itself too.
+    /// Requests in flight that this host has lent, including those lent to itself.
     pub lent_in_flight: u32,
-    /// Whether what it has lent is within what it may lend. A lowered limit is in force everywhere
-    /// once this is so at its revision on every host that a shard map names.
+    /// Whether `lent_in_flight` is at most `lendable_in_flight`. A lowered limit is in force
+    /// everywhere once this is true, at the revision that lowered it, on every host that a shard
+    /// map names.
     pub in_force: bool,
 }
 
