--- a/crates/limits/src/baseline.rs
+++ b/crates/limits/src/baseline.rs
@@ -1,8 +1,8 @@
-//! The simpler designs that the limiter is measured against. Not for use.
+//! Simpler designs to compare the limiter with, not for use in a deployment.
 //!
-//! [`StaticSplit`] gives each live host an even part of each limit. [`Leased`] has one host of
-//! each data centre lend the data centre's part of a limit, never to other data centres, under a
-//! lease that is renewed in the table and therefore lasts [`LEASE_TERM`].
+//! [`StaticSplit`] gives each live host an even part of each limit. In [`Leased`] one host of each
+//! data centre lends the data centre's part of a limit, never to other data centres, under a lease
+//! that is renewed in the table and therefore lasts [`LEASE_TERM`].
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -19,11 +19,11 @@
     pool::Pool,
 };
 
-/// 25 data centres with 660 leases each, renewed thrice in a term, would write 1,650 times a
-/// second at this term: already more than the table takes.
+/// The term of a lease. At this term 25 data centres with 660 leases each, renewed three times in
+/// a term, write 1,650 times a second, which is already more than the table can execute.
 pub const LEASE_TERM: Duration = Duration::from_secs(30);
 
-/// One key of [`StaticSplit`].
+/// This host's part of one limit in [`StaticSplit`].
 #[derive(Debug, Clone)]
 struct HostPart {
     limit: LimitEntry,
@@ -33,7 +33,7 @@
     queue: VecDeque<(Ticket, u32, Duration)>,
 }
 
-/// Each live host has an even part of each limit.
+/// A limiter that gives each live host an even part of each limit.
 #[derive(Debug, Clone)]
 pub struct StaticSplit {
     hosts: u32,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes over the limits in force.
+    /// Applies the declared limits.
     pub fn configure(&mut self, now: Duration, declared: &Declaration, _: &mut Vec<Action>) {
         for limit in declared.limits {
             let parts = &mut self.parts;
@@ -76,7 +76,7 @@
         self.split(now);
     }
 
-    /// Takes over the view of which hosts live.
+    /// Replaces the list of live hosts.
     pub fn set_peers(&mut self, now: Duration, peers: &[Peer], _: &mut Vec<Action>) {
         self.hosts = peers.len().max(1) as u32;
         self.split(now);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Asks for a request to be admitted.
+    /// Requests admission.
     pub fn request_admission(
         &mut self,
         now: Duration,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Ends an admitted request.
+    /// Records the end of an admitted request that used `used` tokens.
     pub fn settle(&mut self, now: Duration, ticket: Ticket, used: u32, actions: &mut Vec<Action>) {
         if let Some((i, tokens)) = self.running.remove(&ticket) {
             let part = &mut self.parts[i];
@@ -149,10 +149,10 @@
         }
     }
 
-    /// Hosts tell each other nothing.
+    /// Ignores messages: hosts of this design send none.
     pub fn receive(&mut self, _: Duration, _: &HostRef, _: Message, _: &mut Vec<Action>) {}
 
-    /// Hosts write nothing.
+    /// Ignores answers of the table: hosts of this design do not call it.
     pub fn handle_table_answer(
         &mut self,
         _: Duration,
@@ -162,20 +162,20 @@
     ) {
     }
 
-    /// Does what is due.
+    /// Refuses and admits waiting requests as of `now`.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for i in 0..self.parts.len() {
             self.admit(now, i, actions);
         }
     }
 
-    /// When [`Self::tick`] is to be called next.
+    /// When [`Self::tick`] has to be called next.
     pub fn next_tick(&self, now: Duration) -> Duration {
         let waits = self.parts.iter().any(|p| !p.queue.is_empty());
         now + Duration::from_millis(if waits { 5 } else { 1000 })
     }
 
-    /// Nothing is handed over.
+    /// Does nothing: hosts of this design hold no rights to hand over.
     pub fn hand_over(&mut self, _: Duration, _: &mut Vec<Action>) {}
 }
 
@@ -187,7 +187,7 @@
     }
 }
 
-/// One lender for each key and data centre, under a lease in the table.
+/// A limiter with one lender for each key and data centre, under a lease in the table.
 #[derive(Debug, Clone)]
 pub struct Leased {
     cfg: Config,
@@ -209,12 +209,12 @@
         &mut self.limiter
     }
 
-    /// The same, to look at.
+    /// Like [`Self::limiter`], for reading.
     pub fn limiter_ref(&self) -> &HostLimiter {
         &self.limiter
     }
 
-    /// Takes over the view of which hosts live, those of other data centres left out.
+    /// Replaces the list of live hosts with those of this data centre in `peers`.
     pub fn set_peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
         let near = peers
             .iter()
--- a/crates/limits/src/holder.rs
+++ b/crates/limits/src/holder.rs
@@ -1,4 +1,4 @@
-//! The using side: the asks of one key on this host, and the rights borrowed for them.
+//! The using side: the requests under one key on this host, and the rights borrowed for them.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,15 +12,15 @@
 
 use crate::{Action, Refusal, Ticket, config::Terms};
 
-/// Over which time arrivals are averaged, in seconds.
+/// The time constant of the moving average of arrivals.
 const ARRIVAL_AVERAGE_SECONDS: f64 = 1.0;
-/// An account is kept for so long after its last demand, which is longer than its lender keeps it:
-/// forgotten sooner, its counts would start anew under the lender's eyes.
+/// How long an account is kept after its last demand. The lender keeps its side for a shorter time:
+/// if the holder deleted its side first, its counts would restart while the lender still has them.
 const ACCOUNT_RETENTION: Duration = Duration::from_secs(300);
-/// A lender that could not meet a demand is passed over for so many retries.
+/// For how many retry intervals the next lenders get demands too after one could not meet a demand.
 const SHORT_LENDER_RETRIES: u32 = 2;
 
-/// What this host has from one lender. Times are this host's.
+/// The rights that this host holds from one lender. Times are by this host's clock.
 #[derive(Debug, Clone, PartialEq)]
 struct Account {
     lender: HostRef,
@@ -35,24 +35,24 @@
     renew_at: Duration,
     used_requests: u64,
     used_tokens: i64,
-    /// Until then the lender has less than is wanted of it.
+    /// Until when the lender is assumed to have less than this host needs.
     depleted_until: Duration,
-    /// A demand for what the lender had too little of is not repeated sooner.
+    /// When a demand may be sent again after the lender had too little.
     retry_not_before: Duration,
-    /// Whether rights are left over and the lender should know.
+    /// Whether a demand has to report unused rights to the lender.
     report_due: bool,
 }
 
-/// A demand without its last answer.
+/// A demand whose last answer has not arrived.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct OpenDemand {
     sent_at: Duration,
     resend_at: Duration,
-    /// The part of what is wanted that asks wait for.
+    /// The part of the demanded rights that requests wait for now.
     waiting: Rights,
 }
 
-/// An ask that waits.
+/// A request that waits to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct QueuedRequest {
     ticket: Ticket,
@@ -64,12 +64,12 @@
 #[derive(Debug, Clone, PartialEq)]
 struct Running {
     tokens: u32,
-    /// The first lender whose rights it used.
+    /// The first lender whose rights the request used; unused tokens are settled with it.
     lender: HostRef,
     suspended: bool,
 }
 
-/// The asks of one key on this host.
+/// The requests under one key on this host.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Holder {
     key: KeyId,
@@ -78,14 +78,14 @@
     queued_tokens: u64,
     running: BTreeMap<Ticket, Running>,
     suspended: u32,
-    /// When the lenders expect to have served this host.
+    /// When the last grant expected waiting demands to have been met.
     expected_service_at: Duration,
     arrivals_per_second: f64,
     mean_tokens: f64,
     last_arrival_at: Duration,
 }
 
-/// How much a host holds and uses under a key.
+/// The rights that a host holds under a key, and its use of them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
     pub(crate) held: Rights,
@@ -95,7 +95,7 @@
 }
 
 impl Holder {
-    /// Without asks and rights.
+    /// A holder without requests and rights.
     pub(crate) fn new(key: KeyId) -> Self {
         Self {
             key,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What it holds and uses.
+    /// The rights held and their use.
     pub(crate) fn usage(&self, now: Duration) -> Usage {
         Usage {
             held: self.held(now),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether it neither runs nor waits for anything.
+    /// Whether no request runs or waits.
     pub(crate) fn idle(&self) -> bool {
         self.queue.is_empty() && self.running.is_empty()
     }
@@ -141,7 +141,7 @@
         held
     }
 
-    /// Puts an ask at the end of the queue.
+    /// Appends a request to the queue.
     pub(crate) fn push(&mut self, now: Duration, ticket: Ticket, tokens: u32, admit_by: Duration) {
         let elapsed = now.saturating_sub(self.last_arrival_at).as_secs_f64();
         self.arrivals_per_second = self.arrivals_per_second
@@ -157,17 +157,17 @@
         });
     }
 
-    /// Asks and tokens that wait.
+    /// The number of waiting requests and their tokens in all.
     pub(crate) fn backlog(&self) -> (usize, u64) {
         (self.queue.len(), self.queued_tokens)
     }
 
-    /// How long the lenders expect those that wait to wait.
+    /// How long the last grant expects waiting requests to wait.
     pub(crate) fn expected_wait(&self, now: Duration) -> Duration {
         self.expected_service_at.saturating_sub(now)
     }
 
-    /// Takes an ask that waits out of the queue.
+    /// Removes a waiting request from the queue.
     pub(crate) fn withdraw(&mut self, ticket: Ticket) {
         if let Some(i) = self.queue.iter().position(|w| w.ticket == ticket) {
             self.remove_queued(i);
@@ -180,7 +180,7 @@
         Some(waiting)
     }
 
-    /// Ends a running request that used `used` tokens.
+    /// Records the end of a running request that used `used` tokens.
     pub(crate) fn settle(&mut self, ticket: Ticket, used: u32) {
         let Some(running) = self.running.remove(&ticket) else {
             return;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Admits, suspends, resumes and refuses by what is held now.
+    /// Admits, suspends, resumes and refuses requests according to the rights held now.
     pub(crate) fn update(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.expire_rights(now);
         self.refuse_expired(now, actions);
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Uses one request and `tokens` of what is held; the first lender it came from.
+    /// Uses the right to one request and to `tokens`; returns the first lender that they came from.
     fn use_rights(&mut self, now: Duration, tokens: u32) -> HostRef {
         let mut first = None;
         let (mut requests, mut tokens) = (1, tokens);
@@ -299,7 +299,7 @@
         first.unwrap_or_else(|| self.accounts[0].lender.clone())
     }
 
-    /// Takes a lender's answer in.
+    /// Applies a grant from a lender.
     pub(crate) fn receive_grant(
         &mut self,
         now: Duration,
@@ -338,7 +338,8 @@
         });
     }
 
-    /// The demands that are due, by lender. `lenders` are those who may lend, best first.
+    /// Adds the demands that are due to `out`, with their receivers. `lenders` are the hosts that
+    /// may lend, most preferred first.
     pub(crate) fn demands(
         &mut self,
         now: Duration,
@@ -372,7 +373,8 @@
         }
     }
 
-    /// Opens accounts with new lenders and closes those that are of no more use.
+    /// Opens accounts with new lenders, closes those with former lenders after
+    /// [`ACCOUNT_RETENTION`], and orders them as `lenders`.
     fn update_accounts(&mut self, now: Duration, lenders: &[HostRef]) {
         self.accounts
             .retain(|a| lenders.contains(&a.lender) || now < a.demanded_at + ACCOUNT_RETENTION);
@@ -386,7 +388,8 @@
             .sort_by_key(|a| place(a).unwrap_or(usize::MAX));
     }
 
-    /// What this host would like to hold.
+    /// The rights that this host wants to hold: for requests that run or wait, and for those
+    /// expected to arrive within half a loan term.
     fn target(&self, terms: &Terms) -> Rights {
         let ahead = (self.arrivals_per_second * terms.loan_term.as_secs_f64() / 2.0) as u32;
         let ahead = if self.idle() { 0 } else { ahead };
@@ -438,7 +441,7 @@
         account.seq += 1;
         account.demanded_at = now;
         account.report_due = false;
-        // A report needs no answer.
+        // A demand that only reports use gets no answer.
         account.open = (want != Rights::default()).then_some(OpenDemand {
             sent_at: now,
             resend_at: now + terms.retry_interval,
@@ -457,7 +460,7 @@
         (account.lender.clone(), demand)
     }
 
-    /// When [`Self::update`] or [`Self::demands`] may have something to do.
+    /// When [`Self::update`] or [`Self::demands`] may have work to do.
     pub(crate) fn next_due(&self, now: Duration) -> Option<Duration> {
         let mut at = self.queue.iter().map(|w| w.admit_by).min();
         let mut due = |t: Duration| at = Some(at.map_or(t, |at| at.min(t)));
@@ -504,13 +507,14 @@
         }
     }
 
-    /// No request is left: what it holds, or was settled back, is the lender's to lend on.
+    /// Drops unused requests and tokens after the last request has ended, so that the lender can
+    /// lend them to others.
     fn drop_permits(&mut self) {
         self.report_due |= self.requests + self.tokens + self.in_flight > 0;
         (self.requests, self.tokens) = (0, 0);
     }
 
-    /// What of it has not lapsed.
+    /// The rights that have not expired.
     fn held(&self, now: Duration) -> Rights {
         let permits = self.permits_until > now;
         Rights {
@@ -523,7 +527,7 @@
         }
     }
 
-    /// Adds rights that last until `until` to those held.
+    /// Adds rights that expire at `until` to those held.
     fn add_rights(&mut self, now: Duration, until: Duration, rights: &Rights) {
         let held = self.held(now);
         if until <= now {
@@ -532,7 +536,7 @@
         }
         self.requests = held.requests + rights.requests;
         self.tokens = held.tokens + rights.tokens;
-        // A grant renews what was held when it was asked for, too.
+        // A grant also extends the rights that the demand reported as held.
         self.permits_until = until;
         self.in_flight = rights.in_flight;
         self.in_flight_until = until;
--- a/crates/limits/src/lender.rs
+++ b/crates/limits/src/lender.rs
@@ -1,8 +1,8 @@
 //! The lending side: the rights of one key that this host holds for its data centre.
 //!
-//! Every use of the rights is a loan, the host's own too. The lender deducts before it answers, so
-//! a lost answer only wastes; it waits a margin beyond each term before what it lent counts as its
-//! own again; and its loans never last longer than its own right to lend.
+//! Every use of the rights is a loan, also the host's own. The lender deducts rights before it
+//! answers, so a lost answer only wastes them; it waits a margin beyond each term before it reuses
+//! what it lent; and its loans never last longer than its own right to lend.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,25 +13,25 @@
 
 use crate::{config::Terms, pool::Pool, split::Share};
 
-/// An account without a sign of life for this many loans is closed.
+/// An account without a demand for this many loan terms is closed.
 const IDLE_LOAN_TERMS: u32 = 50;
-/// A grant for less than this is not worth its message.
+/// The shortest term of a grant: a shorter one is not worth its message.
 const MIN_LOAN_TERM: Duration = Duration::from_millis(20);
 
-/// What one host has from this lender.
+/// The rights that one host holds from this lender.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Account {
-    /// The newest demand seen.
+    /// The sequence number of the newest demand received.
     seq: u32,
-    /// The uses it reported.
+    /// The uses that the host reported.
     used_requests: u64,
     used_tokens: i64,
-    /// Handed out and not known to be used or returned.
+    /// Permits that were handed out and are not known to be used or returned.
     requests: f64,
     tokens: f64,
-    /// When that has lapsed for certain; `None` once it has.
+    /// When those permits have certainly expired; `None` once they have.
     permits_until: Option<Duration>,
-    /// In flight lent, until then.
+    /// Requests in flight lent until `in_flight_until`.
     in_flight: u32,
     in_flight_until: Duration,
     unmet: Option<UnmetDemand>,
@@ -39,26 +39,26 @@
     local: bool,
 }
 
-/// A demand that is not met yet.
+/// A demand that is not yet met.
 #[derive(Debug, Clone, PartialEq)]
 struct UnmetDemand {
-    /// Since when the host waits, over all its demands.
+    /// Since when the host has waited, over all its demands; hosts are served in this order.
     waiting_since: Duration,
-    /// When this demand came.
+    /// When this demand was received.
     received_at: Duration,
-    /// Whether the host knows that it waits.
+    /// Whether a first answer was sent, so that the host knows that it waits.
     answered: bool,
     demand: Demand,
 }
 
-/// What those further behind must wait for.
+/// Rights that an unmet demand earlier in the order needs, so that later ones must wait for them.
 #[derive(Debug, Clone, Copy, Default)]
 struct Reserved {
     permits: bool,
     in_flight: bool,
 }
 
-/// The rights of one key, lent out.
+/// Lends the rights of one key.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Lender {
     key: KeyId,
@@ -66,11 +66,11 @@
     requests: Pool,
     tokens: Pool,
     accounts: BTreeMap<HostRef, Account>,
-    /// Whether loans above the share are called back rather than left to end.
+    /// Whether loans above the share are recalled rather than left to end.
     recall: bool,
 }
 
-/// How long grants may last, and what is waited beyond.
+/// The limits on the term of a loan.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LendingTerms {
     /// Until when this host may lend.
@@ -80,14 +80,14 @@
 }
 
 impl LendingTerms {
-    /// How long a loan given at `now` may last.
+    /// The longest term of a loan granted at `now`.
     fn term(&self, now: Duration) -> Duration {
         self.terms.loan_term.min(self.until.saturating_sub(now))
     }
 }
 
 impl Lender {
-    /// A lender that starts with nothing in its buckets.
+    /// A lender with empty buckets.
     pub(crate) fn new(now: Duration, key: KeyId) -> Self {
         Self {
             key,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes over another share. With `recall`, loans above it are not renewed.
+    /// Sets the share. With `recall`, loans above it are not renewed.
     pub(crate) fn set_share(&mut self, now: Duration, share: Share, recall: bool) {
         if share == self.share {
             return;
@@ -111,17 +111,17 @@
         self.tokens.set_rate(now, share.tokens, share.token_burst);
     }
 
-    /// The share.
+    /// The share that this lender may lend.
     pub(crate) fn share(&self) -> Share {
         self.share
     }
 
-    /// In flight lent, here and elsewhere.
+    /// Requests in flight that are lent, to this host and to others.
     pub(crate) fn lent_in_flight(&self) -> u32 {
         self.accounts.values().map(|a| a.in_flight).sum()
     }
 
-    /// Takes a demand in. It is answered by [`Self::serve`].
+    /// Records a demand; [`Self::serve`] answers it. A demand older than the newest one is ignored.
     pub(crate) fn receive_demand(
         &mut self,
         now: Duration,
@@ -157,7 +157,7 @@
         });
     }
 
-    /// Compares what was handed out with what `demand` says became of it.
+    /// Updates the buckets with the uses and the remaining rights that `demand` reports.
     fn settle(&mut self, now: Duration, from: &HostRef, demand: &Demand) {
         let Some(account) = self.accounts.get_mut(from) else {
             return;
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Answers the demands that can be answered now.
+    /// Answers the demands that can be answered now; hosts of this data centre come first.
     pub(crate) fn serve(
         &mut self,
         now: Duration,
@@ -209,7 +209,8 @@
             .collect()
     }
 
-    /// Answers `host`, one of `n` that wait, unless it has to go on waiting.
+    /// Answers the demand of `host`, one of `n` that remain in the order. If the demand is only
+    /// partly met, or not at all, the host goes on waiting.
     fn answer_demand(
         &mut self,
         now: Duration,
@@ -259,7 +260,7 @@
             true => fair_part(tokens, n, head, max_tokens.min(want.tokens)),
             false => 0,
         };
-        // In flight is of use only for requests that run or may be admitted.
+        // Rights to requests in flight are useful only for requests that run or may be admitted.
         let need = (demand.busy + requests).min(want.in_flight);
         let free = if reserved.in_flight { 0 } else { free };
         let rights = Rights {
@@ -270,7 +271,7 @@
                 false => need.min(retained + free).max(retained),
             },
         };
-        // Only the last answer to a demand hands out permits: one that is doubled adds nothing.
+        // Only the last answer to a demand hands out permits, so a duplicated answer adds none.
         let in_flight = requests + tokens > 0 || rights.in_flight >= need;
         reserved.permits |= !permits;
         reserved.in_flight |= rights.in_flight < need;
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Requests and tokens that are waited for.
+    /// The requests and tokens that unmet demands want in all.
     fn backlog(&self) -> (f64, f64) {
         let unmet = self.accounts.values().filter_map(|a| a.unmet.as_ref());
         unmet.fold((0.0, 0.0), |(requests, tokens), unmet| {
@@ -321,7 +322,7 @@
         })
     }
 
-    /// Counts what has lapsed as this lender's own again.
+    /// Reclaims expired rights.
     fn expire(&mut self, now: Duration) {
         for account in self.accounts.values_mut() {
             if account.permits_until.is_some_and(|t| t <= now) {
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Forgets accounts that have been silent for long.
+    /// Closes accounts that have sent no demand for [`IDLE_LOAN_TERMS`].
     pub(crate) fn close_idle(&mut self, now: Duration, terms: &Terms) {
         self.expire(now);
         self.accounts.retain(|_, a| {
@@ -347,7 +348,7 @@
         });
     }
 
-    /// When [`Self::serve`] may have something to do.
+    /// When [`Self::serve`] may have work to do.
     pub(crate) fn next_due(&mut self, now: Duration) -> Option<Duration> {
         let unmet: Vec<_> = self.waiting_order();
         let (_, _, host) = unmet.into_iter().min()?;
@@ -368,13 +369,14 @@
     }
 }
 
-/// `amount` times `part / whole`.
+/// Returns `amount * part / whole`, rounded up.
 fn in_proportion(amount: u32, part: u32, whole: u32) -> u32 {
     let amount = u64::from(amount) * u64::from(part);
     amount.div_ceil(u64::from(whole.max(1))) as u32
 }
 
-/// One of `n` parts of `available`, at least `least` and at most `want`.
+/// One of `n` equal parts of `available`, raised to `min` and then limited to `want` and to
+/// `available`.
 fn fair_part(available: u32, n: u32, min: u32, want: u32) -> u32 {
     (available / n.max(1)).max(min).min(want).min(available)
 }
@@ -382,8 +384,8 @@
 fn settle_pool(pool: &mut Pool, now: Duration, unexpired: bool, out: f64, held: f64, used: f64) {
     match unexpired {
         true => pool.settle(now, used, out - held - used),
-        // What has lapsed made room for new rights at once, and would count twice if it were
-        // returned now; what was settled back since is another matter.
+        // Expired rights made room for new ones at once, so returning them now would count them
+        // twice. Only use that was settled back since is returned.
         false => pool.settle(now, -used.min(0.0).abs(), used.min(0.0).abs()),
     }
 }
--- a/crates/limits/src/session.rs
+++ b/crates/limits/src/session.rs
@@ -138,8 +138,8 @@
         if entry.guard.is_some() {
             return self.session_until;
         }
-        // Without a guard nobody may remove this host after the session term, unless a write in flight
-        // names one.
+        // Without a guard nobody may remove this host after the session term, unless a write in
+        // flight names one.
         let writes = self.pending.iter().chain(&self.unconfirmed);
         let named = writes.filter(|w| w.map.is_some()).map(|w| w.sent_at).min();
         named.unwrap_or(now) + self.terms.session_term
@@ -170,7 +170,7 @@
         known.map.members.iter().find(|m| m.host == self.me)
     }
 
-    /// The receiver and the sequence number of the heartbeat that is due, if one is, which counts as
+    /// The receiver and the sequence number of the heartbeat that is due, if one is. It counts as
     /// sent.
     pub(crate) fn next_beat(&mut self, now: Duration) -> Option<(HostRef, u32)> {
         if now < self.next_beat_at {
