--- a/crates/limits/benches/admission.rs
+++ b/crates/limits/benches/admission.rs
@@ -1,4 +1,4 @@
-//! The cost of an admission and its settlement on a host that lends the key itself.
+//! The time of one admission and its settlement on a host that lends the key itself.
 //!
 //! `cargo bench -p dragonflyrill-limits --bench admission`
 
@@ -12,7 +12,7 @@
 use dragonflyrill_store::table::memory::MemoryTable;
 use support::{data_centre, host, key, limit};
 
-/// A host alone in its data centre, under `owners` times 3 limits.
+/// The limiter of the only host of a data centre, with three limits for each of `owners`.
 fn limiter(owners: usize) -> HostLimiter {
     let mut limiter = HostLimiter::new(Config {
         me: host(0, 1),
--- a/crates/limits/benches/compare.rs
+++ b/crates/limits/benches/compare.rs
@@ -1,4 +1,5 @@
-//! Useful work, fairness, recovery and cost of three designs under the same arrivals and faults.
+//! Compares three designs under the same arrivals and faults: useful work, fairness between owners,
+//! recovery, and the cost in messages and calls of the table.
 //!
 //! `cargo bench -p dragonflyrill-limits --bench compare`
 
@@ -70,18 +71,18 @@
     }
 }
 
-/// A fleet's size.
+/// The size of a fleet.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     name: &'static str,
     data_centres: usize,
     hosts: usize,
     owners: usize,
-    /// Requests a second of each owner.
+    /// The limit of each owner, in requests a second.
     rate: f64,
 }
 
-/// How requests arrive.
+/// The pattern in which requests arrive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Arrivals {
     Steady,
@@ -90,7 +91,7 @@
     Overload,
 }
 
-/// What goes wrong five seconds into the measured time.
+/// The fault that occurs five seconds after the measurement begins.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -100,7 +101,7 @@
 }
 
 impl Arrivals {
-    /// Demand over the limit at `t`.
+    /// The arrival rate at `t` as a multiple of the limit.
     fn demand(self, t: Duration) -> f64 {
         match self {
             Self::Steady => 0.8,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Lets requests arrive for `time`; tokens they wanted in all.
+    /// Runs the fleet under arrivals for `time`. Returns the tokens that they want in all.
     fn load(&mut self, time: Duration) -> f64 {
         let end = self.fleet.now + time;
         let mut wanted = 0.0;
@@ -158,7 +159,7 @@
         wanted
     }
 
-    /// The live host that an owner's next call comes to.
+    /// The live host that receives an owner's next request.
     fn host(&mut self, owner: usize) -> usize {
         let hosts = self.size.hosts;
         let skewed = self.arrivals == Arrivals::Skewed && self.fleet.rng.random_bool(0.7);
@@ -184,7 +185,7 @@
     }
 }
 
-/// The limits: tokens bind first, then requests.
+/// The limits. Requests use up the tokens first and the number of requests second.
 fn limits(size: Size) -> Vec<LimitEntry> {
     let of = |key: LimitKey| {
         let tokens = size.rate * f64::from(TOKENS) * 0.75;
@@ -237,7 +238,7 @@
         .map(|i| (after[i] - before[i]) / (bound * seconds))
         .collect();
     let useful = shares.iter().sum::<f64>() / size.owners as f64;
-    let min_share = shares.iter().copied().fold(f64::MAX, f64::min);
+    let least = shares.iter().copied().fold(f64::MAX, f64::min);
     let possible = (wanted / (total_rate * seconds)).min(1.0);
     let squares: f64 = shares.iter().map(|s| s * s).sum();
     let jain = (useful * size.owners as f64).powi(2) / (size.owners as f64 * squares);
@@ -251,7 +252,7 @@
         .unwrap_or_default();
     println!(
         "{:8} {design:8} {:9} {:12} useful/bound {useful:.3} of possible {:.3} least owner \
-         {min_share:.3} Jain {jain:.4} | slow until {slow_until:4.1} s | over {} | suspended {} | wait \
+         {least:.3} Jain {jain:.4} | slow until {slow_until:4.1} s | over {} | suspended {} | wait \
          p99 {:5.1} ms | {:6.1} msg/s {:7.0} B/s a host | table {:.2} reads/s {:.2} writes/s | \
          ran {:.1} s",
         size.name,
--- a/crates/limits/tests/fair.rs
+++ b/crates/limits/tests/fair.rs
@@ -1,8 +1,9 @@
-//! The queue that owners share.
+//! Tests of the fair queue: an owner with many items, or with large ones, must not take more than
+//! its weight allows from the others.
 
 use dragonflyrill_limits::fair::FairQueue;
 
-/// Owners in the order served, `n` of them.
+/// Serves up to `n` items and returns their owners in order.
 fn served(queue: &mut FairQueue<u32, u32>, n: usize) -> Vec<u32> {
     (0..n).filter_map(|_| queue.pop()).collect()
 }
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn weight_scales_an_owners_part() {
+fn weight_scales_an_owners_share() {
     let mut queue = FairQueue::new(1000);
     for _ in 0..400 {
         queue.push(0, &1, 3, 10, 1).unwrap();
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_full_owner_leaves_room_for_another() {
+fn a_full_queue_of_one_owner_does_not_block_another() {
     let mut queue = FairQueue::new(1);
     queue.push(0, &1, 1, 1, 1).unwrap();
     assert!(queue.push(0, &1, 1, 1, 1).is_err());
--- a/crates/limits/tests/faults.rs
+++ b/crates/limits/tests/faults.rs
@@ -1,4 +1,6 @@
-//! Random faults of all kinds at once, judged by a ledger kept apart from the limiters.
+//! Random combinations of faults, checked by a ledger that is independent of the limiters: rights
+//! must not be duplicated by pauses, restarts, handovers, partitions, outages of the table and lost
+//! or duplicated messages, nor exceed a limit that is lowered.
 
 mod support;
 
@@ -96,7 +98,7 @@
     fleet.ledger.violations
 }
 
-/// Asks on random hosts for `ms` milliseconds.
+/// Sends requests of random size to random hosts for `ms` milliseconds.
 fn load(fleet: &mut Fleet<HostLimiter>, hosts: &[usize], ms: u32) {
     let end = fleet.now + ms * MS;
     while fleet.now < end {
@@ -118,14 +120,14 @@
     }
 }
 
-/// The same schedules in every run.
+/// The seed of the schedules, so that every run has the same ones.
 const SEED: RngSeed = RngSeed::Fixed(6);
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: SEED, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_mix_of_faults_passes_the_limits(
+    fn no_mix_of_faults_exceeds_the_limits(
         seed in any::<u64>(),
         faults in proptest::collection::vec((0..1500u32, fault()), 1..25),
     ) {
--- a/crates/limits/tests/fleet.rs
+++ b/crates/limits/tests/fleet.rs
@@ -1,4 +1,6 @@
-//! The limits of a whole fleet, without and with faults.
+//! Tests the limits of a whole fleet, without faults, with a dead host and with an outage of the
+//! table. Demand above the limit must be met up to the limit and never beyond, and rights that a
+//! dead host held must not stay unused.
 
 mod support;
 
@@ -23,14 +25,14 @@
     fleet
 }
 
-/// Asks for 200 tokens `n` times a second on host `i` for `time`.
+/// Sends `per_second` requests of 200 tokens a second to `hosts` in turn, for `time`.
 fn load(fleet: &mut Fleet<HostLimiter>, hosts: &[usize], per_second: u32, time: Duration) {
     let step = SECOND / per_second;
     let end = fleet.now + time;
-    let mut turn = 0;
+    let mut next_host = 0;
     while fleet.now < end {
-        let i = hosts[turn % hosts.len()];
-        turn += 1;
+        let i = hosts[next_host % hosts.len()];
+        next_host += 1;
         fleet.request_admission(i, &key(0, 0), 200, 200, 200 * MS, SECOND);
         let next = fleet.now + step;
         fleet.run(next);
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn a_platform_outage_takes_nothing_while_the_guards_live() {
+fn a_table_outage_takes_no_rights_while_guards_are_alive() {
     let mut fleet = fleet(4, 6, 3);
     fleet.table_up = false;
     load(&mut fleet, &[0, 1, 2, 3, 4, 5], 300, 30 * SECOND);
--- a/crates/limits/tests/search.rs
+++ b/crates/limits/tests/search.rs
@@ -1,6 +1,7 @@
-//! Exhaustive search of the real state machines: every order of deliveries, losses, doublings,
-//! pauses, deaths and lost table answers up to a bound, and for each safeguard a mutation that
-//! the search must catch.
+//! Exhaustive search of the real state machines: every order of deliveries, losses, duplicates,
+//! pauses, crashes and lost answers of the table up to a bound. Requests in flight must never
+//! exceed the limit. For each safeguard there is a mutation that removes it, which the search must
+//! detect.
 
 mod support;
 
@@ -26,41 +27,41 @@
 use support::{data_centre, host, key, limit};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A search that takes more is not done, and its test fails.
+/// The test of a search that visits more states fails.
 const MAX_STATES: usize = 25_000;
-/// One step of time, in true milliseconds.
+/// The length of one step of time, in milliseconds of true time.
 const STEP_MS: u64 = 100;
-/// Steps in which a holder's beats are answered before a takeover is searched: enough for a guard
-/// that forgets its answers to remove its host.
+/// The steps in which a holder's heartbeats are acknowledged before a takeover is searched: enough
+/// for a guard that forgets its acknowledgements to remove its host.
 const ANSWERED_STEPS: u32 = 3;
-/// A loan so short that the heir's wait for loans ends before the session of the host that it
-/// takes over from: only the guard's promise keeps the two apart.
+/// A loan term so short that the new holder's wait for earlier loans ends before the session of the
+/// previous holder: only the guard's promise prevents both from lending at the same time.
 const SHORT_LOAN: Duration = Duration::from_millis(30);
-/// The first host's clock is true, the others' run slow.
+/// The speed of the clocks of all hosts but the first, whose clock runs at true speed.
 const SLOW_CLOCK_SPEED: f64 = 0.9;
 
-/// A safeguard taken away.
+/// A removed safeguard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Mutation {
     #[default]
     None,
-    /// A holder uses rights past their term.
+    /// A holder uses rights beyond their term, as its grants state a longer one.
     LongGrants,
-    /// A lender counts rights as its own again at the end of the term, without the margin.
+    /// A lender reuses rights at the end of the term, without the margin.
     NoMargin,
-    /// A lender sends rights and does not deduct them.
+    /// A lender grants rights and does not deduct them.
     NoDeduction,
     /// Writes of the shard map are unconditional.
     Unfenced,
-    /// A guard forgets what it promised, and removes its host sooner.
+    /// A guard forgets its promises and removes its host too early.
     ForgetfulGuard,
-    /// A new holder of a shard does not wait for the loans of the last one.
+    /// A new holder of a shard does not wait until the loans of the previous one have expired.
     NoLoanWait,
-    /// A host does not stop what runs under a lapsed right.
+    /// A host does not stop a request whose right has expired.
     NoSuspend,
 }
 
-/// What may still go wrong.
+/// How many events of each kind may still occur.
 #[derive(Debug, Clone, Copy, Default)]
 struct Budget {
     steps: u32,
@@ -89,7 +90,7 @@
     table: MemoryTable,
 }
 
-/// A state in the search: equal when its print is.
+/// A state in the search, compared by its fingerprint.
 #[derive(Clone)]
 struct Node {
     state: Rc<State>,
@@ -145,7 +146,8 @@
     };
     match mutation {
         Mutation::NoMargin if i == 0 => terms.clock_margin = ms(0),
-        // The last holder's loans, counted from the ask, run until the heir's bucket has filled.
+        // The loans of the previous holder, counted from the demand, last until the bucket of the
+        // new holder has filled.
         Mutation::NoLoanWait if i == 0 => {
             (terms.loan_term, terms.session_term) = (ms(390), ms(500))
         }
@@ -201,7 +203,7 @@
         if let (Mutation::LongGrants, Message::Grant(grants)) = (self.mutation, &mut message) {
             grants.iter_mut().for_each(|g| g.term_ms *= 3);
         }
-        // Of a host's beats, and of their acknowledgements, the newest may still arrive.
+        // Only the newest of a host's heartbeats, and of its acknowledgements, stays in flight.
         let kind = std::mem::discriminant(&message);
         if matches!(message, Message::Beat { .. } | Message::BeatAck { .. }) {
             self.net
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Has `from` tell `to` the map of the table.
+    /// Delivers the map of the table to `to` as a message of `from`.
     fn deliver_table_map(&mut self, from: usize, to: usize) {
         let key = self.table.keys().next().unwrap();
         let row = self.table.row(key).unwrap();
@@ -267,8 +269,8 @@
         self.with(i, |l, now, a| l.configure(now, &declared, a));
     }
 
-    /// Each way to go on.
-    fn successors(&self) -> Vec<Node> {
+    /// All states that one event leads to.
+    fn next_states(&self) -> Vec<Node> {
         let mut next = Vec::new();
         let mut go = |step: String, change: &dyn Fn(&mut State)| {
             let mut state = self.clone();
@@ -320,14 +322,14 @@
                 continue;
             }
             if self.paused[i] {
-                go(format!("{i} wakes"), &|s| {
+                go(format!("{i} resumes"), &|s| {
                     s.paused[i] = false;
                     s.with(i, |l, now, a| l.tick(now, a));
                 });
                 continue;
             }
             if b.requests > 0 {
-                go(format!("ask {i}"), &|s| {
+                go(format!("request on {i}"), &|s| {
                     s.budget.requests -= 1;
                     request_admission(s, i);
                 });
@@ -347,20 +349,20 @@
                 });
             }
             if b.crashes > 0 {
-                go(format!("{i} dies"), &|s| {
+                go(format!("{i} crashes"), &|s| {
                     s.budget.crashes -= 1;
                     s.hosts[i] = None;
                     s.running[i].clear();
                 });
             }
             if b.handovers > 0 && i == 0 {
-                go(format!("{i} leaves"), &|s| {
+                go(format!("{i} hands over"), &|s| {
                     s.budget.handovers -= 1;
                     s.with(i, |l, now, a| l.hand_over(now, a));
                 });
             }
             if b.declarations > 0 {
-                go(format!("{i} learns of the raised limit"), &|s| {
+                go(format!("{i} applies the raised limit"), &|s| {
                     s.budget.declarations -= 1;
                     let raised = [limit(key(0, 0), 1000.0, 1000.0, s.limit)];
                     s.declare(i, &raised, 2);
@@ -377,8 +379,8 @@
     }
 }
 
-/// A data centre of `n` hosts in which the first holds all shards and, if `guarded`, the second
-/// is its guard; all in order.
+/// A data centre of `n` hosts without faults, in which the first host holds all shards. If `guarded`
+/// the second host is its guard; if `with_replacement` the first can hand over to the others.
 fn fleet(
     mutation: Mutation,
     n: usize,
@@ -396,7 +398,7 @@
     )
 }
 
-/// Like [`fleet`], with the terms of each host.
+/// Like [`fleet`], with terms for each host.
 fn fleet_with(
     terms: impl Fn(usize) -> Terms,
     mutation: Mutation,
@@ -452,7 +454,7 @@
         state.deliver_table_map(1, 0);
     }
     deliver_all(&mut state);
-    // From here on hosts neither move shards for balance nor name further guards.
+    // From here on hosts neither move shards for balance nor name other guards.
     let seen = if with_replacement {
         &peers[..]
     } else {
@@ -465,7 +467,7 @@
     state
 }
 
-/// Time in which the guard hears nothing.
+/// Advances time by two steps in which all messages are lost, also those to the guard.
 fn drop_messages_for_two_steps(state: &mut State) {
     for _ in 0..2 {
         state.step();
@@ -473,7 +475,7 @@
     }
 }
 
-/// Delivers what is on its way.
+/// Delivers all messages and answers in flight.
 fn deliver_all(state: &mut State) {
     for _ in 0..10 {
         if let Some((from, to, message)) = state.net.pop() {
@@ -485,7 +487,8 @@
     }
 }
 
-/// The shortest way over the limit, if there is one within the budget, and the states searched.
+/// Returns the number of states searched and the shortest path to a state that exceeds the limit,
+/// if one exists within the budget.
 fn search(start: State) -> (usize, Option<Vec<String>>) {
     let states = Cell::new(0);
     let limit = start.limit as usize;
@@ -493,13 +496,13 @@
         &node(start, "start"),
         |n| {
             states.set(states.get() + 1);
-            n.state.successors()
+            n.state.next_states()
         },
         |n| n.state.in_flight() > limit || states.get() > MAX_STATES,
     );
     assert!(
         states.get() <= MAX_STATES,
-        "not done after {MAX_STATES} states"
+        "not finished after {MAX_STATES} states"
     );
     let path = path.map(|nodes| nodes.into_iter().map(|n| n.step).collect());
     (states.get(), path)
@@ -507,7 +510,7 @@
 
 fn assert_holds(name: &str, start: State) {
     let (states, path) = search(start);
-    println!("search {name}: {states} states, none over the limit");
+    println!("search {name}: {states} states, none exceeds the limit");
     assert_eq!(path, None);
 }
 
@@ -533,10 +536,11 @@
     State { budget, ..state }
 }
 
-/// A takeover after the holder's beats were answered for some steps and it runs a request.
+/// A takeover from a holder that runs a request and whose heartbeats were acknowledged for some
+/// steps.
 ///
-/// A guard that keeps its promises removes nobody here. One that forgets them has written its
-/// host out by now, and what is left to search is the time until its heir lends.
+/// A guard that keeps its promises removes no host here. A guard that forgets them has removed its
+/// host from the map by now, so the search covers the time until the new holder lends.
 fn answered_beats(mutation: Mutation) -> State {
     let short = |_| Terms {
         loan_term: SHORT_LOAN,
@@ -558,7 +562,7 @@
     }
 }
 
-/// Delivers beats and their acknowledgements; all else stays on its way.
+/// Delivers heartbeats and their acknowledgements; all other messages stay in flight.
 fn deliver_beats(state: &mut State) {
     let is_beat = |m: &Message| matches!(m, Message::Beat { .. } | Message::BeatAck { .. });
     while let Some(k) = state.net.iter().position(|(_, _, m)| is_beat(m)) {
@@ -624,7 +628,7 @@
     ..NO_EVENTS
 };
 
-/// Enough for a right to lapse with its lender and be lent again.
+/// Enough steps for a right to expire at its lender and be lent again.
 const RELENDING: Budget = Budget {
     steps: 4,
     ..TERM_ENDS
@@ -668,35 +672,35 @@
 };
 
 #[test]
-fn loans_never_pass_the_limit_when_messages_are_lost_or_doubled() {
+fn loans_never_exceed_the_limit_when_messages_are_lost_or_doubled() {
     assert_holds("loans with losses", loans(Mutation::None, LOSSES));
 }
 
 #[test]
-fn loans_never_pass_the_limit_when_messages_are_late() {
+fn loans_never_exceed_the_limit_when_messages_are_late() {
     assert_holds("late messages", loans(Mutation::None, TERM_ENDS));
 }
 
 #[test]
-fn loans_never_pass_the_limit_when_hosts_pause() {
+fn loans_never_exceed_the_limit_when_hosts_pause() {
     assert_holds("loans with pauses", loans(Mutation::None, PAUSES));
 }
 
 #[test]
-fn takeovers_never_pass_the_limit() {
+fn takeovers_never_exceed_the_limit() {
     assert_holds("takeover", takeover(Mutation::None, TAKEOVER));
 }
 
 #[test]
-fn takeovers_never_pass_the_limit_when_an_answer_is_lost() {
+fn takeovers_never_exceed_the_limit_when_an_answer_is_lost() {
     assert_holds(
-        "takeover in doubt",
+        "takeover with a lost answer",
         takeover(Mutation::None, TAKEOVER_LOST_ANSWER),
     );
 }
 
 #[test]
-fn handovers_never_pass_the_limit() {
+fn handovers_never_exceed_the_limit() {
     assert_holds("handover", handover(Mutation::None, HANDOVER));
 }
 
@@ -706,7 +710,7 @@
 }
 
 #[test]
-fn a_lender_without_margin_is_caught() {
+fn a_lender_without_a_margin_is_caught() {
     assert_caught("no margin", loans(Mutation::NoMargin, RELENDING));
 }
 
@@ -735,7 +739,7 @@
 }
 
 #[test]
-fn takeovers_never_pass_the_limit_while_beats_are_answered() {
+fn takeovers_never_exceed_the_limit_while_beats_are_answered() {
     assert_holds("answered beats", answered_beats(Mutation::None));
 }
 
@@ -745,11 +749,11 @@
 }
 
 #[test]
-fn handovers_never_pass_the_limit_while_a_loan_lasts() {
-    assert_holds("loan of a leaver", handover_with_a_loan(Mutation::None));
+fn handovers_never_exceed_the_limit_while_a_loan_lasts() {
+    assert_holds("handover with a loan", handover_with_a_loan(Mutation::None));
 }
 
 #[test]
-fn an_heir_that_does_not_wait_is_caught() {
+fn a_new_holder_that_does_not_wait_is_caught() {
     assert_caught("no wait", handover_with_a_loan(Mutation::NoLoanWait));
 }
--- a/crates/limits/tests/support/fleet.rs
+++ b/crates/limits/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: events by time, one seed.
+//! The simulated fleet: an event queue ordered by time, driven by one seed.
 
 use std::{
     cmp::Reverse,
@@ -25,7 +25,7 @@
 
 use super::{data_centre, host, ledger::Ledger};
 
-/// Any design of a limiter.
+/// The interface that all limiter designs share.
 pub trait Limiter {
     fn new(cfg: Config) -> Self;
     fn configure(&mut self, now: Duration, d: &Declaration<'_>, actions: &mut Vec<Action>);
@@ -101,18 +101,18 @@
 pub(crate) use forward;
 forward!(HostLimiter);
 
-/// How the network and the clocks behave.
+/// The behaviour of the network, the table and the clocks.
 #[derive(Debug, Clone)]
 pub struct Conditions {
-    /// One-way delay between hosts, at least and at most.
+    /// The bounds of the one-way delay between hosts.
     pub delay: (Duration, Duration),
-    /// Of messages between hosts.
+    /// The probability that a message between hosts is lost; `duplicate`: that it arrives twice.
     pub loss: f64,
     pub duplicate: f64,
-    /// Of the table's answers.
+    /// The probability that an answer of the table is lost.
     pub lost_answers: f64,
     pub table_delay: (Duration, Duration),
-    /// How much faster or slower than true a host's clock may run.
+    /// The fraction by which a host's clock may run fast or slow.
     pub drift: f64,
 }
 
@@ -159,7 +159,7 @@
     }
 }
 
-/// One life of a host. Lives are never reused.
+/// One incarnation of a host. An entry of a fleet's list is never reused for another one.
 pub struct HostIncarnation<L> {
     pub me: HostRef,
     pub dc: DataCentre,
@@ -170,7 +170,7 @@
     tick_at: Duration,
 }
 
-/// A request that was asked for.
+/// A request for which admission was requested.
 #[derive(Debug, Clone)]
 struct Request {
     key: LimitKey,
@@ -181,7 +181,7 @@
     running: bool,
 }
 
-/// Counts of what was sent.
+/// Counts of messages, of calls of the table and of the limiters' decisions.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
     pub messages: u64,
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Starts a host; its place among the lives.
+    /// Starts a host. Returns its index in `incarnations`.
     pub fn start(&mut self, name: usize, incarnation: u64, dc: usize) -> usize {
         let me = host(name, incarnation);
         let cfg = Config {
@@ -296,7 +296,7 @@
         self.with(i, |l, now, a| l.configure(now, &declared, a));
     }
 
-    /// Declares other limits to some hosts.
+    /// Declares `limits` to the live hosts for which `to` returns true.
     pub fn declare(&mut self, limits: &[LimitEntry], to: impl Fn(usize) -> bool) {
         self.limits = limits.to_vec();
         self.revision += 1;
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Kills a host. Its peers learn of it by and by.
+    /// Kills a host. Its peers are informed after `detection_delay`.
     pub fn kill(&mut self, i: usize) {
         self.incarnations[i].alive = false;
         self.ledger.stop(i);
@@ -337,9 +337,9 @@
         self.schedule(at, Event::Detect);
     }
 
-    /// Pauses a host: it runs nothing until then.
+    /// Pauses a host until `until`.
     ///
-    /// The host drives its requests, so that nothing of them runs meanwhile.
+    /// The host drives its requests, so none of them runs while it is paused.
     pub fn pause(&mut self, i: usize, until: Duration) {
         if !self.incarnations[i].alive || self.incarnations[i].paused_until > self.now {
             return;
@@ -350,7 +350,7 @@
         self.ledger.stop(i);
     }
 
-    /// Counts again what a host that was paused still runs.
+    /// Adds the requests that a host still runs after a pause to the ledger again.
     fn resume_requests(&mut self, i: usize) {
         let mut running: Vec<(Ticket, LimitKey)> = self
             .requests
@@ -364,7 +364,7 @@
         }
     }
 
-    /// Lowers or raises a limit in flight; the hosts learn of it one after the other.
+    /// Lowers or raises a limit of requests in flight. The hosts apply it one after the other.
     pub fn set_in_flight(&mut self, key: &LimitKey, n: u32) {
         let old = self.ledger.limits[key].in_flight;
         let old = old.max(
@@ -395,7 +395,7 @@
         self.with(i, |l, now, a| l.hand_over(now, a));
     }
 
-    /// The host's own time.
+    /// The time by the host's own clock.
     pub fn local_time(&self, i: usize) -> Duration {
         let (offset, speed) = self.incarnations[i].clock;
         offset + self.now.mul_f64(speed)
@@ -406,7 +406,7 @@
         local_time.saturating_sub(offset).div_f64(speed)
     }
 
-    /// Calls a limiter and carries out its actions.
+    /// Calls a limiter and executes its actions.
     fn with<R>(
         &mut self,
         i: usize,
@@ -435,7 +435,7 @@
 
     fn carry_out(&mut self, i: usize, action: Action) {
         match action {
-            Action::Admit(ticket) => self.granted(i, ticket),
+            Action::Admit(ticket) => self.admit(i, ticket),
             Action::Refuse { ticket, .. } => {
                 self.traffic.refused += 1;
                 self.requests.remove(&(i, ticket));
@@ -461,10 +461,10 @@
         }
     }
 
-    fn granted(&mut self, i: usize, ticket: Ticket) {
+    fn admit(&mut self, i: usize, ticket: Ticket) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&(i, ticket)) else {
-            panic!("an unknown ask was granted");
+            panic!("a request that is not known was admitted");
         };
         r.running = true;
         let r = r.clone();
@@ -516,7 +516,8 @@
             .push(Reverse(ScheduledEvent(at, self.seq, event)));
     }
 
-    /// Asks host `i` for a request of `tokens` that uses `used` and takes `takes`.
+    /// Requests admission on host `i` of a request of `tokens` that uses `used` of them, runs for
+    /// `run_time`, and is refused if it is not admitted `within` this time.
     pub fn request_admission(
         &mut self,
         i: usize,
@@ -552,7 +553,7 @@
         self.apply(i, now, actions);
     }
 
-    /// Runs until `until`.
+    /// Runs the simulation until `until`.
     pub fn run(&mut self, until: Duration) {
         while let Some(Reverse(ScheduledEvent(at, _, _))) = self.events.peek() {
             if *at > until {
@@ -582,7 +583,7 @@
             }
             let until = self.incarnations[i].paused_until;
             if until > self.now {
-                // What waits for a paused host is handled when it wakes, its own timers first.
+                // Events of a paused host are handled when it resumes, its own timers first.
                 if matches!(event, Event::Tick(_)) {
                     self.incarnations[i].tick_at = until;
                 }
@@ -604,19 +605,19 @@
             Event::Deliver(i, from, message) => {
                 self.with(i, |l, now, a| l.receive(now, &from, message, a));
             }
-            Event::RunTableCall(i, id, call) => self.table_run(i, id, &call),
+            Event::RunTableCall(i, id, call) => self.run_table_call(i, id, &call),
             Event::TableAnswer(i, id, result) => {
                 self.with(i, |l, now, a| l.handle_table_answer(now, id, result, a));
             }
-            Event::End(i, ticket) => self.ended(i, ticket),
+            Event::End(i, ticket) => self.finish_request(i, ticket),
             Event::Configure(i) => self.configure(i),
             Event::Detect => self.update_peers(),
         }
     }
 
-    fn table_run(&mut self, i: usize, id: TxnId, call: &TableCall) {
+    fn run_table_call(&mut self, i: usize, id: TxnId, call: &TableCall) {
         if !self.incarnations[i].alive {
-            // What a host sent before it died still takes effect.
+            // A call that a host sent before it died still takes effect.
             if self.table_up
                 && !self
                     .table_unreachable_from
@@ -648,7 +649,7 @@
         self.schedule(at, Event::TableAnswer(i, id, result));
     }
 
-    fn ended(&mut self, i: usize, ticket: Ticket) {
+    fn finish_request(&mut self, i: usize, ticket: Ticket) {
         let Some(r) = self.requests.remove(&(i, ticket)) else {
             return;
         };
@@ -658,7 +659,7 @@
     }
 }
 
-/// The bytes of a message as the peers' transport writes it.
+/// The number of bytes of a message in the encoding of the peers' transport.
 fn bytes(message: &Message) -> u64 {
     let mut codec: Bincode<Message, Message> = Bincode::default();
     let raw = Pin::new(&mut codec).serialize(message).unwrap();
--- a/crates/limits/tests/support/ledger.rs
+++ b/crates/limits/tests/support/ledger.rs
@@ -1,4 +1,4 @@
-//! What was in use when, over the whole fleet, counted apart from the limiters.
+//! Counts the use of all limits over the whole fleet, independently of the limiters.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,7 +8,7 @@
 use dragonflyrill_catalogue::entry::{LimitEntry, LimitKey};
 use dragonflyrill_limits::Ticket;
 
-/// A rate's bound over all windows so far.
+/// Tracks how far any window so far has exceeded a rate.
 #[derive(Debug, Clone, Default)]
 struct Window {
     sum: f64,
@@ -17,7 +17,7 @@
 }
 
 impl Window {
-    /// Adds `amount` at `now`; the largest excess of any window over `rate * window`.
+    /// Adds `amount` at `now`. Returns the largest excess of any window over `rate * window`.
     fn add(&mut self, now: Duration, amount: f64, rate: f64) -> f64 {
         let line = rate * now.as_secs_f64();
         self.min_excess = self.min_excess.min(self.sum - line);
@@ -27,27 +27,28 @@
     }
 }
 
-/// One key's use.
+/// The use of one key.
 #[derive(Debug, Clone, Default)]
 pub struct KeyUsage {
     in_flight: BTreeMap<(usize, Ticket), u32>,
     requests: Window,
     tokens: Window,
-    /// Tokens admitted and not settled back.
+    /// Tokens admitted, less those settled back.
     pub net_tokens: f64,
     pub admitted: u64,
     pub max_in_flight: usize,
 }
 
-/// The fleet's use, checked against the limits at each event.
+/// The use of the fleet, checked against the limits at each event.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     pub limits: HashMap<LimitKey, LimitEntry>,
     pub used: HashMap<LimitKey, KeyUsage>,
-    /// Limits being lowered: in flight is not judged until it has once been within.
+    /// The highest earlier limit of requests in flight of each key whose limit was changed. Use up
+    /// to it is allowed, because hosts apply a change one after the other.
     pub previous_in_flight: HashMap<LimitKey, u32>,
     pub violations: Vec<String>,
-    /// How much faster than true a clock may run: rates are kept by the lenders' clocks.
+    /// The fraction by which a clock may run fast: rates are limited by the clocks of the lenders.
     pub drift: f64,
 }
 
@@ -96,7 +97,7 @@
         self.check(now, key);
     }
 
-    /// The host runs nothing any more.
+    /// Records that the host no longer runs any request.
     pub fn stop(&mut self, host: usize) {
         for used in self.used.values_mut() {
             used.in_flight.retain(|(h, _), _| *h != host);
--- a/crates/limits/tests/support/mod.rs
+++ b/crates/limits/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real limiters in one thread, with clocks, a network and a table that can fail.
+//! Simulates a fleet of real limiters in one thread, with clocks, a network and a table that fail.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod fleet;
