--- a/crates/limits/src/host.rs
+++ b/crates/limits/src/host.rs
@@ -122,7 +122,7 @@
         let id = key_id(key);
         if self.id_index.contains_key(&id) {
             log::error!(
-                "limits: the hash of {key:?} collides with that of another key; the key has no limit"
+                "limits: the hash of {key:?} collides with that of another key; it has no limit"
             );
             return None;
         }
--- a/crates/limits/src/host/messages.rs
+++ b/crates/limits/src/host/messages.rs
@@ -95,13 +95,13 @@
         &mut self,
         now: Duration,
         from: &HostRef,
-        found: VersionedMap,
+        received: VersionedMap,
         actions: &mut Vec<Action>,
     ) {
         let Some(peer) = self.peers.iter().find(|p| p.host == *from) else {
             return;
         };
-        if found.map.main.len() != SHARDS || found.map.floor.len() != SHARDS {
+        if received.map.main.len() != SHARDS || received.map.floor.len() != SHARDS {
             log::warn!(
                 "limits: {} sent a shard map with a wrong number of shards",
                 from.id
@@ -110,14 +110,14 @@
         }
         if peer.data_centre == self.cfg.data_centre {
             let old = self.session.known_map().cloned();
-            if self.session.adopt_map(now, found) {
+            if self.session.adopt_map(now, received) {
                 self.handle_map_change(now, old, false, actions);
             }
             return;
         }
         let known = self.other_maps.entry(peer.data_centre.clone()).or_default();
-        if known.revision < found.revision {
-            *known = found;
+        if known.revision < received.revision {
+            *known = received;
             self.update_lenders();
         }
     }
@@ -143,8 +143,8 @@
                 let mine = holders(&new.map).get(i) == Some(&Some(me.clone()));
                 // Rights that this host's write took from another holder, or from none when it
                 // created the row, had expired before the write.
-                let lapsed = wrote && (before.is_some() || old.revision == 0);
-                mine && before.as_ref() != Some(me) && !lapsed
+                let expired_before = wrote && (before.is_some() || old.revision == 0);
+                mine && before.as_ref() != Some(me) && !expired_before
             };
             let loan_wait = &mut self.loan_wait[i];
             if gained(|m| &m.main) {
--- a/crates/limits/src/lender.rs
+++ b/crates/limits/src/lender.rs
@@ -193,7 +193,7 @@
         out: &mut Vec<(HostRef, Grant)>,
     ) {
         self.expire(now);
-        let mut order: Vec<(bool, Duration, HostRef)> = self.waiting_order();
+        let mut order: Vec<(bool, Duration, HostRef)> = self.waiting_hosts();
         order.sort();
         let mut reserved = Reserved::default();
         for (i, (_, _, host)) in order.iter().enumerate() {
@@ -202,7 +202,7 @@
         }
     }
 
-    fn waiting_order(&self) -> Vec<(bool, Duration, HostRef)> {
+    fn waiting_hosts(&self) -> Vec<(bool, Duration, HostRef)> {
         let accounts = self.accounts.iter();
         accounts
             .filter_map(|(host, a)| Some((!a.local, a.unmet.as_ref()?.waiting_since, host.clone())))
@@ -298,8 +298,8 @@
             wait_ms: wait.as_millis().min(u128::from(u32::MAX)) as u32,
             last: met,
         };
-        let gained = rights.in_flight > retained;
-        if met || !unmet.answered || gained {
+        let increased = rights.in_flight > retained;
+        if met || !unmet.answered || increased {
             out.push((host.clone(), grant));
         }
         if !met {
@@ -350,7 +350,7 @@
 
     /// When [`Self::serve`] may have work to do.
     pub(crate) fn next_due(&mut self, now: Duration) -> Option<Duration> {
-        let unmet: Vec<_> = self.waiting_order();
+        let unmet: Vec<_> = self.waiting_hosts();
         let (_, _, host) = unmet.into_iter().min()?;
         let demand = &self.accounts.get(&host)?.unmet.as_ref()?.demand;
         let head = demand.head.min(self.tokens.capacity()).max(1);
--- a/crates/limits/tests/search.rs
+++ b/crates/limits/tests/search.rs
@@ -217,9 +217,9 @@
         let demand = matches!(message, Message::Demand(_));
         let beat = matches!(message, Message::Beat { .. });
         self.with(to, |l, now, a| l.receive(now, &host(from, 1), message, a));
-        let forgets = (demand && self.mutation == Mutation::NoDeduction)
+        let restore = (demand && self.mutation == Mutation::NoDeduction)
             || (beat && self.mutation == Mutation::ForgetfulGuard);
-        if forgets {
+        if restore {
             self.hosts[to] = before;
         }
     }
@@ -255,8 +255,8 @@
     }
 
     fn in_flight(&self) -> usize {
-        let awake = (0..self.hosts.len()).filter(|i| !self.paused[*i] && self.hosts[*i].is_some());
-        awake.map(|i| self.running[i].len()).sum()
+        let active = (0..self.hosts.len()).filter(|i| !self.paused[*i] && self.hosts[*i].is_some());
+        active.map(|i| self.running[i].len()).sum()
     }
 
     fn declare(&mut self, i: usize, limits: &[LimitEntry], revision: u64) {
@@ -379,8 +379,9 @@
     }
 }
 
-/// A data centre of `n` hosts without faults, in which the first host holds all shards. If `guarded`
-/// the second host is its guard; if `with_replacement` the first can hand over to the others.
+/// A data centre of `n` hosts without faults, in which the first host holds all shards. If
+/// `guarded` the second host is its guard; if `with_replacement` the first can hand over to the
+/// others.
 fn fleet(
     mutation: Mutation,
     n: usize,
