--- a/crates/limits/benches/admission.rs
+++ b/crates/limits/benches/admission.rs
@@ -1,4 +1,4 @@
-//! The cost of an admission and its settlement on a host that lends the key itself.
+//! The time of one admission and its settlement on a host that lends the key itself.
 //!
 //! `cargo bench -p dragonflyrill-limits --bench admission`
 
@@ -8,18 +8,18 @@
 use std::{hint::black_box, time::Duration};
 
 use criterion::{BenchmarkId, Criterion};
-use dragonflyrill_limits::{Action, Ask, Config, Declaration, HostLimiter, Terms};
+use dragonflyrill_limits::{Action, AdmissionRequest, Config, Declaration, HostLimiter, Terms};
 use dragonflyrill_store::table::memory::MemoryTable;
 use support::{data_centre, host, key, limit};
 
-/// A host alone in its data centre, under `owners` times 3 limits.
+/// The limiter of the only host of a data centre, with three limits for each of `owners`.
 fn limiter(owners: usize) -> HostLimiter {
     let mut limiter = HostLimiter::new(Config {
         me: host(0, 1),
         data_centre: data_centre(0),
         seed: 1,
         terms: Terms::default(),
-        queue: 256,
+        max_queued_per_key: 256,
     });
     let limits: Vec<_> = (0..owners * 3)
         .map(|i| limit(key(i / 3, i % 3), 1e6, 1e9, 1000))
@@ -37,7 +37,7 @@
     while let Some(action) = actions.pop() {
         if let Action::Table { id, call } = action {
             let outcome = table.call(&call);
-            limiter.table(Duration::from_millis(1), id, Ok(outcome), &mut actions);
+            limiter.handle_table_answer(Duration::from_millis(1), id, Ok(outcome), &mut actions);
         }
     }
     limiter
@@ -55,15 +55,15 @@
             b.iter(|| {
                 now += Duration::from_micros(10);
                 i = (i + 1) % keys.len();
-                let ask = Ask {
+                let request = AdmissionRequest {
                     key: keys[i].clone(),
                     tokens: 280,
-                    latest: now + Duration::from_secs(1),
+                    admit_by: now + Duration::from_secs(1),
                 };
                 actions.clear();
                 limiter.tick(now, &mut actions);
-                let ticket = limiter.ask(now, &ask, &mut actions);
-                assert!(actions.contains(&Action::Grant(ticket)));
+                let ticket = limiter.request_admission(now, &request, &mut actions);
+                assert!(actions.contains(&Action::Admit(ticket)));
                 limiter.settle(now, ticket, 200, &mut actions);
                 black_box(&actions);
             });
--- a/crates/limits/benches/compare.rs
+++ b/crates/limits/benches/compare.rs
@@ -1,4 +1,5 @@
-//! Useful work, fairness, recovery and cost of three designs under the same arrivals and faults.
+//! Compares three designs under the same arrivals and faults: useful work, fairness between owners,
+//! recovery, and the cost in messages and calls of the table.
 //!
 //! `cargo bench -p dragonflyrill-limits --bench compare`
 
@@ -9,7 +10,7 @@
 
 use dragonflyrill_catalogue::entry::{LimitEntry, LimitKey};
 use dragonflyrill_limits::{
-    Action, Ask, Config, Declaration, HostLimiter, Peer, Ticket, TxnId,
+    Action, AdmissionRequest, Config, Declaration, HostLimiter, Peer, Ticket, TxnId,
     baseline::{Leased, StaticSplit},
 };
 use dragonflyrill_protocol::{HostRef, rights::Message};
@@ -17,7 +18,7 @@
 use rand::Rng;
 use support::{
     data_centre,
-    fleet::{Fleet, Limiter, Weather, forward},
+    fleet::{Conditions, Fleet, Limiter, forward},
     key, limit,
 };
 
@@ -33,11 +34,16 @@
     fn configure(&mut self, now: Duration, d: &Declaration<'_>, a: &mut Vec<Action>) {
         self.limiter().configure(now, d, a)
     }
-    fn peers(&mut self, now: Duration, peers: &[Peer], a: &mut Vec<Action>) {
-        Leased::peers(self, now, peers, a)
+    fn set_peers(&mut self, now: Duration, peers: &[Peer], a: &mut Vec<Action>) {
+        Leased::set_peers(self, now, peers, a)
     }
-    fn ask(&mut self, now: Duration, ask: &Ask, a: &mut Vec<Action>) -> Ticket {
-        self.limiter().ask(now, ask, a)
+    fn request_admission(
+        &mut self,
+        now: Duration,
+        request: &AdmissionRequest,
+        a: &mut Vec<Action>,
+    ) -> Ticket {
+        self.limiter().request_admission(now, request, a)
     }
     fn settle(&mut self, now: Duration, t: Ticket, used: u32, a: &mut Vec<Action>) {
         self.limiter().settle(now, t, used, a)
@@ -45,14 +51,14 @@
     fn receive(&mut self, now: Duration, f: &HostRef, m: Message, a: &mut Vec<Action>) {
         self.limiter().receive(now, f, m, a)
     }
-    fn table(
+    fn handle_table_answer(
         &mut self,
         now: Duration,
         id: TxnId,
         result: Result<TxnOutcome, PlatformError>,
         a: &mut Vec<Action>,
     ) {
-        self.limiter().table(now, id, result, a)
+        self.limiter().handle_table_answer(now, id, result, a)
     }
     fn tick(&mut self, now: Duration, a: &mut Vec<Action>) {
         self.limiter().tick(now, a)
@@ -60,23 +66,23 @@
     fn next_tick(&self, now: Duration) -> Duration {
         self.limiter_ref().next_tick(now)
     }
-    fn leave(&mut self, now: Duration, a: &mut Vec<Action>) {
-        self.limiter().leave(now, a)
+    fn hand_over(&mut self, now: Duration, a: &mut Vec<Action>) {
+        self.limiter().hand_over(now, a)
     }
 }
 
-/// A fleet's size.
+/// The size of a fleet.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     name: &'static str,
     data_centres: usize,
     hosts: usize,
     owners: usize,
-    /// Requests a second of each owner.
+    /// The limit of each owner, in requests a second.
     rate: f64,
 }
 
-/// How requests arrive.
+/// The pattern in which requests arrive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Arrivals {
     Steady,
@@ -85,7 +91,7 @@
     Overload,
 }
 
-/// What goes wrong five seconds into the measured time.
+/// The fault that occurs five seconds after the measurement begins.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -95,7 +101,7 @@
 }
 
 impl Arrivals {
-    /// Demand over the limit at `t`.
+    /// The arrival rate at `t` as a multiple of the limit.
     fn demand(self, t: Duration) -> f64 {
         match self {
             Self::Steady => 0.8,
@@ -116,7 +122,7 @@
 impl<L: Limiter> Run<L> {
     fn new(size: Size, arrivals: Arrivals) -> Self {
         let limits = limits(size);
-        let mut fleet = Fleet::new(7, size.data_centres, &limits, Weather::default());
+        let mut fleet = Fleet::new(7, size.data_centres, &limits, Conditions::default());
         for i in 0..size.hosts {
             fleet.start(i, 1, i % size.data_centres);
             let next = fleet.now + Duration::from_millis(100);
@@ -131,7 +137,7 @@
         }
     }
 
-    /// Lets requests arrive for `time`; tokens they wanted in all.
+    /// Runs the fleet under arrivals for `time`. Returns the tokens that they want in all.
     fn load(&mut self, time: Duration) -> f64 {
         let end = self.fleet.now + time;
         let mut wanted = 0.0;
@@ -144,15 +150,16 @@
             let owner = self.fleet.rng.random_range(0..self.size.owners);
             let host = self.host(owner);
             let used = self.fleet.rng.random_range(TOKENS / 2..=TOKENS);
-            let takes = Duration::from_millis(self.fleet.rng.random_range(100..900));
+            let run_time = Duration::from_millis(self.fleet.rng.random_range(100..900));
             wanted += f64::from(used);
             let key = key(owner, 0);
-            self.fleet.ask(host, &key, TOKENS, used, takes, SECOND);
+            self.fleet
+                .request_admission(host, &key, TOKENS, used, run_time, SECOND);
         }
         wanted
     }
 
-    /// The live host that an owner's next call comes to.
+    /// The live host that receives an owner's next request.
     fn host(&mut self, owner: usize) -> usize {
         let hosts = self.size.hosts;
         let skewed = self.arrivals == Arrivals::Skewed && self.fleet.rng.random_bool(0.7);
@@ -160,25 +167,25 @@
             true => owner % hosts,
             false => self.fleet.rng.random_range(0..hosts),
         };
-        while !self.fleet.lives[i].alive {
+        while !self.fleet.incarnations[i].alive {
             i = (i + 1) % hosts;
         }
         i
     }
 
-    fn work(&self) -> Vec<f64> {
+    fn net_tokens(&self) -> Vec<f64> {
         let used = |i| {
             self.fleet
                 .ledger
                 .used
                 .get(&key(i, 0))
-                .map_or(0.0, |u| u.work)
+                .map_or(0.0, |u| u.net_tokens)
         };
         (0..self.size.owners).map(used).collect()
     }
 }
 
-/// The limits: tokens bind first, then requests.
+/// The limits. Requests use up the tokens first and the number of requests second.
 fn limits(size: Size) -> Vec<LimitEntry> {
     let of = |key: LimitKey| {
         let tokens = size.rate * f64::from(TOKENS) * 0.75;
@@ -194,47 +201,49 @@
 }
 
 fn measure<L: Limiter>(design: &str, size: Size, arrivals: Arrivals, fault: Fault) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut run: Run<L> = Run::new(size, arrivals);
     run.load(5 * SECOND);
     run.fleet.traffic = Default::default();
-    let whole = 20.0;
-    let before = run.work();
+    let seconds = 20.0;
+    let before = run.net_tokens();
     let mut wanted = run.load(5 * SECOND);
     match fault {
         Fault::None => {}
         Fault::HostDeath => run.fleet.kill(1),
         Fault::PlatformOut => run.fleet.table_up = false,
         Fault::Cut => {
-            run.fleet.cut_off.insert(data_centre(0));
+            run.fleet.table_unreachable_from.insert(data_centre(0));
             for other in 1..size.data_centres {
-                run.fleet.cut.insert((data_centre(0), data_centre(other)));
+                run.fleet
+                    .partitions
+                    .insert((data_centre(0), data_centre(other)));
             }
         }
     }
     let bound = run.fleet.ledger.limits[&key(0, 0)].tokens_per_second;
-    let all = bound * size.owners as f64;
+    let total_rate = bound * size.owners as f64;
     let mut slow_until = 0.0;
     let step = Duration::from_millis(500);
     for i in 0..30 {
-        let at = run.work().iter().sum::<f64>();
+        let at = run.net_tokens().iter().sum::<f64>();
         wanted += run.load(step);
-        let share = (run.work().iter().sum::<f64>() - at) / (all * step.as_secs_f64());
+        let share = (run.net_tokens().iter().sum::<f64>() - at) / (total_rate * step.as_secs_f64());
         if share < 0.95 * arrivals.demand(run.fleet.now).min(1.0) {
             slow_until = f64::from(i + 1) * step.as_secs_f64();
         }
     }
-    let after = run.work();
+    let after = run.net_tokens();
     let shares: Vec<f64> = (0..size.owners)
-        .map(|i| (after[i] - before[i]) / (bound * whole))
+        .map(|i| (after[i] - before[i]) / (bound * seconds))
         .collect();
     let useful = shares.iter().sum::<f64>() / size.owners as f64;
     let least = shares.iter().copied().fold(f64::MAX, f64::min);
-    let possible = (wanted / (all * whole)).min(1.0);
+    let possible = (wanted / (total_rate * seconds)).min(1.0);
     let squares: f64 = shares.iter().map(|s| s * s).sum();
     let jain = (useful * size.owners as f64).powi(2) / (size.owners as f64 * squares);
     let traffic = &run.fleet.traffic;
-    let per = |n: u64| n as f64 / size.hosts as f64 / whole;
+    let per = |n: u64| n as f64 / size.hosts as f64 / seconds;
     let mut waits = traffic.waits.clone();
     waits.sort();
     let p99 = waits
@@ -255,9 +264,9 @@
         p99.as_secs_f64() * 1e3,
         per(traffic.messages),
         per(traffic.bytes),
-        traffic.reads as f64 / whole,
-        traffic.writes as f64 / whole,
-        began.elapsed().as_secs_f64(),
+        traffic.reads as f64 / seconds,
+        traffic.writes as f64 / seconds,
+        started_at.elapsed().as_secs_f64(),
     );
 }
 
--- a/crates/limits/src/baseline.rs
+++ b/crates/limits/src/baseline.rs
@@ -1,8 +1,8 @@
-//! The simpler designs that the limiter is measured against. Not for use.
+//! Simpler designs to compare the limiter with, not for use in a deployment.
 //!
-//! [`StaticSplit`] gives each live host an even part of each limit. [`Leased`] has one host of
-//! each data centre lend the data centre's part of a limit, never to other data centres, under a
-//! lease that is renewed in the table and therefore lasts [`LEASE`].
+//! [`StaticSplit`] gives each live host an even part of each limit. In [`Leased`] one host of each
+//! data centre lends the data centre's part of a limit, never to other data centres, under a lease
+//! that is renewed in the table and therefore lasts [`LEASE_TERM`].
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -14,18 +14,18 @@
 use dragonflyrill_store::{error::PlatformError, table::TxnOutcome};
 
 use crate::{
-    Action, Ask, HostLimiter, Refusal, Ticket, TxnId,
+    Action, AdmissionRequest, HostLimiter, Refusal, Ticket, TxnId,
     config::{Config, Declaration, Peer},
     pool::Pool,
 };
 
-/// 25 data centres with 660 leases each, renewed thrice in a term, would write 1,650 times a
-/// second at this term: already more than the table takes.
-pub const LEASE: Duration = Duration::from_secs(30);
+/// The term of a lease. At this term 25 data centres with 660 leases each, renewed three times in
+/// a term, write 1,650 times a second, which is already more than the table can execute.
+pub const LEASE_TERM: Duration = Duration::from_secs(30);
 
-/// One key of [`StaticSplit`].
+/// This host's part of one limit in [`StaticSplit`].
 #[derive(Debug, Clone)]
-struct Part {
+struct HostPart {
     limit: LimitEntry,
     requests: Pool,
     tokens: Pool,
@@ -33,11 +33,11 @@
     queue: VecDeque<(Ticket, u32, Duration)>,
 }
 
-/// Each live host has an even part of each limit.
+/// A limiter that gives each live host an even part of each limit.
 #[derive(Debug, Clone)]
 pub struct StaticSplit {
     hosts: u32,
-    parts: Vec<Part>,
+    parts: Vec<HostPart>,
     index: HashMap<LimitKey, usize>,
     running: HashMap<Ticket, (usize, u32)>,
     queue: usize,
@@ -52,17 +52,17 @@
             parts: Vec::new(),
             index: HashMap::new(),
             running: HashMap::new(),
-            queue: cfg.queue,
+            queue: cfg.max_queued_per_key,
             next: 0,
         }
     }
 
-    /// Takes over the limits in force.
+    /// Applies the declared limits.
     pub fn configure(&mut self, now: Duration, declared: &Declaration, _: &mut Vec<Action>) {
         for limit in declared.limits {
             let parts = &mut self.parts;
             let i = *self.index.entry(limit.key.clone()).or_insert_with(|| {
-                parts.push(Part {
+                parts.push(HostPart {
                     limit: limit.clone(),
                     requests: Pool::new(now),
                     tokens: Pool::new(now),
@@ -76,8 +76,8 @@
         self.split(now);
     }
 
-    /// Takes over the view of which hosts live.
-    pub fn peers(&mut self, now: Duration, peers: &[Peer], _: &mut Vec<Action>) {
+    /// Replaces the list of live hosts.
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer], _: &mut Vec<Action>) {
         self.hosts = peers.len().max(1) as u32;
         self.split(now);
     }
@@ -88,37 +88,43 @@
             let limit = &part.limit;
             let (requests, tokens) = (limit.requests_per_second / n, limit.tokens_per_second / n);
             let burst = limit.burst_seconds;
-            part.requests.set(now, requests, requests * burst);
-            part.tokens.set(now, tokens, tokens * burst);
+            part.requests.set_rate(now, requests, requests * burst);
+            part.tokens.set_rate(now, tokens, tokens * burst);
         }
     }
 
-    /// Asks for a request to be admitted.
-    pub fn ask(&mut self, now: Duration, ask: &Ask, actions: &mut Vec<Action>) -> Ticket {
+    /// Requests admission.
+    pub fn request_admission(
+        &mut self,
+        now: Duration,
+        request: &AdmissionRequest,
+        actions: &mut Vec<Action>,
+    ) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
-        let found = self.index.get(&ask.key).copied();
+        let found = self.index.get(&request.key).copied();
         let Some(i) = found.filter(|i| self.parts[*i].queue.len() < self.queue) else {
             actions.push(refuse(ticket));
             return ticket;
         };
-        let ask = (ticket, ask.tokens, ask.latest);
-        self.parts[i].queue.push_back(ask);
+        let request = (ticket, request.tokens, request.admit_by);
+        self.parts[i].queue.push_back(request);
         self.admit(now, i, actions);
         ticket
     }
 
     fn admit(&mut self, now: Duration, i: usize, actions: &mut Vec<Action>) {
         let part = &mut self.parts[i];
-        let most = part.limit.in_flight / self.hosts;
+        let max_in_flight = part.limit.in_flight / self.hosts;
         while let Some((ticket, tokens, latest)) = part.queue.front().copied() {
             if latest <= now {
                 part.queue.pop_front();
                 actions.push(refuse(ticket));
                 continue;
             }
-            let enough = part.requests.available(now) > 0 && part.tokens.available(now) >= tokens;
-            if !enough || part.in_flight >= most {
+            let permitted =
+                part.requests.available(now) > 0 && part.tokens.available(now) >= tokens;
+            if !permitted || part.in_flight >= max_in_flight {
                 return;
             }
             part.queue.pop_front();
@@ -128,11 +134,11 @@
             part.tokens.settle(now, f64::from(tokens), 0.0);
             part.in_flight += 1;
             self.running.insert(ticket, (i, tokens));
-            actions.push(Action::Grant(ticket));
+            actions.push(Action::Admit(ticket));
         }
     }
 
-    /// Ends an admitted request.
+    /// Records the end of an admitted request that used `used` tokens.
     pub fn settle(&mut self, now: Duration, ticket: Ticket, used: u32, actions: &mut Vec<Action>) {
         if let Some((i, tokens)) = self.running.remove(&ticket) {
             let part = &mut self.parts[i];
@@ -143,11 +149,11 @@
         }
     }
 
-    /// Hosts tell each other nothing.
+    /// Ignores messages: hosts of this design send none.
     pub fn receive(&mut self, _: Duration, _: &HostRef, _: Message, _: &mut Vec<Action>) {}
 
-    /// Hosts write nothing.
-    pub fn table(
+    /// Ignores answers of the table: hosts of this design do not call it.
+    pub fn handle_table_answer(
         &mut self,
         _: Duration,
         _: TxnId,
@@ -156,21 +162,21 @@
     ) {
     }
 
-    /// Does what is due.
+    /// Refuses and admits waiting requests as of `now`.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for i in 0..self.parts.len() {
             self.admit(now, i, actions);
         }
     }
 
-    /// When [`Self::tick`] is to be called next.
+    /// When [`Self::tick`] has to be called next.
     pub fn next_tick(&self, now: Duration) -> Duration {
         let waits = self.parts.iter().any(|p| !p.queue.is_empty());
         now + Duration::from_millis(if waits { 5 } else { 1000 })
     }
 
-    /// Nothing is handed over.
-    pub fn leave(&mut self, _: Duration, _: &mut Vec<Action>) {}
+    /// Does nothing: hosts of this design hold no rights to hand over.
+    pub fn hand_over(&mut self, _: Duration, _: &mut Vec<Action>) {}
 }
 
 fn refuse(ticket: Ticket) -> Action {
@@ -181,7 +187,7 @@
     }
 }
 
-/// One lender for each key and data centre, under a lease in the table.
+/// A limiter with one lender for each key and data centre, under a lease in the table.
 #[derive(Debug, Clone)]
 pub struct Leased {
     cfg: Config,
@@ -191,7 +197,7 @@
 impl Leased {
     /// A limiter without limits.
     pub fn new(mut cfg: Config) -> Self {
-        cfg.terms.session = LEASE;
+        cfg.terms.session_term = LEASE_TERM;
         Self {
             limiter: HostLimiter::new(cfg.clone()),
             cfg,
@@ -203,17 +209,17 @@
         &mut self.limiter
     }
 
-    /// The same, to look at.
+    /// Like [`Self::limiter`], for reading.
     pub fn limiter_ref(&self) -> &HostLimiter {
         &self.limiter
     }
 
-    /// Takes over the view of which hosts live, those of other data centres left out.
-    pub fn peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
+    /// Replaces the list of live hosts with those of this data centre in `peers`.
+    pub fn set_peers(&mut self, now: Duration, peers: &[Peer], actions: &mut Vec<Action>) {
         let near = peers
             .iter()
             .filter(|p| p.data_centre == self.cfg.data_centre);
         let near: Vec<Peer> = near.cloned().collect();
-        self.limiter.peers(now, &near, actions);
+        self.limiter.set_peers(now, &near, actions);
     }
 }
