--- a/crates/fleet/src/endpoint_limits.rs
+++ b/crates/fleet/src/endpoint_limits.rs
@@ -1,53 +1,57 @@
-//! How many requests a second endpoints take from all hosts together, where they say so.
+//! Limits that endpoints set on the requests a second that they accept from all hosts together.
 //!
-//! An endpoint in need names its limit in its answers, for as long as the limit stands. Hosts tell each other what
-//! they know of it; of two accounts the newer one holds.
+//! An endpoint under load states its limit in its answers for as long as the limit is in force. Hosts
+//! exchange what they know of it; of two reports the newer one applies.
 //!
-//! Each host has an even share of the limit. A share may be far less than a request in the time for which permits are
-//! worth keeping, so that shares are pooled: the host that others of a data centre ask for news holds the shares of all
-//! that ask it, and lends permits by what they want, with the calls that are made anyway. It takes a permit out of its
-//! pool before it lends it, so that a lost answer wastes it and no more. A host that asks has no pool of its own share
-//! meanwhile. Thus the pools of all hosts together fill at the rate of the limit, whoever can reach whom, and a
-//! data centre that is cut off keeps the shares of its own hosts.
+//! Each host has an even share of the limit. A share may be far less than one request in the time for which a
+//! permit is worth keeping, so shares are pooled. The host that others of a data centre poll holds the shares
+//! of all hosts that poll it and lends them permits according to their demand, with the calls that are made
+//! anyway. It removes a permit from its pool before it lends it, so a lost answer wastes the permit and
+//! nothing else. While a host polls another one, it has no pool for its own share. So the pools of all hosts
+//! together fill at the rate of the limit, whichever hosts can reach each other, and a data centre that is
+//! cut off keeps the shares of its own hosts.
 //!
-//! In any window the endpoint so gets at most what it takes in the window, in the time for which a pool fills and in that
-//! for which a permit is good, and one request more for each pool.
+//! Therefore an endpoint gets in any window at most what its limit allows in the window, plus the time for
+//! which a pool fills, plus the time for which a permit is valid, and one more request for each pool.
 
 use std::{collections::VecDeque, rc::Rc, time::Duration};
 
 use rustc_hash::FxHashMap;
 
-/// How long a permit that was lent may be used: until the next call, which gives it back.
-const VALID: Duration = Duration::from_millis(350);
-/// For how long a pool fills at most.
-const FILL: Duration = Duration::from_secs(1);
-/// How long the share of a host that has asked another one stays in the pool of that one.
-pub const POOLED_FOR: Duration = Duration::from_millis(1500);
-/// An endpoint that takes less still gets so much: its answers are what shows that it takes more again.
-const LEAST_PER_S: f64 = 0.25;
-/// For how long other hosts are told that an endpoint no longer names a limit; they hear of it within a second.
-const LIFT_TOLD: Duration = Duration::from_secs(10);
-/// For how long the limit of an endpoint that is not listed is kept: it may be listed again, as the one it was.
-const KEPT_UNLISTED: Duration = Duration::from_secs(60);
-/// Two accounts of an endpoint that are no further apart count as of the same moment: calls between hosts take time.
-const SAME_MOMENT: Duration = Duration::from_millis(50);
-
-/// Requests a second. Invariant: finite and not negative.
+/// How long a lent permit may be used: until the next call, which returns unused permits.
+const PERMIT_VALIDITY: Duration = Duration::from_millis(350);
+/// Maximum time for which a pool accumulates permits.
+const MAX_FILL_TIME: Duration = Duration::from_secs(1);
+/// How long the share of a host that has polled another one stays in the pool of the polled host.
+pub const POOLED_SHARE_TTL: Duration = Duration::from_millis(1500);
+/// Minimum rate at which an endpoint gets requests, even if its limit is lower: only its answers show when
+/// the limit is raised.
+const MIN_REQUESTS_PER_S: f64 = 0.25;
+/// How long other hosts receive reports that an endpoint no longer states a limit; they receive them within a
+/// second.
+const LIFTED_REPORT_TTL: Duration = Duration::from_secs(10);
+/// How long the limit of an unlisted endpoint is kept: the same incarnation may be listed again.
+const UNLISTED_LIMIT_TTL: Duration = Duration::from_secs(60);
+/// Two reports of an endpoint that are no further apart count as simultaneous, because calls between hosts
+/// take time.
+const REPORT_TIME_TOLERANCE: Duration = Duration::from_millis(50);
+
+/// A rate in requests a second. Invariant: finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
-/// A number that is no rate.
+/// The number is not a valid rate: it is not finite or it is negative.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
-#[error("{0} is no rate of requests")]
-pub struct NoRate(f64);
+#[error("{0} is not a valid request rate")]
+pub struct InvalidRequestRate(f64);
 
 impl TryFrom<f64> for RequestRate {
-    type Error = NoRate;
+    type Error = InvalidRequestRate;
 
-    fn try_from(per_s: f64) -> Result<Self, NoRate> {
+    fn try_from(per_s: f64) -> Result<Self, InvalidRequestRate> {
         match per_s.is_finite() && per_s >= 0.0 {
             true => Ok(Self(per_s)),
-            false => Err(NoRate(per_s)),
+            false => Err(InvalidRequestRate(per_s)),
         }
     }
 }
@@ -59,243 +63,249 @@
     }
 }
 
-/// What an account of an endpoint has changed.
+/// What an answer or a report has changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Change {
-    /// The endpoint names this limit, and named another one or none before.
-    Named(RequestRate),
-    /// It names none any more.
+pub enum LimitChange {
+    /// The endpoint states this limit, and stated another one or none before.
+    Set(RequestRate),
+    /// The endpoint no longer states a limit.
     Lifted,
 }
 
-/// What a host tells others of an endpoint's limit.
+/// What a host reports to others about the limit of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Account {
+pub struct LimitReport {
     /// The endpoint's id.
     pub id: Rc<str>,
-    /// Its limit; `None` if it names none any more.
+    /// The limit; `None` if the endpoint no longer states one.
     pub rate: Option<RequestRate>,
-    /// How long ago an answer showed it.
+    /// Time since an answer showed this.
     pub age: Duration,
-    /// Requests that this host's callers wanted to send there since it last told; a host that asks wants as many
-    /// permits.
+    /// Requests that this host's callers wanted to send to the endpoint since it last requested permits; a
+    /// polling host wants as many permits.
     pub wanted: u32,
-    /// Permits that this host gives back.
+    /// Unused permits that this host returns.
     pub returned: u32,
 }
 
-/// The shares that a host's pools hold.
+/// The shares of the limits that a host's pools hold.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Shares {
-    /// Hosts that have asked this one within [`POOLED_FOR`].
-    pub asked_by: u32,
-    /// All hosts; `None` until that is known: there are no permits then.
+pub struct PooledShares {
+    /// Hosts that have polled this one within [`POOLED_SHARE_TTL`].
+    pub polling_hosts: u32,
+    /// Number of all hosts; `None` until it is known, and no permits are given until then.
     pub hosts: Option<u32>,
 }
 
-/// Permits of this host.
+/// Permits that another host has lent to this one.
 #[derive(Debug, Clone, Copy)]
-struct Lent {
-    left: u32,
-    until: Duration,
+struct BorrowedPermits {
+    remaining: u32,
+    valid_until: Duration,
 }
 
 /// What is known of an endpoint's limit.
 #[derive(Debug, Clone)]
-struct Known {
-    /// `None` once the endpoint names none any more.
+struct LimitState {
+    /// `None` once the endpoint no longer states a limit.
     rate: Option<RequestRate>,
-    /// When an answer showed it.
+    /// When an answer showed the limit.
     as_of: Duration,
-    /// Permits in the pool, at `filled_at`.
+    /// Permits in the pool at `filled_at`.
     pool: f64,
     filled_at: Duration,
-    /// Permits that another host has lent, the oldest first.
-    lent: VecDeque<Lent>,
-    /// Requests that wanted a permit since other hosts were last told.
+    /// Permits that another host has lent, oldest first.
+    borrowed: VecDeque<BorrowedPermits>,
+    /// Requests that wanted a permit since this host last requested permits from another one.
     wanted: u32,
 }
 
-impl Known {
+impl LimitState {
     fn new(rate: Option<RequestRate>, as_of: Duration) -> Self {
         Self {
             rate,
             as_of,
             pool: 0.0,
             filled_at: as_of,
-            lent: VecDeque::new(),
+            borrowed: VecDeque::new(),
             wanted: 0,
         }
     }
 
-    /// Brings the pool and what was lent up to date.
-    fn refill(&mut self, shares: Shares, borrows: bool, now: Duration) {
-        let since = now.saturating_sub(self.filled_at).as_secs_f64();
+    /// Adds the permits accumulated since `filled_at` to the pool and drops borrowed permits that are used up
+    /// or expired.
+    fn refill(&mut self, shares: PooledShares, is_borrowing: bool, now: Duration) {
+        let elapsed = now.saturating_sub(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
-        self.lent.retain(|lent| lent.left > 0 && lent.until > now);
+        self.borrowed
+            .retain(|permits| permits.remaining > 0 && permits.valid_until > now);
         let (Some(rate), Some(hosts)) = (self.rate, shares.hosts) else {
             self.pool = 0.0;
             return;
         };
-        let own = u32::from(!borrows);
-        let part = f64::from(shares.asked_by + own) / f64::from(hosts.max(1));
-        let per_s = rate.per_s().max(LEAST_PER_S) * part.min(1.0);
-        let most = match per_s > 0.0 {
-            true => (per_s * FILL.as_secs_f64()).max(1.0),
+        let own = u32::from(!is_borrowing);
+        let portion = f64::from(shares.polling_hosts + own) / f64::from(hosts.max(1));
+        let per_s = rate.per_s().max(MIN_REQUESTS_PER_S) * portion.min(1.0);
+        let capacity = match per_s > 0.0 {
+            true => (per_s * MAX_FILL_TIME.as_secs_f64()).max(1.0),
             false => 0.0,
         };
-        self.pool = (self.pool + since * per_s).min(most);
+        self.pool = (self.pool + elapsed * per_s).min(capacity);
     }
 
-    fn has_permit(&self, borrows: bool) -> bool {
-        !self.lent.is_empty() || (!borrows && self.pool >= 1.0)
+    fn has_permit(&self, is_borrowing: bool) -> bool {
+        !self.borrowed.is_empty() || (!is_borrowing && self.pool >= 1.0)
     }
 
-    fn take(&mut self) {
-        match self.lent.front_mut() {
-            Some(lent) => lent.left -= 1,
+    fn use_permit(&mut self) {
+        match self.borrowed.front_mut() {
+            Some(permits) => permits.remaining -= 1,
             None => self.pool -= 1.0,
         }
-        self.lent.retain(|lent| lent.left > 0);
+        self.borrowed.retain(|permits| permits.remaining > 0);
     }
 }
 
-/// The limits that endpoints name, by the endpoint's id.
+/// The limits that endpoints state, by the endpoint's id.
 #[derive(Debug, Default)]
 pub struct EndpointLimits {
-    known: FxHashMap<Rc<str>, Known>,
-    /// When this host last asked another one for permits, or could have.
-    asked_at: Option<Duration>,
+    known: FxHashMap<Rc<str>, LimitState>,
+    /// When this host last polled another one that lends permits, whether or not it wanted any.
+    requested_at: Option<Duration>,
 }
 
 impl EndpointLimits {
-    /// An endpoint has named this limit, or none, in an answer that came at `as_of`.
-    pub fn named(
+    /// Records the limit that an endpoint stated, or that it stated none, in an answer received at `as_of`.
+    pub fn record_stated(
         &mut self,
         id: &Rc<str>,
         rate: Option<RequestRate>,
         as_of: Duration,
-    ) -> Option<Change> {
+    ) -> Option<LimitChange> {
         let Some(known) = self.known.get_mut(id) else {
             let rate = rate?;
-            self.known.insert(id.clone(), Known::new(Some(rate), as_of));
-            return Some(Change::Named(rate));
+            self.known
+                .insert(id.clone(), LimitState::new(Some(rate), as_of));
+            return Some(LimitChange::Set(rate));
         };
         known.as_of = known.as_of.max(as_of);
         let before = std::mem::replace(&mut known.rate, rate);
         match rate {
             _ if rate == before => None,
-            Some(rate) => Some(Change::Named(rate)),
-            None => Some(Change::Lifted),
+            Some(rate) => Some(LimitChange::Set(rate)),
+            None => Some(LimitChange::Lifted),
         }
     }
 
-    /// Another host has told of an endpoint, of which an answer showed it at `as_of`.
-    pub fn told(
+    /// Merges a report of another host, based on an answer that the endpoint gave at `as_of`. Ignores it
+    /// unless it is newer than what is known.
+    pub fn merge_report(
         &mut self,
         id: &Rc<str>,
         rate: Option<RequestRate>,
         as_of: Duration,
-    ) -> Option<Change> {
-        let newer = |known: &Known| as_of > known.as_of + SAME_MOMENT;
+    ) -> Option<LimitChange> {
+        let newer = |known: &LimitState| as_of > known.as_of + REPORT_TIME_TOLERANCE;
         let newest = self.known.get(id).is_none_or(newer);
-        newest.then(|| self.named(id, rate, as_of))?
+        newest.then(|| self.record_stated(id, rate, as_of))?
     }
 
-    /// Forgets what is over: lifted limits that others have heard of, and those of endpoints that have long not been
-    /// listed.
+    /// Removes lifted limits that have been reported for long enough, and limits of endpoints that have been
+    /// unlisted for long.
     pub fn expire(&mut self, listed: impl Fn(&str) -> bool, now: Duration) {
         self.known.retain(|id, known| {
-            let kept = match known.rate {
+            let ttl = match known.rate {
                 Some(_) if listed(id) => return true,
-                Some(_) => KEPT_UNLISTED,
-                None => LIFT_TOLD,
+                Some(_) => UNLISTED_LIMIT_TTL,
+                None => LIFTED_REPORT_TTL,
             };
-            known.as_of + kept > now
+            known.as_of + ttl > now
         });
     }
 
-    /// What other hosts are told.
-    pub fn to_tell(&self, now: Duration) -> Vec<Account> {
-        let account = |(id, known): (&Rc<str>, &Known)| Account {
+    /// Reports for other hosts.
+    pub fn reports(&self, now: Duration) -> Vec<LimitReport> {
+        let report = |(id, known): (&Rc<str>, &LimitState)| LimitReport {
             id: id.clone(),
             rate: known.rate,
             age: now.saturating_sub(known.as_of),
             wanted: known.wanted,
-            returned: known.lent.iter().map(|lent| lent.left).sum(),
+            returned: known.borrowed.iter().map(|permits| permits.remaining).sum(),
         };
-        self.known.iter().map(account).collect()
+        self.known.iter().map(report).collect()
     }
 
-    /// Asks another host for the permits that requests wanted since the last time; it has this host's share from now
-    /// on.
-    pub fn ask(&mut self, now: Duration) -> Vec<Account> {
+    /// Returns reports that request from another host the permits that were wanted since the last call. From
+    /// now on the other host holds this host's share.
+    pub fn request_permits(&mut self, now: Duration) -> Vec<LimitReport> {
         for known in self.known.values_mut() {
-            known.lent.retain(|lent| lent.until > now);
+            known.borrowed.retain(|permits| permits.valid_until > now);
         }
-        let asked = self.to_tell(now);
-        self.asked_at = Some(now);
+        let requests = self.reports(now);
+        self.requested_at = Some(now);
         for known in self.known.values_mut() {
             known.wanted = 0;
-            known.lent.clear();
+            known.borrowed.clear();
         }
-        asked
+        requests
     }
 
-    /// Another host has lent permits, which was asked at `asked_at`.
-    pub fn lent(&mut self, id: &str, permits: u32, asked_at: Duration) {
+    /// Adds permits that another host has lent in answer to a call sent at `asked_at`.
+    pub fn add_borrowed(&mut self, id: &str, permits: u32, asked_at: Duration) {
         if let Some(known) = self.known.get_mut(id).filter(|_| permits > 0) {
-            known.lent.push_back(Lent {
-                left: permits,
-                until: asked_at + VALID,
+            known.borrowed.push_back(BorrowedPermits {
+                remaining: permits,
+                valid_until: asked_at + PERMIT_VALIDITY,
             });
         }
     }
 
-    /// Takes back what a host did not use, and lends it as many permits as it wants and are left.
-    pub fn lend(&mut self, asked: &Account, shares: Shares, now: Duration) -> u32 {
-        let (id, wanted) = (&asked.id, asked.wanted);
-        let borrows = self.borrows(now);
+    /// Takes back the permits that a host did not use, and lends it as many as it wants and the pool holds.
+    pub fn lend(&mut self, request: &LimitReport, shares: PooledShares, now: Duration) -> u32 {
+        let (id, wanted) = (&request.id, request.wanted);
+        let is_borrowing = self.is_borrowing(now);
         let Some(known) = self.known.get_mut(id).filter(|k| k.rate.is_some()) else {
             return 0;
         };
-        known.pool += f64::from(asked.returned);
-        known.refill(shares, borrows, now);
+        known.pool += f64::from(request.returned);
+        known.refill(shares, is_borrowing, now);
         let lent = wanted.min(known.pool.max(0.0) as u32);
         known.pool -= f64::from(lent);
         lent
     }
 
-    /// Takes a permit of each of some endpoints that names a limit, and of none if one has none left.
-    pub fn take(&mut self, ids: &[&Rc<str>], shares: Shares, now: Duration) -> bool {
-        let borrows = self.borrows(now);
-        let has = |id: &&Rc<str>| has_permit(&mut self.known, id, shares, borrows, now);
+    /// Acquires a permit of each of the endpoints that states a limit, or of none of them if one has no
+    /// permit left.
+    pub fn try_acquire(&mut self, ids: &[&Rc<str>], shares: PooledShares, now: Duration) -> bool {
+        let is_borrowing = self.is_borrowing(now);
+        let has = |id: &&Rc<str>| has_permit(&mut self.known, id, shares, is_borrowing, now);
         if !ids.iter().all(has) {
             return false;
         }
-        let limited = |known: &&mut Known| known.rate.is_some();
+        let limited = |known: &&mut LimitState| known.rate.is_some();
         for id in ids {
             if let Some(known) = self.known.get_mut(*id).filter(limited) {
                 known.wanted += 1;
-                known.take();
+                known.use_permit();
             }
         }
         true
     }
 
-    /// The endpoints of whose limits this host has no permit now, of those that a request might go to.
+    /// Returns those eligible endpoints for which this host has no permit now, and counts a wanted permit for
+    /// each.
     pub fn without_permit(
         &mut self,
-        might: impl Fn(&str) -> bool,
-        shares: Shares,
+        eligible: impl Fn(&str) -> bool,
+        shares: PooledShares,
         now: Duration,
     ) -> Vec<Rc<str>> {
-        let borrows = self.borrows(now);
+        let is_borrowing = self.is_borrowing(now);
         let mut without = Vec::new();
         let limited = self.known.iter_mut().filter(|(_, k)| k.rate.is_some());
-        for (id, known) in limited.filter(|(id, _)| might(id)) {
-            known.refill(shares, borrows, now);
-            if !known.has_permit(borrows) {
+        for (id, known) in limited.filter(|(id, _)| eligible(id)) {
+            known.refill(shares, is_borrowing, now);
+            if !known.has_permit(is_borrowing) {
                 known.wanted += 1;
                 without.push(id.clone());
             }
@@ -303,42 +313,43 @@
         without
     }
 
-    /// Whether another host has this one's share.
-    fn borrows(&self, now: Duration) -> bool {
-        self.asked_at.is_some_and(|at| at + POOLED_FOR > now)
+    /// Whether another host holds this host's share.
+    fn is_borrowing(&self, now: Duration) -> bool {
+        self.requested_at
+            .is_some_and(|at| at + POOLED_SHARE_TTL > now)
     }
 
-    /// The limit that an endpoint names.
+    /// The limit that an endpoint states.
     pub fn rate(&self, id: &str) -> Option<RequestRate> {
         self.known.get(id)?.rate
     }
 
-    /// How many endpoints name a limit.
+    /// Number of endpoints that state a limit.
     pub fn count(&self) -> usize {
         self.known.values().filter(|k| k.rate.is_some()).count()
     }
 
-    /// Whether nothing is known of any limit.
+    /// Whether no limit is known, not even a lifted one.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets an endpoint that is gone.
-    pub fn forget(&mut self, id: &str) {
+    /// Removes an endpoint that no longer exists.
+    pub fn remove(&mut self, id: &str) {
         self.known.remove(id);
     }
 }
 
 fn has_permit(
-    known: &mut FxHashMap<Rc<str>, Known>,
+    known: &mut FxHashMap<Rc<str>, LimitState>,
     id: &str,
-    shares: Shares,
-    borrows: bool,
+    shares: PooledShares,
+    is_borrowing: bool,
     now: Duration,
 ) -> bool {
     let Some(known) = known.get_mut(id).filter(|k| k.rate.is_some()) else {
         return true;
     };
-    known.refill(shares, borrows, now);
-    known.has_permit(borrows)
+    known.refill(shares, is_borrowing, now);
+    known.has_permit(is_borrowing)
 }
--- a/crates/fleet/src/store_access.rs
+++ b/crates/fleet/src/store_access.rs
@@ -1,179 +1,183 @@
-//! Which hosts of a data centre ask the platform's store, and how often while it does not answer.
+//! Decides which hosts of a data centre read the platform's store, and how often they call it while it is
+//! unavailable.
 //!
-//! One host of a data centre reads the store and tells the others. When that host has no answer, the
-//! store is away for all, or for this host alone, and nobody can tell which without asking. If each of
-//! the others found out by itself, the calls would grow with the number of hosts just when the store is
-//! least able to bear them: 295 hosts made 1,000 calls a second at a store that refused them all, and
-//! 160 in calm. So
+//! One host of a data centre reads the store and reports what it read to the others. When that host gets no
+//! answer, the store may be unavailable to all hosts or to this one only, and only further calls can show
+//! which. If every other host made such calls by itself, the load would grow with the number of hosts just
+//! when the store can bear it least: 295 hosts sent 1,000 calls a second to a store that refused them all,
+//! against 160 in normal operation. Therefore:
 //!
-//! - each host notes how its own calls ended ([`Access`]), and while they fail it asks for one thing
-//!   only, which shows whether the store is back;
-//! - the host that is asked hands out the turns to try ([`Turns`]), the first few soon after one another and
-//!   the others seldom;
-//! - a host that is told that the store does not answer waits for its turn ([`role`]).
+//! - Each host records how its own calls ended ([`StoreAccess`]). While they fail, it makes one kind of call
+//!   only, which shows whether the store answers again.
+//! - The host that the others poll grants store probe slots ([`ProbeSlots`]): the first few in quick
+//!   succession, later ones at a long interval.
+//! - A host that receives a report of an unavailable store waits until it is granted a slot ([`role`]).
 //!
-//! Whoever has an answer reads from then on, and tells the host that all ask.
+//! A host that gets an answer becomes a reader and reports to the host that all others poll.
 
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
 
-/// Failures in a row from which on the store counts as away: single calls fail on links that lose
-/// packets, and each of the three kinds of read fails once when it goes away.
-const FAILURES: u32 = 3;
+/// Consecutive failures after which the store counts as unavailable. Single calls fail on links that lose
+/// packets, and each of the three kinds of read fails once when the store becomes unavailable.
+const FAILURES_TO_UNAVAILABLE: u32 = 3;
 
-/// How many hosts try soon after one another, before the store is taken to be away for most. Hosts that are cut
-/// off from it, or turned away, are often several of a data centre at once; and by the time that a silent store
-/// is noticed, half the time is over in which a change must be in force.
-const EARLY_TURNS: u32 = 4;
+/// Number of slots that are granted at the short interval, before the store is assumed to be unavailable to
+/// most hosts. Hosts that are cut off from the store or refused by it are often several of one data centre at
+/// a time, and by the time that a silent store is noticed, half of the time within which a change must be in
+/// force has passed.
+const EARLY_PROBE_SLOTS: u32 = 4;
 
-/// The least time between two early turns.
-const BETWEEN_EARLY_TURNS: Duration = Duration::from_millis(100);
+/// Minimum time between two early slots.
+const EARLY_PROBE_SLOT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The least time between two later turns. With the tries of the host that hands them out a data centre
-/// makes some five calls a second: 215 of five data centres in eight seconds, one run.
-const BETWEEN_TURNS: Duration = Duration::from_millis(700);
+/// Minimum time between two later slots. Together with the calls of the host that grants the slots, a data
+/// centre makes about five calls a second: five data centres made 215 calls in eight seconds.
+const PROBE_SLOT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How this host's own reads of the store have ended.
+/// Results of this host's own reads of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Access {
+pub struct StoreAccess {
     /// Failures since the last answer.
     failures: u32,
-    /// When the last of them was known.
+    /// When the last failure was recorded.
     failed_at: Duration,
-    /// It has been given a turn to try, and the try has not ended.
-    trying: bool,
+    /// This host was granted a probe slot and its probe has not ended.
+    probing: bool,
 }
 
-impl Access {
-    /// A read that was sent at `sent_at` was answered, this host's or one of a host that tells it. One that
-    /// was sent before another one failed does not show that the store is back: a read that waits for news is
-    /// answered long after the store has begun to turn new ones away.
+impl StoreAccess {
+    /// Records an answer to a read that was sent at `sent_at` by this host or by a host that reports to it.
+    /// An answer to a read that was sent before the last failure doesn't show that the store is available
+    /// again: a long-polling read may be answered long after the store has begun to refuse new ones.
     pub fn answered(&mut self, sent_at: Duration) {
         if sent_at >= self.failed_at {
             *self = Self::default();
         }
     }
 
-    /// A read has failed.
+    /// Records a failed read.
     pub fn failed(&mut self, now: Duration) {
         self.failures = self.failures.saturating_add(1);
         self.failed_at = now;
-        self.trying = false;
+        self.probing = false;
     }
 
-    /// Another host has no answer: whether this one would get one is not known.
-    pub fn doubted(&mut self, now: Duration) {
-        self.failures = self.failures.max(FAILURES);
+    /// Records that another host gets no answer: whether the store would answer this host is unknown.
+    pub fn suspected(&mut self, now: Duration) {
+        self.failures = self.failures.max(FAILURES_TO_UNAVAILABLE);
         self.failed_at = now;
-        self.trying = false;
+        self.probing = false;
     }
 
-    /// Another host has no answer, and leaves the next try to this one.
-    pub fn given_turn(&mut self, now: Duration) {
-        self.doubted(now);
-        self.trying = true;
+    /// Records that another host gets no answer and has granted this host a probe slot.
+    pub fn slot_granted(&mut self, now: Duration) {
+        self.suspected(now);
+        self.probing = true;
     }
 
-    /// Whether this host, if it reads the store, is to go on: the store answers it, or its turn to try is not
-    /// over.
-    pub fn goes_on(&self) -> bool {
-        !self.away() || self.trying
+    /// Whether a host that reads the store keeps doing so: the store answers it, or its probe has not ended.
+    pub fn keeps_reading(&self) -> bool {
+        !self.unavailable() || self.probing
     }
 
-    /// Whether the store counts as away for this host.
-    pub fn away(&self) -> bool {
-        self.failures >= FAILURES
+    /// Whether the store counts as unavailable to this host.
+    pub fn unavailable(&self) -> bool {
+        self.failures >= FAILURES_TO_UNAVAILABLE
     }
 }
 
-/// Hands out the turns to try the store while it does not answer the host that is asked.
+/// Grants store probe slots to polling hosts while the store doesn't answer the polled host.
 #[derive(Debug, Default)]
-pub struct Turns {
-    /// When each host last had one.
-    had: FxHashMap<String, Duration>,
-    /// How many were given.
-    given: u32,
-    last: Option<Duration>,
+pub struct ProbeSlots {
+    /// When each host was last granted a slot.
+    granted_at: FxHashMap<String, Duration>,
+    /// Number of slots granted.
+    granted: u32,
+    last_granted: Option<Duration>,
 }
 
-impl Turns {
-    /// Whether a host that asks is to try now. `others` are the hosts that ask as well: the turn goes
-    /// to one that has waited longest.
-    pub fn give<'a>(
+impl ProbeSlots {
+    /// Whether the polling host `host` is granted a slot now. `others` are the hosts that poll as well: a
+    /// slot goes to a host that has waited longest.
+    pub fn grant<'a>(
         &mut self,
         host: &str,
         mut others: impl Iterator<Item = &'a str>,
         now: Duration,
     ) -> bool {
-        let pause = match self.given < EARLY_TURNS {
-            true => BETWEEN_EARLY_TURNS,
-            false => BETWEEN_TURNS,
+        let interval = match self.granted < EARLY_PROBE_SLOTS {
+            true => EARLY_PROBE_SLOT_INTERVAL,
+            false => PROBE_SLOT_INTERVAL,
         };
-        if self.last.is_some_and(|at| now < at + pause) {
+        if self.last_granted.is_some_and(|at| now < at + interval) {
             return false;
         }
-        let had = self.had.get(host);
-        if others.any(|other| self.had.get(other) < had) {
+        let granted_at = self.granted_at.get(host);
+        if others.any(|other| self.granted_at.get(other) < granted_at) {
             return false;
         }
-        self.had.insert(host.to_owned(), now);
-        self.last = Some(now);
-        self.given = self.given.saturating_add(1);
+        self.granted_at.insert(host.to_owned(), now);
+        self.last_granted = Some(now);
+        self.granted = self.granted.saturating_add(1);
         true
     }
 
-    /// The store answers again: the next time begins anew.
-    pub fn over(&mut self) {
+    /// Starts anew once the store answers again.
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// What another host of the data centre has told of the store.
+/// What another host of the data centre has reported about the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
-    /// It has heard of the store lately, by itself or through others.
+pub struct StoreReport {
+    /// The reporting host has recent data from the store, read by itself or received from others.
     pub fresh: bool,
-    /// It has that from this host.
-    pub from_here: bool,
-    /// The store does not answer it, as far as it knows, even if it did lately; else it has just started if
-    /// it has no fresh news.
-    pub away: bool,
-    /// It leaves the next try to this host.
-    pub turn: bool,
-    /// It has told what it knows of the list of endpoints.
-    pub list: bool,
+    /// It received that data from this host.
+    pub from_this_host: bool,
+    /// As far as the reporting host knows, the store doesn't answer it, even if it answered a moment ago. If
+    /// this is false and the host has no recent data, it has only just started.
+    pub unavailable: bool,
+    /// The reporting host grants this host a probe slot.
+    pub probe_slot: bool,
+    /// The report includes what the reporting host knows of the list of endpoints.
+    pub has_list: bool,
 }
 
 /// What a host does about the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It reads the store.
-    Reads,
-    /// It is told what another host reads.
-    IsTold,
-    /// Nobody here has news yet: it waits for them, or for its turn to try.
-    Waits,
+    /// Reads the store.
+    Reader,
+    /// Receives what another host reads.
+    Follower,
+    /// No host nearby has recent data yet: waits for data or for a probe slot.
+    Waiting,
 }
 
-/// What a host does about the store, by what the one that it asks has told, if any did, and whether
-/// it reads the store itself and is to go on ([`Access::goes_on`]).
+/// Returns the role of this host. `report` is that of the polled host, if it answered; `keeps_reading` is
+/// whether this host reads the store itself and is to go on ([`StoreAccess::keeps_reading`]).
 ///
-/// That it has no fresh news itself does not matter: the list is read after the catalogue, and takes its time.
-/// Who left off in between would never have news for the others.
+/// Whether this host itself has recent data is no criterion: the list is read after the catalogue and takes
+/// its time, and a host that stopped reading in between would never have data for the others.
 ///
-/// News that are fresh were read lately. Once the store no longer answers whoever read them there will be no
-/// more: the next reader is looked for at once, and not when they have grown old.
+/// Recent data was read a moment ago. Once the store no longer answers the host that read it, no more will
+/// follow, so the next reader is looked for at once and not only when the data has become stale.
 ///
-/// A host that is not told the list reads it, and can be told what changes from there on.
-pub fn role(told: Option<Told>, goes_on: bool) -> Role {
-    match told {
-        None => Role::Reads,
-        Some(told) if told.fresh && !told.from_here && !told.away => match told.list {
-            true => Role::IsTold,
-            false => Role::Reads,
-        },
-        Some(told) if goes_on || told.turn => Role::Reads,
-        Some(_) => Role::Waits,
+/// A host whose report lacks the list reads the store, and can receive later changes of the list from then
+/// on.
+pub fn role(report: Option<StoreReport>, keeps_reading: bool) -> Role {
+    match report {
+        None => Role::Reader,
+        Some(report) if report.fresh && !report.from_this_host && !report.unavailable => {
+            match report.has_list {
+                true => Role::Follower,
+                false => Role::Reader,
+            }
+        }
+        Some(report) if keeps_reading || report.probe_slot => Role::Reader,
+        Some(_) => Role::Waiting,
     }
 }
--- a/crates/fleet/tests/store_access.rs
+++ b/crates/fleet/tests/store_access.rs
@@ -1,8 +1,8 @@
-//! Who asks a store that does not answer.
+//! Which hosts call a store that doesn't answer.
 
 use std::time::Duration;
 
-use dragonflyrill_fleet::store_access::{self, Access, Role, Told, Turns};
+use dragonflyrill_fleet::store_access::{self, ProbeSlots, Role, StoreAccess, StoreReport};
 use proptest::prelude::*;
 
 fn ms(ms: u64) -> Duration {
@@ -14,172 +14,189 @@
 }
 
 #[test]
-fn a_store_is_away_after_some_failures_in_a_row() {
-    let mut access = Access::default();
+fn a_store_is_unavailable_after_three_consecutive_failures() {
+    let mut access = StoreAccess::default();
     access.failed(ms(1));
     access.failed(ms(2));
     access.answered(ms(2));
     access.failed(ms(3));
     access.failed(ms(4));
-    assert!(!access.away(), "links lose single calls");
+    assert!(!access.unavailable(), "single calls fail on lossy links");
     access.failed(ms(5));
-    assert!(access.away());
+    assert!(access.unavailable());
     access.answered(ms(6));
-    assert!(!access.away());
-    access.doubted(ms(7));
-    assert!(access.away(), "until it has answered");
+    assert!(!access.unavailable());
+    access.suspected(ms(7));
+    assert!(access.unavailable(), "until the store has answered");
     access.answered(ms(8));
-    assert!(!access.away());
+    assert!(!access.unavailable());
 }
 
-/// A host that was turned away believed that the store was back, as a read that it had sent before was answered
-/// then, and had the host that read in its place stop.
+/// A read that was sent before the store began to refuse a host may be answered after the refusals. If such
+/// an answer counted, the host would take the store for available, and the host that reads in its place would
+/// stop.
 #[test]
-fn an_answer_to_what_was_sent_before_a_failure_does_not_show_that_the_store_is_back() {
-    let mut access = Access::default();
-    let waits_for_news = ms(1);
+fn an_answer_to_a_read_sent_before_a_failure_does_not_make_the_store_available() {
+    let mut access = StoreAccess::default();
+    let long_poll_sent_at = ms(1);
     for failed_at in [10, 20, 30] {
         access.failed(ms(failed_at));
     }
-    access.answered(waits_for_news);
-    assert!(access.away());
+    access.answered(long_poll_sent_at);
+    assert!(access.unavailable());
     access.answered(ms(31));
-    assert!(!access.away());
+    assert!(!access.unavailable());
 }
 
 #[test]
-fn a_host_that_is_told_fresh_news_without_the_list_reads_it() {
-    let told = |list| {
-        Some(Told {
+fn a_host_reads_the_store_if_a_recent_report_lacks_the_list() {
+    let report = |list| {
+        Some(StoreReport {
             fresh: true,
-            from_here: false,
-            away: false,
-            turn: false,
-            list,
+            from_this_host: false,
+            unavailable: false,
+            probe_slot: false,
+            has_list: list,
         })
     };
-    assert_eq!(store_access::role(told(true), false), Role::IsTold);
-    for goes_on in [false, true] {
-        assert_eq!(store_access::role(told(false), goes_on), Role::Reads);
+    assert_eq!(store_access::role(report(true), false), Role::Follower);
+    for keeps_reading in [false, true] {
+        assert_eq!(
+            store_access::role(report(false), keeps_reading),
+            Role::Reader
+        );
     }
 }
 
 #[test]
-fn a_host_that_is_told_that_the_store_is_away_waits_for_its_turn() {
-    let told = |fresh, from_here, turn| {
-        Some(Told {
+fn a_host_waits_for_a_probe_slot_while_the_store_is_reported_unavailable() {
+    let report = |fresh, from_this_host, turn| {
+        Some(StoreReport {
             fresh,
-            from_here,
-            away: !fresh,
-            turn,
-            list: true,
+            from_this_host,
+            unavailable: !fresh,
+            probe_slot: turn,
+            has_list: true,
         })
     };
     let role = store_access::role;
-    assert_eq!(role(None, false), Role::Reads, "it reaches nobody");
-    assert_eq!(role(told(true, false, false), false), Role::IsTold);
-    assert_eq!(role(told(true, false, false), true), Role::IsTold);
-    assert_eq!(role(told(false, false, false), false), Role::Waits);
-    assert_eq!(role(told(false, false, true), false), Role::Reads);
-    assert_eq!(role(told(false, false, false), true), Role::Reads);
-    // What the other one knows it has from here.
-    assert_eq!(role(told(true, true, false), true), Role::Reads);
-    assert_eq!(role(told(true, true, false), false), Role::Waits);
+    assert_eq!(
+        role(None, false),
+        Role::Reader,
+        "no other host is reachable"
+    );
+    assert_eq!(role(report(true, false, false), false), Role::Follower);
+    assert_eq!(role(report(true, false, false), true), Role::Follower);
+    assert_eq!(role(report(false, false, false), false), Role::Waiting);
+    assert_eq!(role(report(false, false, true), false), Role::Reader);
+    assert_eq!(role(report(false, false, false), true), Role::Reader);
+    // The data of the other host comes from this one.
+    assert_eq!(role(report(true, true, false), true), Role::Reader);
+    assert_eq!(role(report(true, true, false), false), Role::Waiting);
 }
 
-/// Turns that were given while news were still fresh were not taken: for 0.7 s nobody looked whether the store
-/// answers another host.
+/// The host that grants slots may still have recent data when the store stops answering it. If hosts ignored
+/// slots granted then, nobody would check for 0.7 s whether the store answers another host.
 #[test]
-fn fresh_news_of_a_store_that_no_longer_answers_are_the_last() {
-    let told = |turn| {
-        Some(Told {
+fn a_recent_report_of_an_unavailable_store_lets_a_host_use_its_probe_slot() {
+    let report = |turn| {
+        Some(StoreReport {
             fresh: true,
-            from_here: false,
-            away: true,
-            turn,
-            list: true,
+            from_this_host: false,
+            unavailable: true,
+            probe_slot: turn,
+            has_list: true,
         })
     };
     let role = store_access::role;
-    assert_eq!(role(told(true), false), Role::Reads);
-    assert_eq!(role(told(false), false), Role::Waits);
-    assert_eq!(role(told(false), true), Role::Reads, "it has an answer");
+    assert_eq!(role(report(true), false), Role::Reader);
+    assert_eq!(role(report(false), false), Role::Waiting);
+    assert_eq!(
+        role(report(false), true),
+        Role::Reader,
+        "the store answers this host"
+    );
 }
 
-/// A host that had its turn asked for news while its try was under way, or when the catalogue had been answered
-/// and the list had not, and was told to wait: it left off, and the next one did the same.
+/// A host polls while its probe is under way, or when the catalogue was answered and the list was not. If the
+/// report then made it wait, it would stop reading, and the next host would do the same.
 #[test]
-fn a_host_that_has_its_turn_goes_on_until_its_try_has_ended() {
-    let mut access = Access::default();
-    assert!(access.goes_on(), "the store has failed it in nothing");
-    access.doubted(ms(1));
-    assert!(!access.goes_on());
-    access.given_turn(ms(2));
-    assert!(access.away() && access.goes_on());
+fn a_host_with_a_probe_slot_keeps_reading_until_its_probe_has_ended() {
+    let mut access = StoreAccess::default();
+    assert!(access.keeps_reading(), "no call has failed");
+    access.suspected(ms(1));
+    assert!(!access.keeps_reading());
+    access.slot_granted(ms(2));
+    assert!(access.unavailable() && access.keeps_reading());
     access.failed(ms(3));
-    assert!(!access.goes_on(), "its try has failed");
-    access.given_turn(ms(4));
+    assert!(!access.keeps_reading(), "the probe has failed");
+    access.slot_granted(ms(4));
     access.answered(ms(5));
-    assert!(!access.away() && access.goes_on(), "it has an answer");
+    assert!(
+        !access.unavailable() && access.keeps_reading(),
+        "the store answers this host"
+    );
 }
 
-/// Hosts ask in a random order every few ms; gives who had turns, and when.
-fn turns(hosts: usize, asks: &[(usize, u64)]) -> Vec<(usize, Duration)> {
+/// Lets hosts poll in the given order, each after an interval in ms; returns which hosts were granted slots,
+/// and when.
+fn granted_slots(hosts: usize, polls: &[(usize, u64)]) -> Vec<(usize, Duration)> {
     let names = names(hosts);
-    let mut turns = Turns::default();
+    let mut probe_slots = ProbeSlots::default();
     let mut now = Duration::ZERO;
-    let mut given = Vec::new();
-    for (host, pause) in asks {
-        now += ms(*pause);
+    let mut grants = Vec::new();
+    for (host, interval) in polls {
+        now += ms(*interval);
         let host = host % hosts;
         let others = names.iter().map(String::as_str);
-        if turns.give(&names[host], others, now) {
-            given.push((host, now));
+        if probe_slots.grant(&names[host], others, now) {
+            grants.push((host, now));
         }
     }
-    given
+    grants
 }
 
 proptest! {
-    /// However many hosts ask, and however often: the calls to the store don't grow with them.
+    /// The calls to the store don't grow with the number of hosts or with how often they poll.
     #[test]
-    fn turns_are_as_few_for_many_hosts(
+    fn probe_slots_are_as_few_for_many_hosts(
         hosts in 1..300_usize,
-        asks in proptest::collection::vec((0..300_usize, 0..20_u64), 0..2000),
+        polls in proptest::collection::vec((0..300_usize, 0..20_u64), 0..2000),
     ) {
-        let given = turns(hosts, &asks);
-        for (nth, pair) in given.windows(2).enumerate() {
+        let grants = granted_slots(hosts, &polls);
+        for (nth, pair) in grants.windows(2).enumerate() {
             let least = if nth < 3 { ms(100) } else { ms(700) };
             prop_assert!(pair[1].1 - pair[0].1 >= least);
         }
     }
 
-    /// A host whose calls would be answered is not kept from trying by others: no host has a turn
-    /// twice before each other one that asks has had one.
+    /// Other hosts don't keep a host from probing that the store would answer: no host is granted a second
+    /// slot before each other polling host has had one.
     #[test]
     fn each_host_has_its_turn(
         hosts in 1..12_usize,
-        asks in proptest::collection::vec((0..12_usize, 0..400_u64), 0..2000),
+        polls in proptest::collection::vec((0..12_usize, 0..400_u64), 0..2000),
     ) {
-        let given = turns(hosts, &asks);
-        let mut had = vec![0; hosts];
-        for (host, _) in given {
-            had[host] += 1;
-            let most = had.iter().max();
-            let least = had.iter().min();
-            prop_assert!(most <= least.map(|n| n + 1).as_ref(), "{had:?}");
+        let grants = granted_slots(hosts, &polls);
+        let mut granted = vec![0; hosts];
+        for (host, _) in grants {
+            granted[host] += 1;
+            let most = granted.iter().max();
+            let least = granted.iter().min();
+            prop_assert!(most <= least.map(|n| n + 1).as_ref(), "{granted:?}");
         }
     }
 }
 
-/// A host used its catalogue for 0.06 s longer than a change may take: three of its data centre's four hosts were
-/// cut off from the store together, and the one that was not had its turn last, 1.4 s after the first.
+/// Three of a data centre's four hosts may be cut off from the store together. If the fourth is granted its
+/// slot last, 1.4 s after the first, it acts on its catalogue for 0.06 s longer than a change may take to be
+/// in force.
 #[test]
-fn the_one_host_of_four_that_is_not_cut_off_has_its_turn_soon() {
-    let every_host_each_quarter_second = [(0, 62), (1, 63), (2, 62), (3, 63)].repeat(4);
-    let given = turns(4, &every_host_each_quarter_second);
-    let first = given[0].1;
-    let mut soon: Vec<usize> = given
+fn all_hosts_of_a_small_data_centre_are_granted_a_slot_within_half_a_second() {
+    let poll_schedule = [(0, 62), (1, 63), (2, 62), (3, 63)].repeat(4);
+    let grants = granted_slots(4, &poll_schedule);
+    let first = grants[0].1;
+    let mut soon: Vec<usize> = grants
         .iter()
         .take_while(|(_, at)| *at <= first + ms(500))
         .map(|(host, _)| *host)
@@ -189,12 +206,12 @@
 }
 
 #[test]
-fn the_first_turn_comes_at_once_and_again_after_the_store_was_back() {
-    let mut turns = Turns::default();
+fn the_first_slot_is_granted_at_once_also_after_a_reset() {
+    let mut probe_slots = ProbeSlots::default();
     let now = ms(5000);
     let others = || ["h1", "h2"].into_iter();
-    assert!(turns.give("h1", others(), now));
-    assert!(!turns.give("h2", others(), now));
-    turns.over();
-    assert!(turns.give("h1", others(), now));
+    assert!(probe_slots.grant("h1", others(), now));
+    assert!(!probe_slots.grant("h2", others(), now));
+    probe_slots.reset();
+    assert!(probe_slots.grant("h1", others(), now));
 }
--- a/crates/gateway/src/control/kept_limits.rs
+++ b/crates/gateway/src/control/kept_limits.rs
@@ -19,7 +19,7 @@
     if !gateway.reads_store() {
         return Vec::new();
     }
-    let accounts = gateway.limits.borrow().to_tell(gateway.now());
+    let accounts = gateway.limits.borrow().reports(gateway.now());
     let kept = accounts.iter().filter_map(|account| {
         Some(KeptLimit {
             endpoint: account.id.to_string(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -27,7 +27,7 @@
     outage::Outage,
     quarantine::Quarantine,
     share,
-    store_access::Access,
+    store_access::StoreAccess,
 };
 use dragonflyrill_protocol::exchange::FleetHost;
 use rustc_hash::FxHashMap;
@@ -127,7 +127,7 @@
     closing: watch::Sender<bool>,
     reading: watch::Sender<bool>,
     /// How this host's own reads of the store have ended.
-    access: watch::Sender<Access>,
+    access: watch::Sender<StoreAccess>,
     /// The last trouble with the store in which entries can have lapsed.
     pub outage: RefCell<Outage>,
     /// The other hosts.
--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use dragonflyrill_fleet::endpoint_limits::{Change, RequestRate, Shares};
+use dragonflyrill_fleet::endpoint_limits::{LimitChange, PooledShares, RequestRate};
 
 use super::Gateway;
 use crate::ports::{AnswerFacts, StatedLimit};
@@ -20,7 +20,10 @@
                 return;
             }
         };
-        let change = self.limits.borrow_mut().named(id, stated, self.now());
+        let change = self
+            .limits
+            .borrow_mut()
+            .record_stated(id, stated, self.now());
         log_change(id, change, "an answer");
     }
 
@@ -29,7 +32,7 @@
         if self.endpoints_known.get() && self.directory.borrow().get(id).is_none() {
             return;
         }
-        let change = self.limits.borrow_mut().told(id, rate, as_of);
+        let change = self.limits.borrow_mut().merge_report(id, rate, as_of);
         log_change(id, change, "another host");
     }
 
@@ -41,9 +44,9 @@
     }
 
     /// The shares of limits that this host holds.
-    pub(crate) fn limit_shares(&self) -> Shares {
-        Shares {
-            asked_by: self.peers.asked_by(&self.settings, self.now()),
+    pub(crate) fn limit_shares(&self) -> PooledShares {
+        PooledShares {
+            polling_hosts: self.peers.asked_by(&self.settings, self.now()),
             hosts: self.counted_hosts(),
         }
     }
@@ -66,7 +69,7 @@
             return true;
         }
         let limited = ids.iter().any(|id| limits.rate(id).is_some());
-        let taken = limits.take(ids, self.limit_shares(), self.now());
+        let taken = limits.try_acquire(ids, self.limit_shares(), self.now());
         match (limited, taken) {
             (true, true) => self.metrics.limited_sends.inc(),
             (_, false) => self.metrics.permits_refused.inc(),
@@ -76,12 +79,12 @@
     }
 }
 
-fn log_change(id: &Rc<str>, change: Option<Change>, by: &str) {
+fn log_change(id: &Rc<str>, change: Option<LimitChange>, by: &str) {
     match change {
-        Some(Change::Named(rate)) => {
+        Some(LimitChange::Set(rate)) => {
             log::info!(target: "fleet", endpoint = &**id, per_s = rate.per_s(), by = by; "Endpoint names a limit.");
         }
-        Some(Change::Lifted) => {
+        Some(LimitChange::Lifted) => {
             log::info!(target: "fleet", endpoint = &**id, by = by; "Endpoint names no limit any more.");
         }
         None => {}
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -66,7 +66,7 @@
         log::info!(target: "fleet", endpoint = &*endpoint.id, by = by; "Endpoint has ended: another start is in its place.");
         self.endpoint_over(&endpoint.id);
         self.loads.borrow_mut().forget(&endpoint.id);
-        self.limits.borrow_mut().forget(&endpoint.id);
+        self.limits.borrow_mut().remove(&endpoint.id);
         self.idle.drop_all(endpoint.addr);
         self.prober.changed();
         self.metrics.endpoint_restarts.inc();
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dragonflyrill_fleet::store_access::Access;
+use dragonflyrill_fleet::store_access::StoreAccess;
 
 use super::{Gateway, On};
 use crate::control::catalogue;
@@ -42,31 +42,31 @@
     }
 
     /// Notes how a call to the store has ended, or what another host tells of it.
-    pub fn note_access(&self, note: impl FnOnce(&mut Access)) {
+    pub fn note_access(&self, note: impl FnOnce(&mut StoreAccess)) {
         let before = *self.access.borrow();
         let changed = self.access.send_if_modified(|access| {
             note(access);
-            access.away() != before.away()
+            access.unavailable() != before.unavailable()
         });
         let after = *self.access.borrow();
         // Before the next host tries, this one tells whoever has others try that it has the store back; and before
         // it tries once more itself, it hears whether it is to leave that to others.
-        let back = changed && !after.away() && self.hears();
-        let leaves_off = self.reads_store() && before.goes_on() && !after.goes_on();
+        let back = changed && !after.unavailable() && self.hears();
+        let leaves_off = self.reads_store() && before.keeps_reading() && !after.keeps_reading();
         if back || leaves_off {
             self.peers.hurry();
         }
         if changed {
-            if after.away() {
+            if after.unavailable() {
                 self.store_troubled();
             }
-            log::info!(target: "store", away = after.away(); "Whether the store is away changed.");
+            log::info!(target: "store", away = after.unavailable(); "Whether the store is away changed.");
         }
     }
 
     /// Whether the store counts as away: only what shows that it is back is asked for then.
     pub fn store_away(&self) -> bool {
-        self.access.borrow().away()
+        self.access.borrow().unavailable()
     }
 
     /// The store is in trouble, as far as this host knows.
@@ -81,7 +81,7 @@
 
     /// Whether this host reads the store itself and is to go on, whatever another one tells.
     pub fn goes_on_reading(&self) -> bool {
-        self.reads_store() && self.access.borrow().goes_on()
+        self.reads_store() && self.access.borrow().keeps_reading()
     }
 
     /// Waits until this host reads the store itself and the store answers it.
@@ -90,7 +90,7 @@
             self.until_reading().await;
             let mut access = self.access.subscribe();
             // The sender lives as long as this does.
-            let _ = access.wait_for(|access| !access.away()).await;
+            let _ = access.wait_for(|access| !access.unavailable()).await;
         }
     }
 
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -7,7 +7,7 @@
     endpoints::Endpoint,
     incarnations::{self, Born},
     layers::LayerRange,
-    store_access::{self, Role, Told},
+    store_access::{self, Role, StoreReport},
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
@@ -149,22 +149,32 @@
     }
 
     /// Reads the store or not, by what the other hosts told of it.
-    fn take_role(&self, told: Option<Told>) {
+    fn take_role(&self, told: Option<StoreReport>) {
         let gateway = &self.gateway;
         let now = gateway.now();
         let role = store_access::role(told, gateway.goes_on_reading());
         match (role, told) {
-            (Role::IsTold, _) => gateway.note_access(|access| access.answered(now)),
+            (Role::Follower, _) => gateway.note_access(|access| access.answered(now)),
             // A host that tries for the others asks for one thing only, too.
-            (Role::Reads, Some(Told { turn: true, .. })) => {
-                gateway.note_access(|access| access.given_turn(now));
+            (
+                Role::Reader,
+                Some(StoreReport {
+                    probe_slot: true, ..
+                }),
+            ) => {
+                gateway.note_access(|access| access.slot_granted(now));
             }
-            (Role::Waits, Some(Told { away: true, .. })) => {
-                gateway.note_access(|access| access.doubted(now));
+            (
+                Role::Waiting,
+                Some(StoreReport {
+                    unavailable: true, ..
+                }),
+            ) => {
+                gateway.note_access(|access| access.suspected(now));
             }
-            (Role::Waits | Role::Reads, _) => {}
+            (Role::Waiting | Role::Reader, _) => {}
         }
-        gateway.set_reading(role == Role::Reads);
+        gateway.set_reading(role == Role::Reader);
         // Its last news may still be fresh while it has others look for more.
         if gateway.hears() && !gateway.reads_in_vain() {
             gateway.peers.no_turns();
@@ -172,7 +182,7 @@
     }
 
     /// Asks the first hosts of this data centre until one answers.
-    async fn ask_first(&mut self, near: &str, me: &str) -> Option<Told> {
+    async fn ask_first(&mut self, near: &str, me: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         for _ in 0..FIRST_HOSTS {
             let host = gateway.peers.first(near, Some(me), gateway.now())?;
@@ -186,7 +196,7 @@
 
     /// Asks another host of this data centre that reads the store, while the store does not answer
     /// this one, which all others ask.
-    async fn ask_reader(&mut self, near: &str) -> Option<Told> {
+    async fn ask_reader(&mut self, near: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         if gateway.reads_well() {
             return None;
@@ -198,7 +208,7 @@
     }
 
     /// Asks a host of this data centre; `None` if it does not answer.
-    async fn ask_near(&mut self, host: &FleetHost) -> Option<Told> {
+    async fn ask_near(&mut self, host: &FleetHost) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         let peers = &gateway.peers;
         if self.asked.as_ref() != Some(&host.host) {
@@ -217,17 +227,17 @@
         peers.works(&host.host);
         let age = news.proof_age_us.map(Duration::from_micros);
         let heard = news.heard_age_us.map(Duration::from_micros);
-        let told = Told {
+        let told = StoreReport {
             fresh: self.fresh(&news),
-            from_here: news.reader.as_ref() == Some(&gateway.settings.host),
-            away: news.away,
-            turn: news.turn,
-            list: news.list.is_some(),
+            from_this_host: news.reader.as_ref() == Some(&gateway.settings.host),
+            unavailable: news.away,
+            probe_slot: news.turn,
+            has_list: news.list.is_some(),
         };
         let heard_at = heard.and_then(|age| sent_at.checked_sub(age));
         if let Some(at) = heard_at {
             gateway.heard(On::Catalogue, at);
-            if told.list {
+            if told.has_list {
                 gateway.heard(On::List, at);
             }
         }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use dragonflyrill_fleet::endpoint_limits::{Account, RequestRate};
+use dragonflyrill_fleet::endpoint_limits::{LimitReport, RequestRate};
 use dragonflyrill_protocol::exchange::{EndpointLimit, FleetHost};
 
 use crate::gateway::Gateway;
@@ -15,8 +15,8 @@
     }
     let now = gateway.now();
     let accounts = match lends {
-        true => limits.ask(now),
-        false => limits.to_tell(now),
+        true => limits.request_permits(now),
+        false => limits.reports(now),
     };
     accounts.iter().map(|a| to_wire(a, lends)).collect()
 }
@@ -34,7 +34,7 @@
     let shares = gateway.limit_shares();
     let mut limits = gateway.limits.borrow_mut();
     let mut known: Vec<EndpointLimit> = limits
-        .to_tell(now)
+        .reports(now)
         .iter()
         .map(|a| to_wire(a, false))
         .collect();
@@ -49,7 +49,7 @@
 /// Takes what a host tells that was asked at `asked_at`.
 pub(super) fn take(gateway: &Gateway, told: &[EndpointLimit], asked_at: Duration) {
     for limit in told {
-        let Account { id, rate, age, .. } = from_wire(limit);
+        let LimitReport { id, rate, age, .. } = from_wire(limit);
         let as_of = asked_at.saturating_sub(age);
         gateway.told_limit(&id, rate, as_of);
     }
@@ -59,11 +59,11 @@
 pub(super) fn take_permits(gateway: &Gateway, told: &[EndpointLimit], asked_at: Duration) {
     let mut limits = gateway.limits.borrow_mut();
     for limit in told {
-        limits.lent(&limit.endpoint, limit.permits, asked_at);
+        limits.add_borrowed(&limit.endpoint, limit.permits, asked_at);
     }
 }
 
-fn to_wire(account: &Account, wants: bool) -> EndpointLimit {
+fn to_wire(account: &LimitReport, wants: bool) -> EndpointLimit {
     EndpointLimit {
         endpoint: account.id.to_string(),
         per_s: account.rate.map(RequestRate::per_s),
@@ -74,8 +74,8 @@
 }
 
 /// A rate that is none is left out, as if the endpoint named no limit: no host tells one.
-fn from_wire(limit: &EndpointLimit) -> Account {
-    Account {
+fn from_wire(limit: &EndpointLimit) -> LimitReport {
+    LimitReport {
         id: Rc::from(limit.endpoint.as_str()),
         rate: limit
             .per_s
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -25,7 +25,7 @@
     choice::{Load, LoadMap},
     endpoint_limits,
     endpoints::Avoided,
-    store_access::Turns,
+    store_access::ProbeSlots,
 };
 use dragonflyrill_protocol::exchange::{self, EndpointLoad, FleetHost, LeaseRow, ListMark};
 use rustc_hash::{FxHashMap, FxHasher};
@@ -73,7 +73,7 @@
     /// The host whose reading of the store this one is told.
     reader: RefCell<Option<String>>,
     /// Hands out turns to try a store that does not answer.
-    turns: RefCell<Turns>,
+    turns: RefCell<ProbeSlots>,
     /// Gives out the catalogue's document.
     documents: Documents,
     /// News that the other hosts wait for.
@@ -206,7 +206,7 @@
         let heard = self.heard.borrow();
         let asked = heard.values().filter(|h| {
             let near = h.from.data_centre == *settings.data_centre;
-            near && h.from.host > settings.host && h.at + endpoint_limits::POOLED_FOR > now
+            near && h.from.host > settings.host && h.at + endpoint_limits::POOLED_SHARE_TTL > now
         });
         asked.count() as u32
     }
@@ -218,12 +218,12 @@
             .iter()
             .filter(|(_, h)| h.from.data_centre == data_centre);
         let others = near.map(|(name, _)| &**name);
-        self.turns.borrow_mut().give(host, others, now)
+        self.turns.borrow_mut().grant(host, others, now)
     }
 
     /// The store is heard of again.
     fn no_turns(&self) {
-        self.turns.borrow_mut().over();
+        self.turns.borrow_mut().reset();
     }
 
     /// A host of a data centre that has told that it reads the store, and when last, at the latest
