--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,19 +1,20 @@
-//! How often requests may be sent a second time.
+//! Bounds how often requests are retried.
 //!
-//! All hosts share one budget a service: in any window, sends beyond the first of each request are
-//! at most a share of the requests, plus a burst. Without a call per repeat that holds if each host
-//! keeps to the share of its own requests and to its part of the burst, see [`crate::share`].
+//! All hosts share one budget per service: in any window, the dispatches beyond the first of each request are
+//! at most a fraction of the number of requests, plus a burst. No call is made for a retry. Instead the bound
+//! holds because each host keeps to the fraction of its own requests and to its share of the burst, see
+//! [`crate::share`].
 //!
-//! Callers move from one host to another, as when hosts end. Those that come to a host are counted twice at
-//! first: here, and where they were in the window before. So a host counts the requests of the window or of
-//! the one before it, whichever has fewer.
+//! Callers move from one host to another, for example when hosts shut down. A caller that moves to a host is
+//! at first counted twice: here, and on the host where it was in the window before. So a host counts the
+//! requests of the current window or of the one before it, whichever has fewer.
 //!
-//! A process may end at any moment and start again, and what it has taken must not be forgotten with
-//! it. So a host writes down beforehand, in its row of the store, how many repeats it may take in a
-//! window: half of what is allowed in quiet times, and more as soon as it uses that. The process that
-//! starts next counts as taken what the row says, for one window. Thus few writes are made, a surge
-//! of repeats waits a few ms for one at the most, and half of the budget is there at once after a
-//! start, and while the store is away.
+//! A process may terminate at any time and start again, and the retries that it made must still count. So a
+//! host records beforehand, in its row of the store, how many retries it may make in a window: half of the
+//! allowed number while few are used, and more as soon as these are being used up. The next process counts
+//! the recorded number as made, for one window. Thus few writes are made, a burst of retries waits a few ms
+//! for a write at most, and half of the budget is available at once after a start and while the store is
+//! unavailable.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -21,216 +22,218 @@
     time::Duration,
 };
 
-/// The part of the budget that is used. The rest is for sends that are counted in another order at
-/// the endpoints than here.
-const USED: f64 = 0.9;
+/// The fraction of the budget that is used. The rest allows for dispatches that are counted in another order
+/// at the endpoints than here.
+const USABLE_FRACTION: f64 = 0.9;
 
-/// How much longer repeats are counted than the window lasts, as a part of it: a repeat that waits on
-/// a link for a second may arrive together with newer ones.
-const LONGER: f64 = 0.1;
+/// How much longer than the window retries count, as a fraction of it: a retry that is delayed on a link for
+/// a second may arrive together with newer ones.
+const EXTRA_SPAN_FRACTION: f64 = 0.1;
 
-/// The part of what is allowed that is written down before any of it is used. As much as that is left
-/// for the process that starts next, and as much can be taken while the store is away.
-const QUIET: f64 = 0.5;
+/// The fraction of the allowed retries that is recorded before any is used. The same number is left to the
+/// next process, and can be used while the store is unavailable.
+const IDLE_RECORD_FRACTION: f64 = 0.5;
 
-/// How much more than what is taken and waited for is written down in a surge: few writes, and little
-/// that the process that starts next counts as taken though it was not.
-const STEP: f64 = 1.25;
+/// Ratio of the recorded number to the retries made and waited for in a burst. A larger factor takes fewer
+/// writes, but the next process counts more retries as made that were not.
+const RECORD_GROWTH_FACTOR: f64 = 1.25;
 
 /// The bounds of a budget.
 #[derive(Debug, Clone, Copy)]
-pub struct BudgetTerms {
-    /// Repeats allowed for each request.
+pub struct BudgetConfig {
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all hosts.
+    /// Retries allowed in addition, over all hosts together.
     pub burst: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-impl BudgetTerms {
-    /// For how long a repeat counts.
+impl BudgetConfig {
+    /// How long a retry counts.
     pub fn span(&self) -> Duration {
-        self.window.mul_f64(1.0 + LONGER)
+        self.window.mul_f64(1.0 + EXTRA_SPAN_FRACTION)
     }
 }
 
-/// How a budget stands: what a decision on a repeat rests on.
+/// State of a budget on which the decision on a retry is based.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
-    /// Requests of the window, or of the one before it if that has fewer.
+pub struct BudgetState {
+    /// Requests of the current window, or of the one before it if that has fewer.
     pub requests: usize,
-    /// Repeats that count: those taken, and those that an earlier process may have taken.
-    pub repeats: usize,
-    /// Repeats that this host may have made in the window.
+    /// Retries that count: those made by this process, and those that an earlier one may have made.
+    pub retries: usize,
+    /// Number of retries that this host may make in a window.
     pub allowed: f64,
-    /// Repeats that it has written down that it may make.
+    /// Number of retries in a window that this host's row in the store permits.
     pub recorded: u32,
-    /// Requests that wait for a repeat to be written down.
+    /// Requests that wait for a retry to be recorded.
     waiting: usize,
-    /// This host is about to end.
-    leaving: bool,
+    /// This host is shutting down.
+    shutting_down: bool,
 }
 
-impl Standing {
-    /// Whether one more repeat is left.
-    pub fn left(&self) -> bool {
-        self.allows_one_more() && self.repeats < self.recorded as usize
+impl BudgetState {
+    /// Whether one more retry may be made now.
+    pub fn retry_left(&self) -> bool {
+        self.allows_one_more() && self.retries < self.recorded as usize
     }
 
-    /// Whether one more repeat would be left if it were written down.
-    pub fn waits_for_record(&self) -> bool {
-        self.allows_one_more() && !self.left()
+    /// Whether one more retry could be made if it were recorded first.
+    pub fn needs_record(&self) -> bool {
+        self.allows_one_more() && !self.retry_left()
     }
 
     fn allows_one_more(&self) -> bool {
-        (self.repeats + 1) as f64 <= self.allowed
+        (self.retries + 1) as f64 <= self.allowed
     }
 
-    /// How many repeats are to be written down.
-    fn to_record(self) -> u32 {
-        // What a host that is about to end does not need is left for the process that starts next.
-        let quiet = match self.leaving {
+    /// Number of retries to record in the row.
+    fn retries_to_record(self) -> u32 {
+        // A host that shuts down leaves what it doesn't need to the next process.
+        let idle = match self.shutting_down {
             true => 1,
-            false => (QUIET * self.allowed).ceil() as usize,
+            false => (IDLE_RECORD_FRACTION * self.allowed).ceil() as usize,
         };
-        let wanted = match self.used_much() {
-            true => quiet.max((STEP * (self.repeats + self.waiting) as f64).ceil() as usize),
-            false => quiet,
+        let wanted = match self.half_used() {
+            true => idle
+                .max((RECORD_GROWTH_FACTOR * (self.retries + self.waiting) as f64).ceil() as usize),
+            false => idle,
         };
-        // Never less than what counts already.
-        let most = self.allowed.floor() as usize;
-        wanted.min(most).max(self.repeats) as u32
+        // Never record fewer retries than already count.
+        let max = self.allowed.floor() as usize;
+        wanted.min(max).max(self.retries) as u32
     }
 
-    /// Whether that is to be done before the row is written anyway.
+    /// Whether to write the row ahead of its next regular write.
     fn record_due(&self) -> bool {
-        let (wanted, recorded) = (self.to_record(), self.recorded);
+        let (wanted, recorded) = (self.retries_to_record(), self.recorded);
         if wanted <= recorded {
             return false;
         }
-        let many_more = f64::from(wanted) >= STEP * f64::from(recorded);
-        self.waiting > 0 || (many_more && (self.used_much() || wanted >= 2 * recorded))
+        let many_more = f64::from(wanted) >= RECORD_GROWTH_FACTOR * f64::from(recorded);
+        self.waiting > 0 || (many_more && (self.half_used() || wanted >= 2 * recorded))
     }
 
-    /// Whether half of what is written down is used or wanted.
-    fn used_much(&self) -> bool {
-        2 * (self.repeats + self.waiting) >= self.recorded as usize
+    /// Whether half of the recorded retries are used or waited for.
+    fn half_used(&self) -> bool {
+        2 * (self.retries + self.waiting) >= self.recorded as usize
     }
 }
 
 /// This host's part of one service's budget.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: BudgetTerms,
-    /// When the requests of two windows came.
+    config: BudgetConfig,
+    /// Arrival times of the requests of the last two windows.
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
-    /// Repeats that an earlier process may have made, and until when they count.
+    retries: VecDeque<Duration>,
+    /// Retries that an earlier process may have made, and until when they count.
     inherited: (u32, Duration),
-    /// Repeats of one window that the host's row says it may make.
+    /// Number of retries in a window that the host's row permits.
     recorded: u32,
     waiting: usize,
-    leaving: bool,
+    shutting_down: bool,
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is used, and of which nothing is written down: no repeat is left.
-    pub fn new(terms: BudgetTerms) -> Self {
+    /// Creates a budget with nothing used and nothing recorded, so that no retry is allowed yet.
+    pub fn new(config: BudgetConfig) -> Self {
         Self {
-            terms,
+            config,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
+            retries: VecDeque::new(),
             inherited: (0, Duration::ZERO),
             recorded: 0,
             waiting: 0,
-            leaving: false,
+            shutting_down: false,
         }
     }
 
-    /// An earlier process has written down that it may make so many repeats.
-    pub fn inherit(&mut self, repeats: u32, now: Duration) {
-        self.inherited = (repeats, now + self.terms.span());
-        self.recorded = repeats;
+    /// Takes over the number of retries that an earlier process has recorded.
+    pub fn inherit(&mut self, retries: u32, now: Duration) {
+        self.inherited = (retries, now + self.config.span());
+        self.recorded = retries;
     }
 
-    /// A request came in.
-    pub fn request(&mut self, now: Duration) {
+    /// Counts an incoming request.
+    pub fn count_request(&mut self, now: Duration) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat out of the budget, if there is one left for a host that divides the burst by
-    /// so many.
-    pub fn take(&mut self, now: Duration, divisor: Option<u32>) -> bool {
-        let taken = self.standing(now, divisor).left();
-        if taken {
-            self.repeats.push_back(now);
+    /// Acquires one retry if the budget has one left; `divisor` is the number of hosts that share the burst,
+    /// `None` if this host has no share of it.
+    pub fn try_acquire(&mut self, now: Duration, divisor: Option<u32>) -> bool {
+        let acquired = self.state(now, divisor).retry_left();
+        if acquired {
+            self.retries.push_back(now);
         }
-        taken
+        acquired
     }
 
-    /// How the budget stands for a host that divides the burst by so many; `None` if it has no part
-    /// of the burst.
-    pub fn standing(&mut self, now: Duration, divisor: Option<u32>) -> Standing {
+    /// State of the budget; `divisor` is the number of hosts that share the burst, `None` if this host has no
+    /// share of it.
+    pub fn state(&mut self, now: Duration, divisor: Option<u32>) -> BudgetState {
         self.expire(now);
-        let requests = self.requests_counted(now);
-        let own = self.terms.ratio * requests as f64;
-        let burst = divisor.map_or(0.0, |hosts| self.terms.burst / f64::from(hosts.max(1)));
-        Standing {
+        let requests = self.counted_requests(now);
+        let own = self.config.ratio * requests as f64;
+        let burst = divisor.map_or(0.0, |hosts| self.config.burst / f64::from(hosts.max(1)));
+        BudgetState {
             requests,
-            repeats: self.repeats.len() + self.inherited.0 as usize,
-            allowed: USED * (own + burst),
+            retries: self.retries.len() + self.inherited.0 as usize,
+            allowed: USABLE_FRACTION * (own + burst),
             recorded: self.recorded,
             waiting: self.waiting,
-            leaving: self.leaving,
+            shutting_down: self.shutting_down,
         }
     }
 
-    /// A request begins to wait for a repeat to be written down.
-    pub fn wait(&mut self) {
+    /// Counts a request that begins to wait for a retry to be recorded.
+    pub fn begin_wait(&mut self) {
         self.waiting += 1;
     }
 
-    /// It waits no more.
-    pub fn waited(&mut self) {
+    /// Counts a request that has stopped waiting.
+    pub fn end_wait(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// This host is about to end: its row is to say no more than it needs.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Marks this host as shutting down: its row is to permit no more retries than it needs.
+    pub fn begin_shutdown(&mut self) {
+        self.shutting_down = true;
     }
 
-    /// How many repeats the host's row is to say that it may make.
-    pub fn to_record(&mut self, now: Duration, divisor: Option<u32>) -> u32 {
-        self.standing(now, divisor).to_record()
+    /// Number of retries that the host's row is to permit.
+    pub fn retries_to_record(&mut self, now: Duration, divisor: Option<u32>) -> u32 {
+        self.state(now, divisor).retries_to_record()
     }
 
-    /// Whether the row is to say more before it is written anyway.
+    /// Whether the row is to permit more retries before its next regular write.
     pub fn record_due(&mut self, now: Duration, divisor: Option<u32>) -> bool {
-        self.standing(now, divisor).record_due()
+        self.state(now, divisor).record_due()
     }
 
-    /// A row that says so much is about to be written. It may take effect at any time from now on.
-    pub fn recording(&mut self, repeats: u32) {
-        self.recorded = self.recorded.min(repeats);
+    /// Notes that a row with this number of retries is about to be written, which may take effect at any time
+    /// from now on.
+    pub fn begin_record(&mut self, retries: u32) {
+        self.recorded = self.recorded.min(retries);
     }
 
-    /// The store holds a row that says so much.
-    pub fn recorded(&mut self, repeats: u32) {
-        self.recorded = repeats;
+    /// Notes that the store holds a row with this number of retries.
+    pub fn confirm_record(&mut self, retries: u32) {
+        self.recorded = retries;
     }
 
-    fn requests_counted(&self, now: Duration) -> usize {
-        let old = |t: &Duration| *t + self.terms.window <= now;
+    fn counted_requests(&self, now: Duration) -> usize {
+        let old = |t: &Duration| *t + self.config.window <= now;
         let before = self.requests.partition_point(old);
         before.min(self.requests.len() - before)
     }
 
     fn expire(&mut self, now: Duration) {
-        drop_older(&mut self.requests, now, 2 * self.terms.window);
-        drop_older(&mut self.repeats, now, self.terms.span());
+        drop_older(&mut self.requests, now, 2 * self.config.window);
+        drop_older(&mut self.retries, now, self.config.span());
         if self.inherited.1 <= now {
             self.inherited.0 = 0;
         }
@@ -243,81 +246,84 @@
     }
 }
 
-/// What a host's row says of one service.
+/// The entry for one service in a host's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Recorded {
+pub struct RecordedRetries {
     /// The service.
     pub service: Rc<str>,
-    /// Repeats that the host may make in a window.
-    pub repeats: u32,
+    /// Number of retries that the host may make in a window.
+    pub retries: u32,
 }
 
 /// This host's parts of the budgets of all services.
 #[derive(Debug)]
-pub struct Budgets {
-    terms: BudgetTerms,
+pub struct RetryBudgets {
+    config: BudgetConfig,
     by_service: BTreeMap<Rc<str>, RetryBudget>,
 }
 
-impl Budgets {
-    /// Budgets of which nothing is used or written down.
-    pub fn new(terms: BudgetTerms) -> Self {
+impl RetryBudgets {
+    /// Creates budgets with nothing used and nothing recorded.
+    pub fn new(config: BudgetConfig) -> Self {
         Self {
-            terms,
+            config,
             by_service: BTreeMap::new(),
         }
     }
 
-    /// The budget of a service.
-    pub fn of(&mut self, service: &Rc<str>) -> &mut RetryBudget {
-        let terms = self.terms;
+    /// The budget of a service, created on first use.
+    pub fn service(&mut self, service: &Rc<str>) -> &mut RetryBudget {
+        let config = self.config;
         let entry = self.by_service.entry(service.clone());
-        entry.or_insert_with(|| RetryBudget::new(terms))
+        entry.or_insert_with(|| RetryBudget::new(config))
     }
 
-    /// Takes over what a process that this host ran before has written down.
-    pub fn inherit(&mut self, recorded: &[Recorded], now: Duration) {
-        for Recorded { service, repeats } in recorded {
-            self.of(service).inherit(*repeats, now);
+    /// Takes over what an earlier process of this host has recorded.
+    pub fn inherit(&mut self, recorded: &[RecordedRetries], now: Duration) {
+        for RecordedRetries { service, retries } in recorded {
+            self.service(service).inherit(*retries, now);
         }
     }
 
-    /// This host is about to end.
-    pub fn leave(&mut self) {
-        self.by_service.values_mut().for_each(RetryBudget::leave);
+    /// Marks this host as shutting down.
+    pub fn begin_shutdown(&mut self) {
+        self.by_service
+            .values_mut()
+            .for_each(RetryBudget::begin_shutdown);
     }
 
-    /// What the host's row is to say.
-    pub fn to_record(&mut self, now: Duration, divisor: Option<u32>) -> Vec<Recorded> {
+    /// Entries that the host's row is to contain.
+    pub fn to_record(&mut self, now: Duration, divisor: Option<u32>) -> Vec<RecordedRetries> {
         let budgets = self.by_service.iter_mut();
-        let one = |(service, budget): (&Rc<str>, &mut RetryBudget)| Recorded {
+        let one = |(service, budget): (&Rc<str>, &mut RetryBudget)| RecordedRetries {
             service: service.clone(),
-            repeats: budget.to_record(now, divisor),
+            retries: budget.retries_to_record(now, divisor),
         };
-        budgets.map(one).filter(|r| r.repeats > 0).collect()
+        budgets.map(one).filter(|r| r.retries > 0).collect()
     }
 
-    /// Whether the row is to say more of a service before it is written anyway.
+    /// Whether the row is to permit more retries of any service before its next regular write.
     pub fn record_due(&mut self, now: Duration, divisor: Option<u32>) -> bool {
         let mut budgets = self.by_service.values_mut();
         budgets.any(|b| b.record_due(now, divisor))
     }
 
-    /// A row that says this is about to be written.
-    pub fn recording(&mut self, row: &[Recorded]) {
-        self.each(row, RetryBudget::recording);
+    /// Notes that a row with these entries is about to be written.
+    pub fn begin_record(&mut self, row: &[RecordedRetries]) {
+        self.apply_row(row, RetryBudget::begin_record);
     }
 
-    /// The store holds a row that says this.
-    pub fn recorded(&mut self, row: &[Recorded]) {
-        self.each(row, RetryBudget::recorded);
+    /// Notes that the store holds a row with these entries.
+    pub fn confirm_record(&mut self, row: &[RecordedRetries]) {
+        self.apply_row(row, RetryBudget::confirm_record);
     }
 
-    /// Tells each budget what a row says of its service: nothing if it is not named.
-    fn each(&mut self, row: &[Recorded], tell: impl Fn(&mut RetryBudget, u32)) {
+    /// Passes to each budget the number that the row contains for its service, 0 if the row has no entry for
+    /// it.
+    fn apply_row(&mut self, row: &[RecordedRetries], apply: impl Fn(&mut RetryBudget, u32)) {
         for (service, budget) in &mut self.by_service {
-            let said = row.iter().find(|r| r.service == *service);
-            tell(budget, said.map_or(0, |r| r.repeats));
+            let entry = row.iter().find(|r| r.service == *service);
+            apply(budget, entry.map_or(0, |r| r.retries));
         }
     }
 }
--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/share.rs
@@ -1,111 +1,112 @@
 //! A host's share of a bound that all hosts keep together.
 //!
-//! Such a bound, as the burst of repeats, is divided evenly among the hosts. A host that counts too
-//! few of them takes more than its share: one that has just started, is cut off, or hears late of
-//! others. So a share is held by a lease and by agreement, both by rows in the store that hosts write
-//! seldom and read anyway:
+//! Such a bound, for example the burst of retries, is divided evenly among the hosts. A host that counts too
+//! few of them uses more than its share: one that has just started, is cut off, or learns late of other
+//! hosts. So a share is held under a lease and by agreement, both by means of rows in the store that hosts
+//! write rarely and read anyway:
 //!
-//! - Each host claims a share in its own row. A claim lapses a [`TERM`] after the moment of the
-//!   store's clock that it names. Its host stops a margin earlier; all others count it to the end.
-//! - A claim names the version of the store up to which its host counts the hosts. A host holds its
-//!   share once each claim that has not lapsed counts up to the version at which its own was first
-//!   written: then nobody divides by a number without it.
-//! - A host that joins others that held larger shares waits until what they have taken by these is
-//!   out of every window that is bounded.
-//! - A process that starts again takes over the claim of the one before it, unless that has lapsed.
+//! - Each host claims a share in its own row. A claim expires [`CLAIM_TERM`] after the time of the store's
+//!   clock that it names. The claiming host stops using it a margin earlier; all others count it until it
+//!   expires.
+//! - A claim names the version of the store up to which its host counts the other hosts. A host holds its
+//!   share once each unexpired claim counts up to the version at which its own claim was first written: then
+//!   no host divides by a number without it.
+//! - A host that joins others that held larger shares waits until the retries that they made under these have
+//!   left every window of a shared bound.
+//! - A process that starts again takes over the claim of the process before it, unless that has expired.
 //!
-//! Of any two hosts that hold a share, the one that claimed first has therefore counted the other,
-//! and the other has read its claim: each divides by a number with both in it, so that the shares sum
-//! to the whole at most. No call is made for what is taken.
+//! So of any two hosts that hold a share, the one that claimed first has counted the other, and the other has
+//! read its claim: each divides by a number that includes both, and the shares sum to the whole at most. No
+//! call is made when a share is used.
 
 use std::time::Duration;
 
-/// How long a claim is counted after the moment that it names. Hosts renew theirs every 30 s at the
-/// most, so that two renewals may be lost; the share of a host that is gone is free again after it.
-pub const TERM: Duration = Duration::from_secs(90);
+/// How long a claim counts after the time that it names. Hosts renew theirs every 30 s at most, so that two
+/// renewals may be lost; the share of a host that is gone is free again after this time.
+pub const CLAIM_TERM: Duration = Duration::from_secs(90);
 
-/// What a host keeps back of the term, for the rate of its clock and the time from the check to the
-/// bytes that leave.
-const MARGIN: Duration = Duration::from_secs(2);
+/// How much earlier a host stops using its claim, to allow for the rate of its clock and for the time between
+/// the check and the sending of the request.
+const EXPIRY_MARGIN: Duration = Duration::from_secs(2);
 
-/// A claim is renewed as the one before only while so much of that is left: a write without an answer
-/// may take effect some 12 s later, and must not make a claim look whole that had lapsed meanwhile.
-const LATE_WRITE: Duration = Duration::from_secs(15);
+/// A claim is renewed without interruption only while at least this much of it is left. A write without an
+/// answer may take effect some 12 s later, and must not make a claim look uninterrupted that had expired in
+/// the meantime.
+const LATE_WRITE_MARGIN: Duration = Duration::from_secs(15);
 
-/// The part of a bound that a host may use by itself, where passing it wastes something and breaks no
-/// promise, so that no lease is needed: at least one, and just that while it is not known how many
-/// hosts there are.
-pub fn divided(bound: u32, hosts: Option<u32>) -> u32 {
+/// The part of a bound that a host may use by itself, without a lease. Only for bounds where exceeding them
+/// wastes something but breaks no guarantee. At least 1, and exactly 1 while the number of hosts is unknown.
+pub fn host_portion(bound: u32, hosts: Option<u32>) -> u32 {
     hosts.map_or(1, |hosts| (bound / hosts.max(1)).max(1))
 }
 
-/// What a host's row says of its share.
+/// A host's claim to a share, as its row in the store contains it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The version at which the share was first claimed, with no lapse since; `None` in the row by
-    /// which it is claimed, whose own version it is.
+    /// The version at which the share was first claimed, with no expiry since; `None` in the first row of a
+    /// claim, where it is the version of that row.
     pub since: Option<u64>,
     /// The version of the store up to which the host counts the others' claims.
     pub counted_to: u64,
-    /// The store's clock when the host read that version: the claim lapses a term later.
+    /// The store's clock when the host read that version: the claim expires [`CLAIM_TERM`] later.
     pub read_at: Duration,
-    /// Since when the share is held, if it is.
-    pub held: Option<Held>,
+    /// Since when the share is held; `None` if it is not.
+    pub held: Option<ShareHolding>,
 }
 
 /// Since when a share is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Held {
-    /// The version of the view that showed that it is.
+pub struct ShareHolding {
+    /// The version of the snapshot that showed that it is held.
     pub version: u64,
-    /// From when on it may be used, by the store's clock.
-    pub whole_at: Duration,
+    /// When the share may first be used, by the store's clock.
+    pub usable_at: Duration,
 }
 
-/// A claim as it stands in the store.
+/// A claim as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Row {
+pub struct ClaimRow {
     /// The version of the row.
     pub version: u64,
-    /// What it says.
+    /// The claim in the row.
     pub claim: Claim,
 }
 
-impl Row {
+impl ClaimRow {
     fn since(&self) -> u64 {
         self.claim.since.unwrap_or(self.version)
     }
 }
 
-/// What one read of all rows tells. Small enough to be told to other hosts with each call.
+/// Summary of one read of all rows, small enough to be reported to other hosts with each call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct View {
+pub struct ClaimsSnapshot {
     /// The store's version that was read.
     pub version: u64,
-    /// The store's clock then.
+    /// The store's clock at the read.
     pub clock: Duration,
-    /// Hosts whose claims have not lapsed.
+    /// Number of hosts with an unexpired claim.
     pub hosts: u32,
-    /// The version at which the newest of them was first claimed.
+    /// The version at which the newest of these claims was first made.
     pub newest: u64,
     /// The version up to which all of these hosts count.
     pub counted_by_all: u64,
-    /// The least version of a view by which one of them holds its share; `None` if none does.
+    /// The lowest version of a snapshot by which one of these hosts holds its share; `None` if none does.
     pub first_held: Option<u64>,
 }
 
-impl View {
-    /// The view of all rows, read as the store was at a version and a time of its clock.
-    pub fn of(rows: &[Row], version: u64, clock: Duration) -> Self {
-        let lives = |r: &&Row| clock.saturating_sub(r.claim.read_at) < TERM;
-        let live: Vec<&Row> = rows.iter().filter(lives).collect();
+impl ClaimsSnapshot {
+    /// Summarizes all rows, read at this version and this time of the store's clock.
+    pub fn of(rows: &[ClaimRow], version: u64, clock: Duration) -> Self {
+        let unexpired = |r: &&ClaimRow| clock.saturating_sub(r.claim.read_at) < CLAIM_TERM;
+        let valid: Vec<&ClaimRow> = rows.iter().filter(unexpired).collect();
         Self {
             version,
             clock,
-            hosts: live.len() as u32,
-            newest: live.iter().map(|r| r.since()).max().unwrap_or(0),
-            counted_by_all: live.iter().map(|r| r.claim.counted_to).min().unwrap_or(0),
-            first_held: live
+            hosts: valid.len() as u32,
+            newest: valid.iter().map(|r| r.since()).max().unwrap_or(0),
+            counted_by_all: valid.iter().map(|r| r.claim.counted_to).min().unwrap_or(0),
+            first_held: valid
                 .iter()
                 .filter_map(|r| Some(r.claim.held?.version))
                 .min(),
@@ -113,136 +114,136 @@
     }
 }
 
-/// A view and when this host got it, on its own clock.
+/// A snapshot, and when this host received it by its own clock.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    view: View,
-    /// When the read was sent, or an earlier moment: the store's clock was not past `view.clock` then.
+struct ReceivedSnapshot {
+    snapshot: ClaimsSnapshot,
+    /// When the read was sent, or an earlier time: the store's clock was not past `snapshot.clock` then.
     sent_at: Duration,
 }
 
 /// A claim that is being written.
 #[derive(Debug, Clone, Copy)]
-pub struct Draft {
-    /// What is written.
+pub struct ClaimDraft {
+    /// The claim to write.
     pub claim: Claim,
-    /// The moment of this host's clock by which its term is counted.
+    /// The time of this host's clock from which the term counts.
     sent_at: Duration,
 }
 
-/// One host's share. Times are those of its monotonic clock unless said otherwise.
+/// One host's share. Times are those of this host's monotonic clock unless stated otherwise.
 #[derive(Debug, Clone)]
 pub struct Share {
-    settle: Duration,
-    seen: Option<Seen>,
-    /// The version at which the share was claimed; `None` before that and after a lapse.
+    settle_time: Duration,
+    latest: Option<ReceivedSnapshot>,
+    /// The version at which the share was claimed; `None` before that and after the claim has expired.
     since: Option<u64>,
-    /// When the claim that the store is known to hold lapses for this host.
+    /// When this host stops relying on the claim that the store is known to contain.
     until: Option<Duration>,
-    /// Up to which version that claim counts.
+    /// The version up to which that claim counts.
     counted_to: Option<u64>,
-    held: Option<Held>,
-    /// From when on the share may be used; set whenever `held` is.
-    whole_at: Duration,
+    held: Option<ShareHolding>,
+    /// When the share may first be used; meaningful whenever `held` is set.
+    usable_at: Duration,
 }
 
 impl Share {
-    /// No share yet. `settle` is the longest window of the bounds that are shared.
-    pub fn new(settle: Duration) -> Self {
+    /// Creates a share that is not claimed. `settle_time` is the longest window of the shared bounds.
+    pub fn new(settle_time: Duration) -> Self {
         Self {
-            settle,
-            seen: None,
+            settle_time,
+            latest: None,
             since: None,
             until: None,
             counted_to: None,
             held: None,
-            whole_at: Duration::ZERO,
+            usable_at: Duration::ZERO,
         }
     }
 
-    /// Takes over what a process that this host ran before has claimed. `row` is the host's row as it
-    /// was before this process wrote it, and `view` is what the same read showed, sent at `sent_at`.
-    pub fn take_over(&mut self, row: &Row, view: &View, sent_at: Duration) {
+    /// Takes over the claim of an earlier process of this host. `row` is the host's row before this process
+    /// wrote it, and `snapshot` is what the same read, sent at `sent_at`, showed.
+    pub fn take_over(&mut self, row: &ClaimRow, snapshot: &ClaimsSnapshot, sent_at: Duration) {
         let claim = &row.claim;
-        // A clock behind the claim's is another clock: nothing can be said of the term.
-        let Some(age) = view.clock.checked_sub(claim.read_at) else {
+        // A clock behind the claim's is a different clock, by which the age of the claim can't be determined.
+        let Some(age) = snapshot.clock.checked_sub(claim.read_at) else {
             return;
         };
-        if age + LATE_WRITE > TERM {
+        if age + LATE_WRITE_MARGIN > CLAIM_TERM {
             return;
         }
         self.since = Some(row.since());
-        self.until = Some(sent_at + (TERM - MARGIN).saturating_sub(age));
+        self.until = Some(sent_at + (CLAIM_TERM - EXPIRY_MARGIN).saturating_sub(age));
         self.counted_to = Some(claim.counted_to);
         self.held = claim.held;
         if let Some(held) = claim.held {
-            self.whole_at = sent_at + held.whole_at.saturating_sub(view.clock);
+            self.usable_at = sent_at + held.usable_at.saturating_sub(snapshot.clock);
         }
     }
 
-    /// Takes a view that was read by a call sent at `sent_at`, by this host or another one, unless a
-    /// newer one is known.
-    pub fn see(&mut self, view: View, sent_at: Duration, now: Duration) {
-        let known = self.seen.map(|s| (s.view.version, s.view.clock));
-        if known.is_some_and(|known| known > (view.version, view.clock)) {
+    /// Merges a snapshot that this or another host read with a call sent at `sent_at`; ignores it if a newer
+    /// one is known.
+    pub fn merge_snapshot(&mut self, snapshot: ClaimsSnapshot, sent_at: Duration, now: Duration) {
+        let known = self.latest.map(|s| (s.snapshot.version, s.snapshot.clock));
+        if known.is_some_and(|known| known > (snapshot.version, snapshot.clock)) {
             return;
         }
-        self.seen = Some(Seen { view, sent_at });
-        self.hold(now);
+        self.latest = Some(ReceivedSnapshot { snapshot, sent_at });
+        self.update_holding(now);
     }
 
-    /// The newest view.
-    pub fn view(&self) -> Option<&View> {
-        self.seen.as_ref().map(|s| &s.view)
+    /// The newest snapshot.
+    pub fn snapshot(&self) -> Option<&ClaimsSnapshot> {
+        self.latest.as_ref().map(|s| &s.snapshot)
     }
 
-    /// How long ago the newest view was asked for, or longer.
-    pub fn view_age(&self, now: Duration) -> Option<Duration> {
-        Some(now.saturating_sub(self.seen?.sent_at))
+    /// Upper bound of the time since the newest snapshot was requested.
+    pub fn snapshot_age(&self, now: Duration) -> Option<Duration> {
+        Some(now.saturating_sub(self.latest?.sent_at))
     }
 
-    /// What the host's row is to say now; `None` before any view.
-    pub fn draft(&mut self, now: Duration) -> Option<Draft> {
-        self.lapse(now, LATE_WRITE);
-        let Seen { view, sent_at } = self.seen?;
+    /// The claim to write into the host's row now; `None` before the first snapshot.
+    pub fn draft(&mut self, now: Duration) -> Option<ClaimDraft> {
+        self.expire(now, LATE_WRITE_MARGIN);
+        let ReceivedSnapshot { snapshot, sent_at } = self.latest?;
         let claim = Claim {
             since: self.since,
-            counted_to: view.version,
-            read_at: view.clock,
+            counted_to: snapshot.version,
+            read_at: snapshot.clock,
             held: self.held,
         };
-        Some(Draft { claim, sent_at })
+        Some(ClaimDraft { claim, sent_at })
     }
 
-    /// The store holds a draft, as that version of the row.
-    pub fn wrote(&mut self, draft: &Draft, version: u64, now: Duration) {
-        self.lapse(now, Duration::ZERO);
+    /// Notes that the store contains a draft as this version of the row.
+    pub fn confirm_write(&mut self, draft: &ClaimDraft, version: u64, now: Duration) {
+        self.expire(now, Duration::ZERO);
         if draft.claim.since.is_none() {
             self.since = Some(version);
         }
         if self.since.is_some() {
-            self.until = Some(draft.sent_at + TERM - MARGIN);
+            self.until = Some(draft.sent_at + CLAIM_TERM - EXPIRY_MARGIN);
             self.counted_to = Some(draft.claim.counted_to);
         }
-        self.hold(now);
+        self.update_holding(now);
     }
 
-    /// Whether another host waits for this one's row to say that it is counted.
+    /// Whether another host waits for this host's row to count it.
     pub fn awaited(&self) -> bool {
-        let newest = self.view().map_or(0, |v| v.newest);
+        let newest = self.snapshot().map_or(0, |v| v.newest);
         self.counted_to.is_some_and(|to| to < newest)
     }
 
-    /// The number of hosts by which this one may divide now; `None` if it holds no share.
+    /// The number of hosts by which this one may divide a bound now; `None` if it holds no share.
     pub fn divisor(&mut self, now: Duration) -> Option<u32> {
-        self.lapse(now, Duration::ZERO);
+        self.expire(now, Duration::ZERO);
         self.held?;
-        let whole = self.whole_at <= now;
-        whole.then_some(self.seen?.view.hosts.max(1))
+        let usable = self.usable_at <= now;
+        usable.then_some(self.latest?.snapshot.hosts.max(1))
     }
 
-    /// The claim is given up when less than `margin` is left of it: the others may no longer count it.
-    fn lapse(&mut self, now: Duration, margin: Duration) {
+    /// Drops the claim when less than `margin` of it is left, because others may no longer count it.
+    fn expire(&mut self, now: Duration, margin: Duration) {
         if self.until.is_some_and(|until| until <= now + margin) {
             self.since = None;
             self.until = None;
@@ -250,23 +251,29 @@
         }
     }
 
-    /// The share is held as soon as all count it.
-    fn hold(&mut self, now: Duration) {
-        let (Some(Seen { view, .. }), Some(since)) = (self.seen, self.since) else {
+    /// Marks the share as held once all hosts count it.
+    fn update_holding(&mut self, now: Duration) {
+        let (Some(ReceivedSnapshot { snapshot, .. }), Some(since)) = (self.latest, self.since)
+        else {
             return;
         };
-        // No row counts further than the version at which it was read, so that this view is no older.
-        let counted = view.counted_by_all >= since;
+        // A row's count never exceeds the store's version that its host read, so this snapshot is no older
+        // than the claim.
+        let counted = snapshot.counted_by_all >= since;
         if self.held.is_some() || !counted || self.until.is_none_or(|until| until <= now) {
             return;
         }
-        // Nobody has ever held a share by a count without this host: there is nothing to wait for.
-        let first = view.first_held.is_none_or(|version| version >= since);
-        let settle = if first { Duration::ZERO } else { self.settle };
-        self.held = Some(Held {
-            version: view.version,
-            whole_at: view.clock + settle,
+        // No host has ever held a share by a count that lacks this host, so there is nothing to wait for.
+        let first = snapshot.first_held.is_none_or(|version| version >= since);
+        let settle_time = if first {
+            Duration::ZERO
+        } else {
+            self.settle_time
+        };
+        self.held = Some(ShareHolding {
+            version: snapshot.version,
+            usable_at: snapshot.clock + settle_time,
         });
-        self.whole_at = now + settle;
+        self.usable_at = now + settle_time;
     }
 }
--- a/crates/gateway/src/bounds.rs
+++ b/crates/gateway/src/bounds.rs
@@ -11,8 +11,8 @@
 };
 
 use dragonflyrill_fleet::{
-    budget::{BudgetTerms, Budgets, Recorded, Standing},
-    share::{Claim, Draft, Held, Row, Share, View},
+    budget::{BudgetConfig, BudgetState, RecordedRetries, RetryBudgets},
+    share::{Claim, ClaimDraft, ClaimRow, ClaimsSnapshot, Share, ShareHolding},
 };
 use dragonflyrill_protocol::exchange::{
     ClaimsView, HeldShare, HostRow, RecordedRepeats, ShareClaim, millis,
@@ -21,8 +21,8 @@
 
 /// The parts of a row that are being written.
 pub struct RowDraft {
-    share: Draft,
-    recorded: Vec<Recorded>,
+    share: ClaimDraft,
+    recorded: Vec<RecordedRetries>,
 }
 
 impl RowDraft {
@@ -33,9 +33,9 @@
 
     /// The repeats as the row spells them.
     pub fn repeats(&self) -> Vec<RecordedRepeats> {
-        let one = |r: &Recorded| RecordedRepeats {
+        let one = |r: &RecordedRetries| RecordedRepeats {
             service: r.service.to_string(),
-            repeats: r.repeats,
+            repeats: r.retries,
         };
         self.recorded.iter().map(one).collect()
     }
@@ -44,7 +44,7 @@
 /// This host's part of the bounds over all hosts.
 pub struct Bounds {
     share: RefCell<Share>,
-    budgets: RefCell<Budgets>,
+    budgets: RefCell<RetryBudgets>,
     /// The version of this host's row as far as it is known, 0 if there is none; `None` until the
     /// rows were read, and with it what a process before this one may have taken.
     row: Cell<Option<u64>>,
@@ -58,10 +58,10 @@
 
 impl Bounds {
     /// Nothing may be taken of a shared bound before the rows were read.
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: BudgetConfig) -> Self {
         Self {
             share: RefCell::new(Share::new(terms.span())),
-            budgets: RefCell::new(Budgets::new(terms)),
+            budgets: RefCell::new(RetryBudgets::new(terms)),
             row: Cell::new(None),
             found_age: Cell::new(None),
             failing: Cell::new(false),
@@ -80,8 +80,8 @@
         sent_at: Duration,
         now: Duration,
     ) {
-        let claims: Vec<Row> = rows.iter().filter_map(claimed).collect();
-        let view = View::of(&claims, version, clock);
+        let claims: Vec<ClaimRow> = rows.iter().filter_map(claimed).collect();
+        let view = ClaimsSnapshot::of(&claims, version, clock);
         let mut share = self.share.borrow_mut();
         if self.row.get().is_none() {
             self.row.set(Some(own.map_or(0, |(version, _)| *version)));
@@ -89,17 +89,18 @@
                 share.take_over(&row, &view, sent_at);
                 self.found_age.set(clock.checked_sub(row.claim.read_at));
             }
-            let before: Vec<Recorded> = own.into_iter().flat_map(|(_, r)| recorded(r)).collect();
+            let before: Vec<RecordedRetries> =
+                own.into_iter().flat_map(|(_, r)| recorded(r)).collect();
             self.budgets.borrow_mut().inherit(&before, now);
             log::info!(
                 target: "roster",
                 hosts = view.hosts,
                 claimed = own.is_some(),
-                repeats = before.iter().map(|r| r.repeats).sum::<u32>();
+                repeats = before.iter().map(|r| r.retries).sum::<u32>();
                 "What an earlier process has claimed is taken over."
             );
         }
-        share.see(view, sent_at, now);
+        share.merge_snapshot(view, sent_at, now);
     }
 
     /// Takes the claims as another host told them, who was asked at `sent_at`.
@@ -109,7 +110,7 @@
         let Some(sent_at) = sent_at.checked_sub(age) else {
             return;
         };
-        let view = View {
+        let view = ClaimsSnapshot {
             version: told.version,
             clock: Duration::from_millis(told.clock_ms),
             hosts: told.hosts,
@@ -117,13 +118,13 @@
             counted_by_all: told.counted_by_all,
             first_held: told.first_held,
         };
-        self.share.borrow_mut().see(view, sent_at, now);
+        self.share.borrow_mut().merge_snapshot(view, sent_at, now);
     }
 
     /// The claims as other hosts are told them.
     pub fn to_tell(&self, now: Duration) -> Option<ClaimsView> {
         let share = self.share.borrow();
-        let (view, age) = (share.view()?, share.view_age(now)?);
+        let (view, age) = (share.snapshot()?, share.snapshot_age(now)?);
         Some(ClaimsView {
             version: view.version,
             clock_ms: millis(view.clock),
@@ -138,12 +139,12 @@
     /// What the store's clock says now, as far as a read of the rows tells.
     pub fn store_clock(&self, now: Duration) -> Option<Duration> {
         let share = self.share.borrow();
-        Some(share.view()?.clock + share.view_age(now)?)
+        Some(share.snapshot()?.clock + share.snapshot_age(now)?)
     }
 
     /// Hosts that may use bounds over all of them; `None` until that is known.
     pub fn hosts(&self) -> Option<u32> {
-        self.share.borrow().view().map(|v| v.hosts)
+        self.share.borrow().snapshot().map(|v| v.hosts)
     }
 
     /// By how many this host may divide such a bound now; `None` if it has no part of it.
@@ -153,24 +154,30 @@
 
     /// A request for a service came in.
     pub fn count_request(&self, service: &Rc<str>, now: Duration) {
-        self.budgets.borrow_mut().of(service).request(now);
+        self.budgets
+            .borrow_mut()
+            .service(service)
+            .count_request(now);
     }
 
     /// Takes one repeat of a request; false if none is left.
     pub fn take_repeat(&self, service: &Rc<str>, now: Duration) -> bool {
         let divisor = self.divisor(now);
         let mut budgets = self.budgets.borrow_mut();
-        let taken = budgets.of(service).take(now, divisor);
-        if budgets.of(service).record_due(now, divisor) {
+        let taken = budgets.service(service).try_acquire(now, divisor);
+        if budgets.service(service).record_due(now, divisor) {
             self.wanted.notify_one();
         }
         taken
     }
 
     /// How the budget of a service stands.
-    pub fn standing(&self, service: &Rc<str>, now: Duration) -> Standing {
+    pub fn standing(&self, service: &Rc<str>, now: Duration) -> BudgetState {
         let divisor = self.divisor(now);
-        self.budgets.borrow_mut().of(service).standing(now, divisor)
+        self.budgets
+            .borrow_mut()
+            .service(service)
+            .state(now, divisor)
     }
 
     /// The version of this host's row, 0 if there is none; `None` until the rows were read.
@@ -196,7 +203,7 @@
 
     /// This host is about to end.
     pub fn leave(&self) {
-        self.budgets.borrow_mut().leave();
+        self.budgets.borrow_mut().begin_shutdown();
     }
 
     /// What the row is to say; from now on the store may hold it.
@@ -209,18 +216,20 @@
         let share = self.share.borrow_mut().draft(now)?;
         let mut budgets = self.budgets.borrow_mut();
         for service in services {
-            budgets.of(&service);
+            budgets.service(&service);
         }
         let recorded = budgets.to_record(now, divisor);
-        budgets.recording(&recorded);
+        budgets.begin_record(&recorded);
         Some(RowDraft { share, recorded })
     }
 
     /// The store holds the draft as that version of the row.
     pub fn wrote(&self, draft: &RowDraft, version: u64, now: Duration) {
         self.row.set(Some(version));
-        self.share.borrow_mut().wrote(&draft.share, version, now);
-        self.budgets.borrow_mut().recorded(&draft.recorded);
+        self.share
+            .borrow_mut()
+            .confirm_write(&draft.share, version, now);
+        self.budgets.borrow_mut().confirm_record(&draft.recorded);
         self.failing.set(false);
         self.written.send_replace(());
     }
@@ -249,7 +258,7 @@
 
     /// A request waits for a repeat to be written down until what is given is dropped.
     pub fn wait<'a>(&'a self, service: &'a Rc<str>) -> Waiting<'a> {
-        self.budgets.borrow_mut().of(service).wait();
+        self.budgets.borrow_mut().service(service).begin_wait();
         let bounds = self;
         Waiting { bounds, service }
     }
@@ -276,29 +285,29 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         let mut budgets = self.bounds.budgets.borrow_mut();
-        budgets.of(self.service).waited();
+        budgets.service(self.service).end_wait();
     }
 }
 
 /// The claim of a row, as it stands in the store.
-fn claimed((version, row): &(u64, HostRow)) -> Option<Row> {
-    Some(Row {
+fn claimed((version, row): &(u64, HostRow)) -> Option<ClaimRow> {
+    Some(ClaimRow {
         version: *version,
         claim: claim_from_wire(row.claim.as_ref()?),
     })
 }
 
-fn recorded(row: &HostRow) -> impl Iterator<Item = Recorded> {
-    row.repeats.iter().map(|r| Recorded {
+fn recorded(row: &HostRow) -> impl Iterator<Item = RecordedRetries> {
+    row.repeats.iter().map(|r| RecordedRetries {
         service: r.service.as_str().into(),
-        repeats: r.repeats,
+        retries: r.repeats,
     })
 }
 
 fn claim_to_wire(claim: &Claim) -> ShareClaim {
-    let held = |held: Held| HeldShare {
+    let held = |held: ShareHolding| HeldShare {
         version: held.version,
-        whole_at_ms: millis(held.whole_at),
+        whole_at_ms: millis(held.usable_at),
     };
     ShareClaim {
         since: claim.since,
@@ -309,9 +318,9 @@
 }
 
 fn claim_from_wire(claim: &ShareClaim) -> Claim {
-    let held = |held: HeldShare| Held {
+    let held = |held: HeldShare| ShareHolding {
         version: held.version,
-        whole_at: Duration::from_millis(held.whole_at_ms),
+        usable_at: Duration::from_millis(held.whole_at_ms),
     };
     Claim {
         since: claim.since,
--- a/crates/gateway/src/forward/trail.rs
+++ b/crates/gateway/src/forward/trail.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use dragonflyrill_fleet::{budget::Standing, catalogue::Route, token_bucket::TokenBucket};
+use dragonflyrill_fleet::{budget::BudgetState, catalogue::Route, token_bucket::TokenBucket};
 use http::StatusCode;
 use tokio::time::Instant;
 
@@ -57,7 +57,7 @@
     /// The budget was asked for a repeat, and stood so before.
     Repeat {
         allowed: bool,
-        standing: Standing,
+        standing: BudgetState,
         /// By how many hosts the burst is divided; `None` if this host has no part of it.
         divisor: Option<u32>,
     },
@@ -113,7 +113,7 @@
                 id = id,
                 after_ms = ms(after),
                 allowed = *allowed,
-                repeats = standing.repeats as u64,
+                repeats = standing.retries as u64,
                 most = standing.allowed as u64,
                 recorded = u64::from(standing.recorded),
                 requests = standing.requests as u64,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use actix_http::ServiceConfig;
 use bytes::Bytes;
 use dragonflyrill_fleet::{
-    budget::Standing,
+    budget::BudgetState,
     catalogue::{Catalogue, Engine, Service},
     chains::{self, Chain},
     choice::Loads,
@@ -305,7 +305,7 @@
     /// Keeps an idle connection to an endpoint of a service, so that all hosts together keep at most
     /// half of what the endpoint accepts.
     pub fn keep(&self, addr: SocketAddr, connection: Connection, service: &Service) {
-        let most = share::divided(service.max_connections / 2, self.counted_hosts());
+        let most = share::host_portion(service.max_connections / 2, self.counted_hosts());
         self.idle.put(addr, connection, most as usize);
     }
 
@@ -329,7 +329,7 @@
     pub async fn until_recorded(&self, service: &Rc<str>) {
         let until = Instant::now() + RECORDED_WITHIN;
         let mut waiting = None;
-        while self.repeats_standing(service).waits_for_record() && self.bounds.writes_row() {
+        while self.repeats_standing(service).needs_record() && self.bounds.writes_row() {
             waiting.get_or_insert_with(|| self.bounds.wait(service));
             let mut written = self.bounds.write_row();
             if time::timeout_at(until, written.changed()).await.is_err() {
@@ -339,14 +339,14 @@
     }
 
     /// How this host's part of a service's budget of repeats stands.
-    pub fn repeats_standing(&self, service: &Rc<str>) -> Standing {
+    pub fn repeats_standing(&self, service: &Rc<str>) -> BudgetState {
         self.bounds.standing(service, self.now())
     }
 
     /// Whether a repeat of a request is left in the budget.
     pub fn may_repeat(&self, service: &Rc<str>) -> bool {
         let standing = self.repeats_standing(service);
-        standing.left() || (standing.waits_for_record() && self.bounds.writes_row())
+        standing.retry_left() || (standing.needs_record() && self.bounds.writes_row())
     }
 
     /// Takes the hosts that are alive, this one included.
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use dragonflyrill_fleet::budget::BudgetTerms;
+use dragonflyrill_fleet::budget::BudgetConfig;
 use dragonflyrill_settings::{self as settings, Parser};
 
 pub use dragonflyrill_settings::SettingError;
@@ -44,7 +44,7 @@
     /// How long after a termination signal the process is killed.
     pub grace: Duration,
     /// The budget of repeats of one service.
-    pub retries: BudgetTerms,
+    pub retries: BudgetConfig,
     /// For how long a request under which endpoints ended is not sent any more, the first time.
     pub request_hold: Duration,
     /// How many requests that go well are logged whole in a second.
@@ -161,7 +161,7 @@
             endpoint_drain: endpoint_drain?,
             endpoint_heartbeat: heartbeat?,
             grace: grace?,
-            retries: BudgetTerms {
+            retries: BudgetConfig {
                 ratio: ratio?,
                 burst: burst?,
                 window: window?,
