--- a/crates/fleet/benches/quarantine.rs
+++ b/crates/fleet/benches/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a request that is answered costs in the quarantine: its fingerprint, and the note that it was.
+//! Cost of an answered request in the quarantine: its fingerprint and the record of the answer.
 //!
 //! `cargo bench -p dragonflyrill-fleet --bench quarantine`
 
@@ -10,7 +10,7 @@
     quarantine::Quarantine,
 };
 
-/// Bytes of a usual prompt.
+/// Bytes of a typical prompt.
 const BODY: usize = 800;
 
 fn answered(c: &mut Criterion) {
@@ -29,7 +29,7 @@
                 body: black_box(&body),
             };
             let now = Duration::from_millis(n);
-            quarantine.survived(&Fingerprint::of(&asked), now)
+            quarantine.note_answer(&Fingerprint::of(&asked), now)
         });
     });
 }
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -1,340 +1,375 @@
-//! Requests that are held back, as endpoints have ended under them.
+//! Requests that are quarantined because endpoints terminate while they run them.
 //!
-//! A request that crashes whatever runs it must not go from endpoint to endpoint: with each break off all
-//! requests that run there. One end proves nothing, as all that ran there saw it; a request under which
-//! several starts of endpoints ended one after the other, and which none has answered meanwhile, is held:
-//! no host sends it any more.
+//! A request that crashes whatever endpoint runs it must not go from endpoint to endpoint, because each crash
+//! also breaks off all other requests that run there. A single termination proves nothing, as all requests on
+//! that endpoint saw it. A request is quarantined if several incarnations of endpoints terminated one after
+//! the other while they ran it and none answered it in between: then no host sends it any more.
 //!
-//! Callers that ask for the same have the same request, and may have many under way when a service loses
-//! its power. What was answered a moment ago is not what ends endpoints: nothing counts against it.
+//! Callers that ask for the same have the same request, and may have many in flight when a service loses its
+//! power. A request that was answered a moment ago is not the cause of terminations: none counts against it.
 //!
-//! It comes back as attempts with ids of their own, at any host, so that what one host has seen is told to
-//! all ([`Quarantine::changes_since`], [`Quarantine::told`]), and holds are kept where they outlive the
-//! process ([`Quarantine::to_keep`], [`Quarantine::found`]). In whatever order, and however often, hosts
-//! tell each other the same, they come to hold the same requests.
+//! A request is retried as attempts with their own ids, at any host. So what one host has observed is
+//! reported to all hosts ([`Quarantine::changes_since`], [`Quarantine::merge_reports`]), and quarantine
+//! periods are stored where they outlive the process ([`Quarantine::to_persist`], [`Quarantine::restore`]).
+//! Hosts come to quarantine the same requests, in whatever order and however often they exchange reports.
 //!
-//! A hold lapses after a while, as nobody can show that an innocent request is one while it isn't sent.
-//! After that a single end is enough, and the next hold is twice as long: of a request that goes on ending
-//! endpoints each next one costs twice the time of the one before.
+//! A quarantine period expires, because a request that isn't sent can't be shown to be harmless. After that a
+//! single termination is enough for the next period, which is twice as long: for a request that keeps
+//! terminating endpoints, each termination costs twice the time of the one before.
 
-mod answered;
-mod doubtful;
+mod recent_answers;
 mod record;
+mod unconfirmed_runs;
 
 use std::{rc::Rc, time::Duration};
 
 use rustc_hash::FxHashMap;
 
 use self::{
-    answered::Answered,
-    doubtful::Doubtful,
-    record::{Held, Moment, Record},
+    recent_answers::RecentAnswers,
+    record::{Moment, RequestPeriod, RequestRecord},
+    unconfirmed_runs::UnconfirmedRuns,
 };
 use crate::fingerprint::Fingerprint;
 
-/// Requests that are remembered. Beyond that those are forgotten that were heard of longest ago and are
-/// not held.
-const MOST_REMEMBERED: usize = 1024;
-/// Holds that are kept in one place: some 25 KB.
-const MOST_KEPT: usize = 256;
-/// How long before its own start this process can place what it is told.
-const BEFORE_START: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Maximum number of requests that are remembered. Beyond it, those requests are evicted that were updated
+/// longest ago and are not quarantined. Also the maximum number of unconfirmed runs.
+const MAX_RECORDS: usize = 1024;
+/// Maximum number of quarantine periods that are stored in one place: some 25 KB.
+const MAX_PERSISTED: usize = 256;
+/// How long before its own start this process can represent times that are reported to it.
+const TIME_BEFORE_START: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// A start of an endpoint that ended while it ran a request.
+/// The termination of an incarnation of an endpoint while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
-    /// The start's id.
+pub struct Termination {
+    /// The id of the incarnation.
     pub endpoint: Rc<str>,
-    /// How long ago.
+    /// Time since the termination.
     pub age: Duration,
 }
 
-/// A request that is held, or was.
+/// A time for which a request is, or was, quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hold {
-    /// How often it has been held by now, at least 1.
-    pub times: u32,
-    /// How long ago it began.
+pub struct QuarantinePeriod {
+    /// How often the request has been quarantined, this time included; at least 1.
+    pub count: u32,
+    /// Time since the beginning of the period.
     pub age: Duration,
-    /// How long it lasts from its beginning on.
-    pub lasts: Duration,
+    /// Length of the period from its beginning.
+    pub duration: Duration,
 }
 
-/// A hold by a clock that outlives processes.
+/// The beginning and the end of a period by a clock that outlives processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
-    /// When it began.
+pub struct ClockSpan {
+    /// When the period begins.
     pub since: Duration,
-    /// When it lapses.
+    /// When the period expires.
     pub until: Duration,
 }
 
-impl Hold {
-    /// When it is by a clock that reads so now.
-    pub fn span(&self, clock: Duration) -> Span {
+impl QuarantinePeriod {
+    /// Converts the period to times of a clock that shows `clock` now.
+    pub fn span(&self, clock: Duration) -> ClockSpan {
         let since = clock.saturating_sub(self.age);
-        Span {
+        ClockSpan {
             since,
-            until: since + self.lasts,
+            until: since + self.duration,
         }
     }
 
-    /// What it is when that clock reads so.
-    pub fn of(times: u32, span: Span, clock: Duration) -> Self {
+    /// Creates the period from times of a clock that shows `clock` now.
+    pub fn from_span(count: u32, span: ClockSpan, clock: Duration) -> Self {
         Self {
-            times,
+            count,
             age: clock.saturating_sub(span.since),
-            lasts: span.until.saturating_sub(span.since),
+            duration: span.until.saturating_sub(span.since),
         }
     }
 
-    /// For how long it lasts still; zero once it has lapsed.
-    pub fn left(&self) -> Duration {
-        self.lasts.saturating_sub(self.age)
+    /// Time until the period expires; zero once it has.
+    pub fn remaining(&self) -> Duration {
+        self.duration.saturating_sub(self.age)
     }
 }
 
-/// What a host knows of a request, as it tells others.
+/// What a host knows of a suspected request, as reported to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct SuspectReport {
     /// The request.
     pub request: Fingerprint,
-    /// Ends that count towards its next hold.
-    pub ends: Vec<End>,
-    /// How long ago an endpoint last answered it, if one did since it was suspected first.
-    pub survived: Option<Duration>,
-    /// Its hold.
-    pub hold: Option<Hold>,
+    /// Terminations that count towards its next quarantine.
+    pub terminations: Vec<Termination>,
+    /// Time since an endpoint last answered it; `None` if none has since it was first suspected.
+    pub answer_age: Option<Duration>,
+    /// Its last quarantine period, if it has one.
+    pub period: Option<QuarantinePeriod>,
 }
 
-/// A hold, as it is kept for the process that starts next.
+/// A quarantine period, as stored for the next process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Kept {
+pub struct QuarantineRecord {
     /// The request.
     pub request: Fingerprint,
-    /// Its hold.
-    pub hold: Hold,
+    /// Its quarantine period.
+    pub period: QuarantinePeriod,
 }
 
-/// A state of what is to be kept.
+/// Revision of what is to be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct KeepMark(u64);
+pub struct PersistRevision(u64);
 
-/// The requests that a host knows of under which endpoints have ended.
+/// The requests that a host knows of during which endpoints have terminated.
 #[derive(Debug)]
 pub struct Quarantine {
-    /// How long the first hold of a request lasts.
-    first: Duration,
-    records: FxHashMap<Fingerprint, Record>,
-    doubtful: Doubtful,
-    answered: Answered,
+    /// Length of the first quarantine period of a request.
+    first_duration: Duration,
+    records: FxHashMap<Fingerprint, RequestRecord>,
+    unconfirmed: UnconfirmedRuns,
+    answers: RecentAnswers,
     /// Grows with each change.
     version: u64,
-    /// Grows with each change of what is to be kept.
-    keep: KeepMark,
-    kept: KeepMark,
+    /// Grows with each change of what is to be stored.
+    persist_revision: PersistRevision,
+    persisted_revision: PersistRevision,
 }
 
 impl Quarantine {
-    /// Knows of none. A request is held for so long the first time.
-    pub fn new(first: Duration) -> Self {
+    /// Creates a quarantine that knows of no request. `first_duration` is the length of a request's first
+    /// period.
+    pub fn new(first_duration: Duration) -> Self {
         Self {
-            first,
+            first_duration,
             records: FxHashMap::default(),
-            doubtful: Doubtful::default(),
-            answered: Answered::default(),
+            unconfirmed: UnconfirmedRuns::default(),
+            answers: RecentAnswers::default(),
             version: 0,
-            keep: KeepMark::default(),
-            kept: KeepMark::default(),
+            persist_revision: PersistRevision::default(),
+            persisted_revision: PersistRevision::default(),
         }
     }
 
-    /// Whether nothing is known against any request.
+    /// Whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// For how long still a request is held; `None` if it may be sent.
-    pub fn held(&self, request: &Fingerprint, now: Duration) -> Option<Duration> {
+    /// How much longer a request is quarantined; `None` if it may be sent.
+    pub fn quarantined_for(&self, request: &Fingerprint, now: Duration) -> Option<Duration> {
         let now = moment(now);
-        let held = self.records.get(request)?.held?;
-        Some(held.span.until.saturating_sub(now)).filter(|left| !left.is_zero())
+        let period = self.records.get(request)?.period?;
+        Some(period.span.until.saturating_sub(now)).filter(|remaining| !remaining.is_zero())
     }
 
-    /// How many requests are held.
-    pub fn held_now(&self, now: Duration) -> usize {
+    /// Number of requests that are quarantined.
+    pub fn quarantined_count(&self, now: Duration) -> usize {
         let now = moment(now);
-        self.records.values().filter(|r| r.is_held(now)).count()
+        self.records
+            .values()
+            .filter(|r| r.is_quarantined(now))
+            .count()
     }
 
-    /// A start of an endpoint has ended while it ran a request; gives the hold that begins with that.
-    pub fn ended(
+    /// Notes that an incarnation of an endpoint has terminated while it ran a request; returns the quarantine
+    /// period that begins with it, if one does.
+    pub fn note_termination(
         &mut self,
         request: Fingerprint,
         endpoint: &Rc<str>,
         now: Duration,
-    ) -> Option<Hold> {
+    ) -> Option<QuarantinePeriod> {
         let now = moment(now);
-        self.forget(now);
-        if self.answered.contains(&request, now) {
+        self.expire(now);
+        if self.answers.contains(&request, now) {
             return None;
         }
-        let first = self.first;
-        let record = self.remembered(request, now);
-        if !record.end(endpoint, now) {
+        let first_duration = self.first_duration;
+        let record = self.record_mut(request, now);
+        if !record.add_termination(endpoint, now) {
             return None;
         }
-        let begins = record.hold(first, now);
-        let held = record.held.filter(|_| begins);
+        let begins = record.begin_period_if_due(first_duration, now);
+        let period = record.period.filter(|_| begins);
         self.changed(&request);
-        let held = held?;
-        self.keep.0 += 1;
-        Some(held.spelled(now))
+        let period = period?;
+        self.persist_revision.0 += 1;
+        Some(period.to_report(now))
     }
 
-    /// A request's run broke off at a start of an endpoint, and whether that has ended is not known yet.
-    pub fn broke_off(&mut self, request: Fingerprint, endpoint: &Rc<str>, now: Duration) {
-        self.doubtful.note(request, endpoint, moment(now));
+    /// Notes that a run of a request broke off at an incarnation of an endpoint of which it is not known yet
+    /// whether it has terminated.
+    pub fn note_broken_run(&mut self, request: Fingerprint, endpoint: &Rc<str>, now: Duration) {
+        self.unconfirmed.insert(request, endpoint, moment(now));
     }
 
-    /// A start of an endpoint is known to have ended: gives the requests whose runs broke off there a
-    /// moment ago, and under which it has ended.
-    pub fn over(&mut self, endpoint: &str, now: Duration) -> Vec<Fingerprint> {
-        self.doubtful.over(endpoint, moment(now))
+    /// Notes that an incarnation of an endpoint has terminated; returns the requests whose runs recently
+    /// broke off there, so that it terminated while it ran them.
+    pub fn confirm_termination(&mut self, endpoint: &str, now: Duration) -> Vec<Fingerprint> {
+        self.unconfirmed.confirm(endpoint, moment(now))
     }
 
-    /// An endpoint has answered a request; true if it was held.
-    pub fn survived(&mut self, request: &Fingerprint, now: Duration) -> bool {
+    /// Notes that an endpoint has answered a request; returns whether the request was quarantined.
+    pub fn note_answer(&mut self, request: &Fingerprint, now: Duration) -> bool {
         let now = moment(now);
-        self.answered.note(*request, now);
-        self.doubtful.answered(request);
+        self.answers.insert(*request, now);
+        self.unconfirmed.discard(request);
         let Some(record) = self.records.get_mut(request) else {
             return false;
         };
-        if record.ends.is_empty() && record.held.is_none() {
+        if record.terminations.is_empty() && record.period.is_none() {
             return false;
         }
-        let held = record.held;
-        record.survive(now);
+        let period = record.period;
+        record.apply_answer(now);
         self.changed(request);
-        self.keep.0 += u64::from(held.is_some_and(|h| h.own));
-        held.is_some_and(|h| h.span.until > now)
+        self.persist_revision.0 += u64::from(period.is_some_and(|p| p.own));
+        period.is_some_and(|p| p.span.until > now)
     }
 
-    /// Grows with each change.
+    /// The version of this host's knowledge; grows with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What has changed since a version of this host's.
-    pub fn changes_since(&self, version: u64, now: Duration) -> Vec<Told> {
+    /// Reports of what has changed since a version of this host's.
+    pub fn changes_since(&self, version: u64, now: Duration) -> Vec<SuspectReport> {
         let now = moment(now);
         let changed = self.records.iter().filter(|(_, r)| r.changed > version);
-        let told = changed.map(|(request, record)| Told {
+        let reports = changed.map(|(request, record)| SuspectReport {
             request: *request,
-            ends: record.ends.iter().map(|e| e.spelled(now)).collect(),
-            survived: record.survived.map(|at| now.saturating_sub(at)),
-            hold: record.held.map(|held| held.spelled(now)),
+            terminations: record
+                .terminations
+                .iter()
+                .map(|t| t.to_report(now))
+                .collect(),
+            answer_age: record.answered_at.map(|at| now.saturating_sub(at)),
+            period: record.period.map(|period| period.to_report(now)),
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// Takes what another host tells; gives the requests that are held from now on.
-    pub fn told(&mut self, news: Vec<Told>, now: Duration) -> Vec<Fingerprint> {
+    /// Merges the reports of another host; returns the requests that are newly quarantined.
+    pub fn merge_reports(
+        &mut self,
+        reports: Vec<SuspectReport>,
+        now: Duration,
+    ) -> Vec<Fingerprint> {
         let now = moment(now);
-        self.forget(now);
-        let requests = news.iter().map(|told| told.request);
-        let free: Vec<Fingerprint> = requests.filter(|r| !self.is_held(r, now)).collect();
-        news.iter().for_each(|told| self.take(told, now));
-        self.held_of(free, now)
+        self.expire(now);
+        let requests = reports.iter().map(|report| report.request);
+        let free: Vec<Fingerprint> = requests.filter(|r| !self.is_quarantined(r, now)).collect();
+        reports
+            .iter()
+            .for_each(|report| self.merge_report(report, now));
+        self.keep_quarantined(free, now)
     }
 
-    /// Those of some requests that are held.
-    fn held_of(&self, mut requests: Vec<Fingerprint>, now: Moment) -> Vec<Fingerprint> {
-        requests.retain(|request| self.is_held(request, now));
+    /// Returns those of the requests that are quarantined.
+    fn keep_quarantined(&self, mut requests: Vec<Fingerprint>, now: Moment) -> Vec<Fingerprint> {
+        requests.retain(|request| self.is_quarantined(request, now));
         requests
     }
 
-    fn take(&mut self, told: &Told, now: Moment) {
-        let unknown = !self.records.contains_key(&told.request);
-        if unknown && told.ends.is_empty() && told.hold.is_none() {
+    fn merge_report(&mut self, report: &SuspectReport, now: Moment) {
+        let unknown = !self.records.contains_key(&report.request);
+        if unknown && report.terminations.is_empty() && report.period.is_none() {
             return;
         }
-        let first = self.first;
-        let record = self.remembered(told.request, now);
-        let own = record.held.is_some_and(|h| h.own);
-        let survived = told.survived.map(|age| before(now, age));
-        let hold = told.hold.map(|hold| Held::placed(hold, now, false));
-        let mut changed = survived.is_some_and(|at| record.take_survival(at));
-        changed |= hold.is_some_and(|hold| record.take_hold(hold));
-        for end in &told.ends {
-            changed |= record.end(&end.endpoint, before(now, end.age));
+        let first_duration = self.first_duration;
+        let record = self.record_mut(report.request, now);
+        let own = record.period.is_some_and(|p| p.own);
+        let answered_at = report.answer_age.map(|age| time_ago(now, age));
+        let period = report
+            .period
+            .map(|period| RequestPeriod::from_report(period, now, false));
+        let mut changed = answered_at.is_some_and(|at| record.merge_answer(at));
+        changed |= period.is_some_and(|period| record.merge_period(period));
+        for termination in &report.terminations {
+            changed |=
+                record.add_termination(&termination.endpoint, time_ago(now, termination.age));
         }
-        let begins = record.hold(first, now);
-        let kept = record.held.filter(|h| h.own);
+        let begins = record.begin_period_if_due(first_duration, now);
+        let owned = record.period.filter(|p| p.own);
         if changed || begins {
-            self.changed(&told.request);
+            self.changed(&report.request);
         }
-        if begins || own != kept.is_some() {
-            self.keep.0 += 1;
+        if begins || own != owned.is_some() {
+            self.persist_revision.0 += 1;
         }
     }
 
-    /// The holds that this host found, or a process before it, and that last: the newest ones.
-    pub fn to_keep(&self, now: Duration) -> (KeepMark, Vec<Kept>) {
+    /// The unexpired quarantine periods that this host or an earlier process of it has determined, newest
+    /// first, and their revision.
+    pub fn to_persist(&self, now: Duration) -> (PersistRevision, Vec<QuarantineRecord>) {
         let now = moment(now);
-        let held = self.records.iter().filter(|(_, r)| r.is_held(now));
-        let own = held.filter_map(|(request, r)| Some((request, r.held.filter(|h| h.own)?)));
-        let mut kept: Vec<(Moment, Kept)> = own
-            .map(|(request, held)| {
-                let hold = held.spelled(now);
+        let quarantined = self.records.iter().filter(|(_, r)| r.is_quarantined(now));
+        let own =
+            quarantined.filter_map(|(request, r)| Some((request, r.period.filter(|p| p.own)?)));
+        let mut records: Vec<(Moment, QuarantineRecord)> = own
+            .map(|(request, own_period)| {
+                let period = own_period.to_report(now);
                 let request = *request;
-                (held.span.since, Kept { request, hold })
+                (own_period.span.since, QuarantineRecord { request, period })
             })
             .collect();
-        kept.sort_by_key(|(since, kept)| (std::cmp::Reverse(*since), kept.request));
-        kept.truncate(MOST_KEPT);
-        (self.keep, kept.into_iter().map(|(_, kept)| kept).collect())
+        records.sort_by_key(|(since, record)| (std::cmp::Reverse(*since), record.request));
+        records.truncate(MAX_PERSISTED);
+        (
+            self.persist_revision,
+            records.into_iter().map(|(_, record)| record).collect(),
+        )
     }
 
-    /// What was to be kept has been.
-    pub fn kept(&mut self, mark: KeepMark) {
-        self.kept = self.kept.max(mark);
+    /// Notes that what was to be stored at this revision has been.
+    pub fn mark_persisted(&mut self, revision: PersistRevision) {
+        self.persisted_revision = self.persisted_revision.max(revision);
     }
 
-    /// Whether what is to be kept has changed since.
-    pub fn keep_due(&self) -> bool {
-        self.keep > self.kept
+    /// Whether what is to be stored has changed since it was last stored.
+    pub fn persist_due(&self) -> bool {
+        self.persist_revision > self.persisted_revision
     }
 
-    /// Takes what a host has kept; `own` if that was this one. Gives the requests that are held from now
-    /// on.
-    pub fn found(&mut self, kept: Vec<Kept>, own: bool, now: Duration) -> Vec<Fingerprint> {
+    /// Restores what a host has stored; `own` if that was this host. Returns the requests that are newly
+    /// quarantined.
+    pub fn restore(
+        &mut self,
+        stored: Vec<QuarantineRecord>,
+        own: bool,
+        now: Duration,
+    ) -> Vec<Fingerprint> {
         let now = moment(now);
-        let lasting = || kept.iter().filter(|kept| !kept.hold.left().is_zero());
-        let requests = lasting().map(|kept| kept.request);
-        let free: Vec<Fingerprint> = requests.filter(|r| !self.is_held(r, now)).collect();
-        for Kept { request, hold } in lasting() {
-            let record = self.remembered(*request, now);
-            if record.take_hold(Held::placed(*hold, now, own)) {
+        let unexpired = || {
+            stored
+                .iter()
+                .filter(|record| !record.period.remaining().is_zero())
+        };
+        let requests = unexpired().map(|record| record.request);
+        let free: Vec<Fingerprint> = requests.filter(|r| !self.is_quarantined(r, now)).collect();
+        for QuarantineRecord { request, period } in unexpired() {
+            let record = self.record_mut(*request, now);
+            if record.merge_period(RequestPeriod::from_report(*period, now, own)) {
                 self.changed(request);
             }
         }
-        self.held_of(free, now)
+        self.keep_quarantined(free, now)
     }
 
-    /// What is known of a request, which is heard of now.
-    fn remembered(&mut self, request: Fingerprint, now: Moment) -> &mut Record {
+    /// The record of a request, which is created if necessary and marked as updated now.
+    fn record_mut(&mut self, request: Fingerprint, now: Moment) -> &mut RequestRecord {
         if !self.records.contains_key(&request) {
-            self.make_room(now);
+            self.evict(now);
         }
         let record = self.records.entry(request).or_default();
-        record.heard = now;
+        record.updated_at = now;
         record
     }
 
-    fn is_held(&self, request: &Fingerprint, now: Moment) -> bool {
-        self.records.get(request).is_some_and(|r| r.is_held(now))
+    fn is_quarantined(&self, request: &Fingerprint, now: Moment) -> bool {
+        self.records
+            .get(request)
+            .is_some_and(|r| r.is_quarantined(now))
     }
 
     fn changed(&mut self, request: &Fingerprint) {
@@ -344,35 +379,36 @@
         }
     }
 
-    /// Forgets what has been quiet for as long as its last hold, or as the first hold of any.
-    fn forget(&mut self, now: Moment) {
-        let first = self.first;
+    /// Removes requests that have had no update for as long as their last quarantine period, or as the first
+    /// period if they had none.
+    fn expire(&mut self, now: Moment) {
+        let first_duration = self.first_duration;
         self.records.retain(|_, r| {
-            let long = r
-                .held
-                .map_or(first, |h| h.span.until.saturating_sub(h.span.since));
-            r.heard.max(r.settled().unwrap_or_default()) + long > now
+            let ttl = r.period.map_or(first_duration, |p| {
+                p.span.until.saturating_sub(p.span.since)
+            });
+            r.updated_at.max(r.settled_at().unwrap_or_default()) + ttl > now
         });
     }
 
-    /// Forgets a request where too many are remembered.
-    fn make_room(&mut self, now: Moment) {
-        if self.records.len() < MOST_REMEMBERED {
+    /// Evicts a request if too many are remembered.
+    fn evict(&mut self, now: Moment) {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
-        let free = self.records.iter().filter(|(_, r)| !r.is_held(now));
-        let oldest = free.min_by_key(|(request, r)| (r.heard, **request));
-        // Where all are held, the hold that lapses first gives way.
-        let first = || self.records.iter().min_by_key(|(_, r)| r.settled());
-        let forgotten = oldest.or_else(first).map(|(request, _)| *request);
-        forgotten.map(|request| self.records.remove(&request));
+        let free = self.records.iter().filter(|(_, r)| !r.is_quarantined(now));
+        let oldest = free.min_by_key(|(request, r)| (r.updated_at, **request));
+        // If all requests are quarantined, the one whose period expires first is evicted.
+        let first = || self.records.iter().min_by_key(|(_, r)| r.settled_at());
+        let evicted = oldest.or_else(first).map(|(request, _)| *request);
+        evicted.map(|request| self.records.remove(&request));
     }
 }
 
 fn moment(now: Duration) -> Moment {
-    now + BEFORE_START
+    now + TIME_BEFORE_START
 }
 
-fn before(now: Moment, age: Duration) -> Moment {
+fn time_ago(now: Moment, age: Duration) -> Moment {
     now.saturating_sub(age)
 }
--- a/crates/fleet/src/quarantine/record.rs
+++ b/crates/fleet/src/quarantine/record.rs
@@ -1,152 +1,156 @@
-//! What a host knows of one request under which endpoints have ended.
+//! What a host knows of one request during which endpoints have terminated.
 
 use std::{rc::Rc, time::Duration};
 
-use super::{End, Hold, Span};
+use super::{ClockSpan, QuarantinePeriod, Termination};
 
-/// Starts of endpoints that may end under a request before it is held. Streams that run beside such a
-/// request break off with it: one in five of them twice in a row, none three times.
-const ENDS: usize = 3;
-/// How often a hold doubles at most.
-const MOST_DOUBLED: u32 = 8;
-/// News of one moment differ by what they were on their way, from each host that passes them on to the
-/// next. Later news of the same are new from here on, so that hosts don't tell each other for ever.
-const SAME_MOMENT: Duration = Duration::from_secs(1);
+/// Terminations of incarnations during a request before it is first quarantined. Streams that run beside such
+/// a request break off with it: one in five of them twice in a row, none three times.
+const MIN_TERMINATIONS: usize = 3;
+/// Maximum number of times that the quarantine period doubles.
+const MAX_DOUBLINGS: u32 = 8;
+/// Times of one event that are reported over different paths differ by the time that the reports were in
+/// transit from host to host. A report with a later time counts as new only from this difference on, so that
+/// hosts don't exchange reports endlessly.
+const REPORT_TIME_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// A moment, counted from [`BEFORE_START`](super::BEFORE_START) before this process started.
+/// A time, counted from [`TIME_BEFORE_START`](super::TIME_BEFORE_START) before this process started.
 pub(super) type Moment = Duration;
 
-/// An end that counts.
+/// A termination that counts towards the next quarantine.
 #[derive(Debug, Clone)]
-pub(super) struct Ended {
+pub(super) struct CountedTermination {
     endpoint: Rc<str>,
     at: Moment,
 }
 
-impl Ended {
-    /// As others are told it now.
-    pub(super) fn spelled(&self, now: Moment) -> End {
-        End {
+impl CountedTermination {
+    /// Converts it to a report for other hosts.
+    pub(super) fn to_report(&self, now: Moment) -> Termination {
+        Termination {
             endpoint: self.endpoint.clone(),
             age: now.saturating_sub(self.at),
         }
     }
 }
 
-/// A hold that lasts, or did.
+/// A quarantine period that is in force or was.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Held {
-    pub(super) times: u32,
-    /// By [`Moment`]s.
-    pub(super) span: Span,
-    /// This host found it, or a process before it did, and keeps it.
+pub(super) struct RequestPeriod {
+    pub(super) count: u32,
+    /// In [`Moment`]s.
+    pub(super) span: ClockSpan,
+    /// This host or an earlier process of it determined the period, and stores it.
     pub(super) own: bool,
 }
 
-impl Held {
-    /// A hold that is told or found now.
-    pub(super) fn placed(hold: Hold, now: Moment, own: bool) -> Self {
+impl RequestPeriod {
+    /// Converts a period that is reported or restored now.
+    pub(super) fn from_report(period: QuarantinePeriod, now: Moment, own: bool) -> Self {
         Self {
-            times: hold.times,
-            span: hold.span(now),
+            count: period.count,
+            span: period.span(now),
             own,
         }
     }
 
-    /// As others are told it now.
-    pub(super) fn spelled(self, now: Moment) -> Hold {
-        Hold::of(self.times, self.span, now)
+    /// Converts it to a report for other hosts.
+    pub(super) fn to_report(self, now: Moment) -> QuarantinePeriod {
+        QuarantinePeriod::from_span(self.count, self.span, now)
     }
 }
 
 /// What is known of one request.
 ///
-/// Invariants: all ends are later than `survived` and than the end of the hold; the hold began after
-/// `survived`.
+/// Invariants: all terminations are later than `answered_at` and than the end of the period; the period began
+/// after `answered_at`.
 #[derive(Debug, Default)]
-pub(super) struct Record {
-    pub(super) ends: Vec<Ended>,
-    pub(super) survived: Option<Moment>,
-    pub(super) held: Option<Held>,
-    /// The change with which it became what it is.
+pub(super) struct RequestRecord {
+    pub(super) terminations: Vec<CountedTermination>,
+    pub(super) answered_at: Option<Moment>,
+    pub(super) period: Option<RequestPeriod>,
+    /// The version of the quarantine with which this record last changed.
     pub(super) changed: u64,
-    /// When it was last heard of.
-    pub(super) heard: Moment,
+    /// When this record was last updated.
+    pub(super) updated_at: Moment,
 }
 
-impl Record {
-    /// Ends up to then count no more.
-    pub(super) fn settled(&self) -> Option<Moment> {
-        self.survived.max(self.held.map(|h| h.span.until))
+impl RequestRecord {
+    /// The time up to which terminations no longer count.
+    pub(super) fn settled_at(&self) -> Option<Moment> {
+        self.answered_at.max(self.period.map(|p| p.span.until))
     }
 
-    /// Takes an end, if it is new and counts.
-    pub(super) fn end(&mut self, endpoint: &Rc<str>, at: Moment) -> bool {
-        let counts = self.settled().is_none_or(|settled| settled < at);
-        let known = self.ends.iter().any(|e| e.endpoint == *endpoint);
+    /// Adds a termination if it is new and counts; returns whether it did.
+    pub(super) fn add_termination(&mut self, endpoint: &Rc<str>, at: Moment) -> bool {
+        let counts = self.settled_at().is_none_or(|settled_at| settled_at < at);
+        let known = self.terminations.iter().any(|t| t.endpoint == *endpoint);
         if !counts || known {
             return false;
         }
-        self.ends.push(Ended {
+        self.terminations.push(CountedTermination {
             endpoint: endpoint.clone(),
             at,
         });
         true
     }
 
-    /// Begins a hold if enough has ended.
-    pub(super) fn hold(&mut self, first: Duration, now: Moment) -> bool {
-        let times = self.held.map_or(0, |h| h.times);
-        let enough = if times == 0 { ENDS } else { 1 };
-        if self.ends.len() < enough {
+    /// Begins a quarantine period if enough incarnations have terminated; returns whether it did.
+    pub(super) fn begin_period_if_due(&mut self, first_duration: Duration, now: Moment) -> bool {
+        let count = self.period.map_or(0, |p| p.count);
+        let enough = if count == 0 { MIN_TERMINATIONS } else { 1 };
+        if self.terminations.len() < enough {
             return false;
         }
-        self.held = Some(Held {
-            times: times + 1,
-            span: Span {
+        self.period = Some(RequestPeriod {
+            count: count + 1,
+            span: ClockSpan {
                 since: now,
-                until: now + first * 2u32.pow(times.min(MOST_DOUBLED)),
+                until: now + first_duration * 2u32.pow(count.min(MAX_DOUBLINGS)),
             },
             own: true,
         });
-        self.ends.clear();
+        self.terminations.clear();
         true
     }
 
-    /// An endpoint has answered it: what was held against it before says nothing.
-    pub(super) fn survive(&mut self, at: Moment) {
-        self.survived = self.survived.max(Some(at));
-        self.ends.retain(|e| e.at > at);
-        self.held = self.held.filter(|h| h.span.since > at);
+    /// Applies an answer of an endpoint: terminations and periods before it no longer count.
+    pub(super) fn apply_answer(&mut self, at: Moment) {
+        self.answered_at = self.answered_at.max(Some(at));
+        self.terminations.retain(|t| t.at > at);
+        self.period = self.period.filter(|p| p.span.since > at);
     }
 
-    /// Takes an answer that is later than the one known.
-    pub(super) fn take_survival(&mut self, at: Moment) -> bool {
-        let later = self.survived.is_none_or(|own| own + SAME_MOMENT < at);
+    /// Applies a reported answer if it is later than the known one; returns whether it was.
+    pub(super) fn merge_answer(&mut self, at: Moment) -> bool {
+        let later = self
+            .answered_at
+            .is_none_or(|own| own + REPORT_TIME_TOLERANCE < at);
         if later {
-            self.survive(at);
+            self.apply_answer(at);
         }
         later
     }
 
-    /// Takes a hold that is further than the one known.
-    pub(super) fn take_hold(&mut self, told: Held) -> bool {
-        let over = self.survived.is_some_and(|at| told.span.since <= at);
-        let further = self.held.is_none_or(|own| {
-            let longer = told.span.until > own.span.until + SAME_MOMENT;
-            told.times > own.times || (told.times == own.times && longer)
+    /// Adopts a reported period if it is newer than the known one: a higher count, or the same count and a
+    /// later end. Returns whether it did.
+    pub(super) fn merge_period(&mut self, reported: RequestPeriod) -> bool {
+        let answered = self.answered_at.is_some_and(|at| reported.span.since <= at);
+        let newer = self.period.is_none_or(|own| {
+            let longer = reported.span.until > own.span.until + REPORT_TIME_TOLERANCE;
+            reported.count > own.count || (reported.count == own.count && longer)
         });
-        if over || !further {
+        if answered || !newer {
             return false;
         }
-        let own = self.held.is_some_and(|h| h.own) || told.own;
-        self.held = Some(Held { own, ..told });
-        self.ends.retain(|e| e.at > told.span.until);
+        let own = self.period.is_some_and(|p| p.own) || reported.own;
+        self.period = Some(RequestPeriod { own, ..reported });
+        self.terminations.retain(|t| t.at > reported.span.until);
         true
     }
 
-    /// Whether it is held now.
-    pub(super) fn is_held(&self, now: Moment) -> bool {
-        self.held.is_some_and(|h| h.span.until > now)
+    /// Whether the request is quarantined now.
+    pub(super) fn is_quarantined(&self, now: Moment) -> bool {
+        self.period.is_some_and(|p| p.span.until > now)
     }
 }
--- a/crates/gateway/src/control/held_requests.rs
+++ b/crates/gateway/src/control/held_requests.rs
@@ -5,18 +5,18 @@
 
 use std::time::Duration;
 
-use dragonflyrill_fleet::quarantine::{Hold, Kept, Span};
+use dragonflyrill_fleet::quarantine::{ClockSpan, QuarantinePeriod, QuarantineRecord};
 use dragonflyrill_protocol::exchange::{HostRow, KeptHold, millis};
 
 use crate::gateway::Gateway;
 
 /// Holds as a row spells them that is written at this time of the store's clock.
-pub(super) fn spelled(kept: &[Kept], clock: Duration) -> Vec<KeptHold> {
-    let one = |kept: &Kept| {
-        let span = kept.hold.span(clock);
+pub(super) fn spelled(kept: &[QuarantineRecord], clock: Duration) -> Vec<KeptHold> {
+    let one = |kept: &QuarantineRecord| {
+        let span = kept.period.span(clock);
         KeptHold {
             request: kept.request.to_string(),
-            times: kept.hold.times,
+            times: kept.period.count,
             since_ms: millis(span.since),
             until_ms: millis(span.until),
         }
@@ -36,7 +36,7 @@
     }
 }
 
-fn read(host: &str, held: &KeptHold, clock: Duration) -> Option<Kept> {
+fn read(host: &str, held: &KeptHold, clock: Duration) -> Option<QuarantineRecord> {
     let request = match held.request.parse() {
         Ok(request) => request,
         Err(e) => {
@@ -44,12 +44,12 @@
             return None;
         }
     };
-    let span = Span {
+    let span = ClockSpan {
         since: Duration::from_millis(held.since_ms),
         until: Duration::from_millis(held.until_ms),
     };
-    Some(Kept {
+    Some(QuarantineRecord {
         request,
-        hold: Hold::of(held.times, span, clock),
+        period: QuarantinePeriod::from_span(held.times, span, clock),
     })
 }
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -185,7 +185,7 @@
         let records = self.record_at.is_some_and(|at| at <= now);
         let beat_at = *self.beat_at.get_or_insert(now + first_beat);
         // Each moment counts in which the hosts may all end.
-        let holds = gateway.quarantine.borrow().keep_due();
+        let holds = gateway.quarantine.borrow().persist_due();
         let limits = self.limits_at <= now && self.limited_now() != self.limited;
         records || holds || (!self.left && (beat_at <= now || joins || limits))
     }
@@ -271,7 +271,7 @@
         match StoreCall::Write.made(gateway, CALL, write).await? {
             Written::Done(version) => {
                 bounds.wrote(&draft, version, gateway.now());
-                gateway.quarantine.borrow_mut().kept(mark);
+                gateway.quarantine.borrow_mut().mark_persisted(mark);
             }
             Written::Conflict(row) => {
                 bounds.found_row(row.map_or(0, |r| r.version));
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -242,7 +242,7 @@
         metrics
             .limited_endpoints
             .set(self.limits.borrow().count() as i64);
-        let held = self.quarantine.borrow().held_now(now);
+        let held = self.quarantine.borrow().quarantined_count(now);
         metrics.held_requests.set(held as i64);
         // Never proven is as old as can be.
         let seconds = |age: Option<Duration>| age.map_or(f64::INFINITY, |a| a.as_secs_f64());
--- a/crates/gateway/src/gateway/suspects.rs
+++ b/crates/gateway/src/gateway/suspects.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_fleet::{
     fingerprint::Fingerprint,
-    quarantine::{KeepMark, Kept, Told},
+    quarantine::{PersistRevision, QuarantineRecord, SuspectReport},
 };
 
 use super::Gateway;
@@ -16,7 +16,7 @@
         let quarantine = self.quarantine.borrow();
         match quarantine.is_empty() {
             true => None,
-            false => quarantine.held(&request(), self.now()),
+            false => quarantine.quarantined_for(&request(), self.now()),
         }
     }
 
@@ -27,10 +27,10 @@
         let hold = self
             .quarantine
             .borrow_mut()
-            .ended(request, endpoint, self.now());
+            .note_termination(request, endpoint, self.now());
         if let Some(hold) = hold {
-            let for_s = hold.left().as_secs();
-            log::warn!(target: "forward", request:% = request, for_s = for_s, times = hold.times; "A request is held: endpoints end under it.");
+            let for_s = hold.remaining().as_secs();
+            log::warn!(target: "forward", request:% = request, for_s = for_s, times = hold.count; "A request is held: endpoints end under it.");
             // Each moment counts: other hosts may be about to send it.
             self.peers.hurry();
         }
@@ -39,12 +39,15 @@
     /// A run of a request of this host's broke off at an endpoint that may have ended.
     pub fn broke_off_at(&self, request: Fingerprint, endpoint: &Rc<str>) {
         let mut quarantine = self.quarantine.borrow_mut();
-        quarantine.broke_off(request, endpoint, self.now());
+        quarantine.note_broken_run(request, endpoint, self.now());
     }
 
     /// A start of an endpoint is known to have ended: so it has under what broke off there.
     pub(super) fn endpoint_over(&self, endpoint: &Rc<str>) {
-        let under = self.quarantine.borrow_mut().over(endpoint, self.now());
+        let under = self
+            .quarantine
+            .borrow_mut()
+            .confirm_termination(endpoint, self.now());
         for request in under {
             self.ended_under(request, endpoint);
         }
@@ -53,25 +56,25 @@
     /// An endpoint has answered a request of this host's.
     pub fn survived(&self, request: Fingerprint) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.survived(&request, self.now()) {
+        if quarantine.note_answer(&request, self.now()) {
             log::info!(target: "forward", request:% = request; "A request is no longer held: an endpoint has answered it.");
         }
     }
 
     /// Another host has told what it knows.
-    pub fn told_suspects(&self, told: Vec<Told>) {
-        let held = self.quarantine.borrow_mut().told(told, self.now());
+    pub fn told_suspects(&self, told: Vec<SuspectReport>) {
+        let held = self.quarantine.borrow_mut().merge_reports(told, self.now());
         note_held(&held);
     }
 
     /// The holds that this host keeps in its row.
-    pub fn holds_to_keep(&self) -> (KeepMark, Vec<Kept>) {
-        self.quarantine.borrow().to_keep(self.now())
+    pub fn holds_to_keep(&self) -> (PersistRevision, Vec<QuarantineRecord>) {
+        self.quarantine.borrow().to_persist(self.now())
     }
 
     /// The row of a host has holds, of this one if `own`.
-    pub fn found_holds(&self, kept: Vec<Kept>, own: bool) {
-        let held = self.quarantine.borrow_mut().found(kept, own, self.now());
+    pub fn found_holds(&self, kept: Vec<QuarantineRecord>, own: bool) {
+        let held = self.quarantine.borrow_mut().restore(kept, own, self.now());
         note_held(&held);
     }
 }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -8,7 +8,7 @@
 use dragonflyrill_fleet::{
     delta_sync::{Cursor, DeltaSync},
     fingerprint::Fingerprint,
-    quarantine::{End, Hold, Told},
+    quarantine::{QuarantinePeriod, SuspectReport, Termination},
 };
 use dragonflyrill_protocol::exchange::{
     EndpointEnd, ListMark, RequestHold, Suspect, SuspectNews, millis,
@@ -83,38 +83,38 @@
     }
 }
 
-fn to_wire(told: &Told) -> Suspect {
-    let end = |end: &End| EndpointEnd {
+fn to_wire(told: &SuspectReport) -> Suspect {
+    let end = |end: &Termination| EndpointEnd {
         endpoint: end.endpoint.to_string(),
         age_ms: millis(end.age),
     };
-    let hold = |hold: Hold| RequestHold {
-        times: hold.times,
+    let hold = |hold: QuarantinePeriod| RequestHold {
+        times: hold.count,
         age_ms: millis(hold.age),
-        lasts_ms: millis(hold.lasts),
+        lasts_ms: millis(hold.duration),
     };
     Suspect {
         request: told.request.bytes(),
-        ends: told.ends.iter().map(end).collect(),
-        survived_ms: told.survived.map(millis),
-        hold: told.hold.map(hold),
+        ends: told.terminations.iter().map(end).collect(),
+        survived_ms: told.answer_age.map(millis),
+        hold: told.period.map(hold),
     }
 }
 
-fn from_wire(suspect: &Suspect) -> Told {
-    let end = |end: &EndpointEnd| End {
+fn from_wire(suspect: &Suspect) -> SuspectReport {
+    let end = |end: &EndpointEnd| Termination {
         endpoint: end.endpoint.as_str().into(),
         age: Duration::from_millis(end.age_ms),
     };
-    let hold = |hold: RequestHold| Hold {
-        times: hold.times,
+    let hold = |hold: RequestHold| QuarantinePeriod {
+        count: hold.times,
         age: Duration::from_millis(hold.age_ms),
-        lasts: Duration::from_millis(hold.lasts_ms),
+        duration: Duration::from_millis(hold.lasts_ms),
     };
-    Told {
+    SuspectReport {
         request: Fingerprint::from(suspect.request),
-        ends: suspect.ends.iter().map(end).collect(),
-        survived: suspect.survived_ms.map(Duration::from_millis),
-        hold: suspect.hold.map(hold),
+        terminations: suspect.ends.iter().map(end).collect(),
+        answer_age: suspect.survived_ms.map(Duration::from_millis),
+        period: suspect.hold.map(hold),
     }
 }
