--- a/crates/fleet/benches/quarantine.rs
+++ b/crates/fleet/benches/quarantine.rs
@@ -6,7 +6,7 @@
 
 use criterion::Criterion;
 use dragonflyrill_fleet::{
-    fingerprint::{Asked, Fingerprint},
+    fingerprint::{Fingerprint, RequestIdentity},
     quarantine::Quarantine,
 };
 
@@ -21,7 +21,7 @@
         b.iter(|| {
             n += 1;
             body[..8].copy_from_slice(&n.to_be_bytes());
-            let asked = Asked {
+            let identity = RequestIdentity {
                 host: "h.example",
                 method: "POST",
                 path: "/stream/x",
@@ -29,7 +29,7 @@
                 body: black_box(&body),
             };
             let now = Duration::from_millis(n);
-            quarantine.note_answer(&Fingerprint::of(&asked), now)
+            quarantine.note_answer(&Fingerprint::of(&identity), now)
         });
     });
 }
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -1,90 +1,90 @@
-//! Tells whether two requests are the same one, asked for again.
+//! Determines whether two requests are the same, one of them a retry of the other.
 //!
-//! Callers give each attempt an id of its own, and may come back to any host. What stays is what they
-//! ask for: the route's host, the method, the path with its query, whose request it is and its body.
+//! Callers give each attempt its own id and may retry at any host. What stays the same is what they ask for:
+//! the route's host, the method, the path with its query, the workspace and the body.
 
 use std::{fmt, str::FromStr};
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of the hash that are kept: enough that no two requests share them, by chance or by intent.
-const BYTES: usize = 16;
+/// Bytes of the hash that are used: enough to exclude collisions, accidental or deliberate.
+const HASH_BYTES: usize = 16;
 
-/// What a caller asks for, whichever attempt of it this is.
+/// What identifies a request across its attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
-    /// The host that it names.
+pub struct RequestIdentity<'a> {
+    /// The host that the request names.
     pub host: &'a str,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// Its path with its query.
+    /// The path with its query.
     pub path: &'a str,
-    /// Whose request it is; `None` on routes that need no key.
+    /// The workspace of the caller; `None` on routes that need no key.
     pub workspace: Option<&'a str>,
-    /// Its body.
+    /// The body of the request.
     pub body: &'a [u8],
 }
 
-/// Names a request over all hosts. Says nothing of what is in it.
+/// Identifies a request on all hosts, without revealing its contents.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; HASH_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of what was asked for.
-    pub fn of(asked: &Asked<'_>) -> Self {
+    /// Computes the fingerprint of a request.
+    pub fn of(identity: &RequestIdentity<'_>) -> Self {
         let mut hash = Sha256::new();
-        let workspace = asked.workspace.map_or(&[][..], str::as_bytes);
-        let parts = [
-            asked.host.as_bytes(),
-            asked.method.as_bytes(),
-            asked.path.as_bytes(),
+        let workspace = identity.workspace.map_or(&[][..], str::as_bytes);
+        let fields = [
+            identity.host.as_bytes(),
+            identity.method.as_bytes(),
+            identity.path.as_bytes(),
             workspace,
-            asked.body,
+            identity.body,
         ];
-        hash.update([u8::from(asked.workspace.is_some())]);
-        for part in parts {
-            // With its length, so that nothing can move from one part to the next.
-            hash.update((part.len() as u64).to_be_bytes());
-            hash.update(part);
+        hash.update([u8::from(identity.workspace.is_some())]);
+        for field in fields {
+            // The length precedes each field, so that bytes can't move from one field to the next.
+            hash.update((field.len() as u64).to_be_bytes());
+            hash.update(field);
         }
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&hash.finalize()[..BYTES]);
+        let mut bytes = [0; HASH_BYTES];
+        bytes.copy_from_slice(&hash.finalize()[..HASH_BYTES]);
         Self(bytes)
     }
 
-    /// Its bytes, as hosts tell them to each other.
-    pub fn bytes(&self) -> [u8; BYTES] {
+    /// The bytes of the fingerprint, as exchanged between hosts.
+    pub fn bytes(&self) -> [u8; HASH_BYTES] {
         self.0
     }
 }
 
-impl From<[u8; BYTES]> for Fingerprint {
-    fn from(bytes: [u8; BYTES]) -> Self {
+impl From<[u8; HASH_BYTES]> for Fingerprint {
+    fn from(bytes: [u8; HASH_BYTES]) -> Self {
         Self(bytes)
     }
 }
 
-/// A text is no fingerprint.
+/// The text is not a fingerprint in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoFingerprint;
+pub struct ParseFingerprintError;
 
-impl fmt::Display for NoFingerprint {
+impl fmt::Display for ParseFingerprintError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} hexadecimal digits are needed", 2 * BYTES)
+        write!(f, "{} hexadecimal digits are needed", 2 * HASH_BYTES)
     }
 }
 
-impl std::error::Error for NoFingerprint {}
+impl std::error::Error for ParseFingerprintError {}
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, NoFingerprint> {
-        let digits = text.len() == 2 * BYTES && text.bytes().all(|b| b.is_ascii_hexdigit());
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
+        let digits = text.len() == 2 * HASH_BYTES && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = digits.then(|| u128::from_str_radix(text, 16));
         match number {
             Some(Ok(number)) => Ok(Self(number.to_be_bytes())),
-            _ => Err(NoFingerprint),
+            _ => Err(ParseFingerprintError),
         }
     }
 }
--- a/crates/fleet/src/token_bucket.rs
+++ b/crates/fleet/src/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Fills at a steady rate up to its capacity; each use takes tokens out.
+/// A bucket that fills at a steady rate up to its capacity; each use removes tokens.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     per_s: f64,
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket. `per_s` is the rate in tokens a second.
     pub fn new(per_s: f64, capacity: f64) -> Self {
         Self {
             per_s,
@@ -23,16 +23,17 @@
         }
     }
 
-    /// Takes so many tokens if they are there. More than the bucket holds are given by a full one and owed to it,
-    /// so that no single use is refused for ever; a bucket that holds none gives none.
-    pub fn take(&mut self, tokens: f64, now: Duration) -> bool {
-        let since = now.saturating_sub(self.filled_at);
+    /// Acquires the tokens if the bucket has enough; returns whether it did. A full bucket also grants more
+    /// tokens than its capacity and goes into debt, so that no single use is refused forever. A bucket with
+    /// capacity 0 grants nothing.
+    pub fn try_acquire(&mut self, tokens: f64, now: Duration) -> bool {
+        let elapsed = now.saturating_sub(self.filled_at);
         self.filled_at = now;
-        self.level = (self.level + since.as_secs_f64() * self.per_s).min(self.capacity);
-        let taken = self.capacity > 0.0 && self.level >= tokens.min(self.capacity);
-        if taken {
+        self.level = (self.level + elapsed.as_secs_f64() * self.per_s).min(self.capacity);
+        let acquired = self.capacity > 0.0 && self.level >= tokens.min(self.capacity);
+        if acquired {
             self.level -= tokens;
         }
-        taken
+        acquired
     }
 }
--- a/crates/fleet/tests/fingerprint.rs
+++ b/crates/fleet/tests/fingerprint.rs
@@ -1,8 +1,8 @@
-//! Which requests count as the same one.
+//! Which requests have the same fingerprint.
 
-use dragonflyrill_fleet::fingerprint::{Asked, Fingerprint};
+use dragonflyrill_fleet::fingerprint::{Fingerprint, RequestIdentity};
 
-const ASKED: Asked<'_> = Asked {
+const IDENTITY: RequestIdentity<'_> = RequestIdentity {
     host: "h.example",
     method: "POST",
     path: "/stream/x?a=1",
@@ -12,83 +12,86 @@
 
 #[test]
 fn the_same_request_has_the_same_fingerprint() {
-    assert_eq!(Fingerprint::of(&ASKED), Fingerprint::of(&ASKED.clone()));
+    assert_eq!(
+        Fingerprint::of(&IDENTITY),
+        Fingerprint::of(&IDENTITY.clone())
+    );
 }
 
 #[test]
-fn whatever_differs_in_what_is_asked_for_tells_requests_apart() {
+fn requests_that_differ_in_any_field_have_different_fingerprints() {
     let others = [
-        Asked {
+        RequestIdentity {
             host: "i.example",
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             method: "PUT",
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             path: "/stream/x?a=2",
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             workspace: Some("w2"),
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             workspace: None,
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             body: b"another",
-            ..ASKED
+            ..IDENTITY
         },
     ];
     let mut all: Vec<Fingerprint> = others.iter().map(Fingerprint::of).collect();
-    all.push(Fingerprint::of(&ASKED));
+    all.push(Fingerprint::of(&IDENTITY));
     all.sort();
     all.dedup();
     assert_eq!(all.len(), others.len() + 1);
 }
 
 #[test]
-fn bytes_don_t_move_from_one_part_to_the_next() {
-    let one = Asked {
+fn bytes_don_t_move_from_one_field_to_the_next() {
+    let one = RequestIdentity {
         path: "/a",
         workspace: Some("b"),
         body: b"c",
-        ..ASKED
+        ..IDENTITY
     };
     for other in [
-        Asked {
+        RequestIdentity {
             path: "/ab",
             workspace: Some(""),
             body: b"c",
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             path: "/a",
             workspace: Some("bc"),
             body: b"",
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             path: "/a",
             workspace: None,
             body: b"bc",
-            ..ASKED
+            ..IDENTITY
         },
-        Asked {
+        RequestIdentity {
             workspace: Some(""),
             ..one
         },
     ] {
         assert_ne!(Fingerprint::of(&one), Fingerprint::of(&other), "{other:?}");
     }
-    let none = Asked {
+    let none = RequestIdentity {
         workspace: None,
         ..one
     };
-    let empty = Asked {
+    let empty = RequestIdentity {
         workspace: Some(""),
         ..one
     };
@@ -96,13 +99,13 @@
 }
 
 #[test]
-fn it_is_spelled_as_hex_and_goes_through_its_bytes() {
-    let it = Fingerprint::of(&ASKED);
-    let spelled = it.to_string();
-    assert_eq!(spelled.len(), 32);
-    assert!(spelled.bytes().all(|b| b.is_ascii_hexdigit()), "{spelled}");
-    assert_eq!(Fingerprint::from(it.bytes()), it);
-    assert_eq!(spelled.parse(), Ok(it));
+fn a_fingerprint_is_written_as_hex_and_converts_to_bytes_and_back() {
+    let fingerprint = Fingerprint::of(&IDENTITY);
+    let text = fingerprint.to_string();
+    assert_eq!(text.len(), 32);
+    assert!(text.bytes().all(|b| b.is_ascii_hexdigit()), "{text}");
+    assert_eq!(Fingerprint::from(fingerprint.bytes()), fingerprint);
+    assert_eq!(text.parse(), Ok(fingerprint));
     for wrong in [
         "",
         "00",
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use dragonflyrill_fleet::{
     catalogue::{CallerLimits, Route, RouteKind, Service, Workspace},
-    fingerprint::{Asked, Fingerprint},
+    fingerprint::{Fingerprint, RequestIdentity},
 };
 use http::StatusCode;
 use rand::Rng;
@@ -94,7 +94,7 @@
     fn fingerprint(&self) -> Fingerprint {
         let made = || {
             let path = self.head.uri.path_and_query();
-            Fingerprint::of(&Asked {
+            Fingerprint::of(&RequestIdentity {
                 host: asked_host(&self.head),
                 method: self.head.method.as_str(),
                 path: path.map_or("", |p| p.as_str()),
--- a/crates/gateway/src/forward/trail.rs
+++ b/crates/gateway/src/forward/trail.rs
@@ -37,7 +37,9 @@
 
     /// Takes one request's lines, if there is room.
     fn take(&self) -> bool {
-        self.left.borrow_mut().take(1.0, self.began.elapsed())
+        self.left
+            .borrow_mut()
+            .try_acquire(1.0, self.began.elapsed())
     }
 }
 
--- a/crates/gateway/src/peers/documents.rs
+++ b/crates/gateway/src/peers/documents.rs
@@ -39,7 +39,8 @@
             let per_s = gateway.settings.link_bytes_per_s * LINK_PART;
             TokenBucket::new(per_s, per_s * follow::CALL.as_secs_f64())
         });
-        room.take(document.len() as f64, now).then_some(document)
+        room.try_acquire(document.len() as f64, now)
+            .then_some(document)
     }
 
     fn compressed(&self, gateway: &Gateway, version: u64) -> Bytes {
