--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -16,13 +16,13 @@
 //! - [`adaptive_timeout`] says for how long a run is waited for, and when its chain is probed.
 //! - [`freshness`] says for how long a catalogue may be acted on without news from the store.
 //! - [`outage`] says when entries that are missing may have lapsed while the store was away.
-//! - [`store_access`] says which hosts of a data centre ask a store that does not answer.
-//! - [`budget`] bounds how often a request is sent a second time; [`share`] says what part of such a
-//!   bound a host may use.
-//! - [`endpoint_limits`] divides what endpoints take from all hosts together, where they say so.
-//! - [`fingerprint`] tells whether two requests are the same one, asked for again; [`quarantine`] holds
-//!   back those under which endpoints end; [`delta_sync`] says what of it another host was not told yet.
-//! - [`token_bucket`] bounds a rate, of log lines or of bytes.
+//! - [`store_access`] decides which hosts of a data centre call a store that does not answer.
+//! - [`budget`] bounds how often requests are retried; [`share`] determines the part of such a bound
+//!   that a host may use.
+//! - [`endpoint_limits`] divides the limits that endpoints set for all hosts together.
+//! - [`fingerprint`] determines whether one request is a retry of another; [`quarantine`] withholds
+//!   requests during which endpoints terminate; [`delta_sync`] says what of it another host was not told yet.
+//! - [`token_bucket`] bounds a rate, for example of log lines or of bytes.
 
 pub mod adaptive_timeout;
 pub mod budget;
