--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/share.rs
@@ -143,7 +143,7 @@
     /// The version up to which that claim counts.
     counted_to: Option<u64>,
     held: Option<ShareHolding>,
-    /// When the share may first be used; meaningful whenever `held` is set.
+    /// When the share may first be used; set whenever `held` is.
     usable_at: Duration,
 }
 
--- a/crates/fleet/tests/store_access.rs
+++ b/crates/fleet/tests/store_access.rs
@@ -50,13 +50,13 @@
 
 #[test]
 fn a_host_reads_the_store_if_a_recent_report_lacks_the_list() {
-    let report = |list| {
+    let report = |has_list| {
         Some(StoreReport {
             fresh: true,
             from_this_host: false,
             unavailable: false,
             probe_slot: false,
-            has_list: list,
+            has_list,
         })
     };
     assert_eq!(store_access::role(report(true), false), Role::Follower);
@@ -70,12 +70,12 @@
 
 #[test]
 fn a_host_waits_for_a_probe_slot_while_the_store_is_reported_unavailable() {
-    let report = |fresh, from_this_host, turn| {
+    let report = |fresh, from_this_host, probe_slot| {
         Some(StoreReport {
             fresh,
             from_this_host,
             unavailable: !fresh,
-            probe_slot: turn,
+            probe_slot,
             has_list: true,
         })
     };
@@ -99,12 +99,12 @@
 /// slots granted then, nobody would check for 0.7 s whether the store answers another host.
 #[test]
 fn a_recent_report_of_an_unavailable_store_lets_a_host_use_its_probe_slot() {
-    let report = |turn| {
+    let report = |probe_slot| {
         Some(StoreReport {
             fresh: true,
             from_this_host: false,
             unavailable: true,
-            probe_slot: turn,
+            probe_slot,
             has_list: true,
         })
     };
