--- a/crates/fleet/src/endpoint_limits.rs
+++ b/crates/fleet/src/endpoint_limits.rs
@@ -27,7 +27,7 @@
 /// Minimum rate at which an endpoint gets requests, even if its limit is lower: only its answers show when
 /// the limit is raised.
 const MIN_REQUESTS_PER_S: f64 = 0.25;
-/// How long other hosts receive reports that an endpoint no longer states a limit; they receive them within a
+/// How long the lifted limit of an endpoint is reported to other hosts, which receive the report within a
 /// second.
 const LIFTED_REPORT_TTL: Duration = Duration::from_secs(10);
 /// How long the limit of an unlisted endpoint is kept: the same incarnation may be listed again.
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -5,8 +5,9 @@
 //! that endpoint saw it. A request is quarantined if several incarnations of endpoints terminated one after
 //! the other while they ran it and none answered it in between: then no host sends it any more.
 //!
-//! Callers that ask for the same have the same request, and may have many in flight when a service loses its
-//! power. A request that was answered a moment ago is not the cause of terminations: none counts against it.
+//! Identical requests of different callers are one request here, and many of them may be in flight when a
+//! service loses power. A request that was answered a moment ago is not the cause of terminations: no
+//! termination counts against it.
 //!
 //! A request is retried as attempts with their own ids, at any host. So what one host has observed is
 //! reported to all hosts ([`Quarantine::changes_since`], [`Quarantine::merge_reports`]), and quarantine
@@ -14,8 +15,8 @@
 //! Hosts come to quarantine the same requests, in whatever order and however often they exchange reports.
 //!
 //! A quarantine period expires, because a request that isn't sent can't be shown to be harmless. After that a
-//! single termination is enough for the next period, which is twice as long: for a request that keeps
-//! terminating endpoints, each termination costs twice the time of the one before.
+//! single termination is enough for the next period, which is twice as long: a request that keeps crashing
+//! endpoints must wait twice as long for each further crash.
 
 mod recent_answers;
 mod record;
@@ -136,8 +137,7 @@
 }
 
 impl Quarantine {
-    /// Creates a quarantine that knows of no request. `first_duration` is the length of a request's first
-    /// period.
+    /// Creates an empty quarantine. `first_duration` is the length of a request's first period.
     pub fn new(first_duration: Duration) -> Self {
         Self {
             first_duration,
@@ -331,8 +331,8 @@
         self.persist_revision > self.persisted_revision
     }
 
-    /// Restores what a host has stored; `own` if that was this host. Returns the requests that are newly
-    /// quarantined.
+    /// Restores what a host has stored; `own` is whether that was this host. Returns the requests that are
+    /// newly quarantined.
     pub fn restore(
         &mut self,
         stored: Vec<QuarantineRecord>,
--- a/crates/fleet/src/quarantine/record.rs
+++ b/crates/fleet/src/quarantine/record.rs
@@ -4,8 +4,9 @@
 
 use super::{ClockSpan, QuarantinePeriod, Termination};
 
-/// Terminations of incarnations during a request before it is first quarantined. Streams that run beside such
-/// a request break off with it: one in five of them twice in a row, none three times.
+/// Number of incarnations that must terminate during a request before it is first quarantined. Of the streams
+/// that run beside such a request and break off with it, one in five breaks off twice in a row and none three
+/// times.
 const MIN_TERMINATIONS: usize = 3;
 /// Maximum number of times that the quarantine period doubles.
 const MAX_DOUBLINGS: u32 = 8;
@@ -25,7 +26,7 @@
 }
 
 impl CountedTermination {
-    /// Converts it to a report for other hosts.
+    /// Converts the termination to a report for other hosts.
     pub(super) fn to_report(&self, now: Moment) -> Termination {
         Termination {
             endpoint: self.endpoint.clone(),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Converts it to a report for other hosts.
+    /// Converts the period to a report for other hosts.
     pub(super) fn to_report(self, now: Moment) -> QuarantinePeriod {
         QuarantinePeriod::from_span(self.count, self.span, now)
     }
--- a/crates/fleet/src/store_access.rs
+++ b/crates/fleet/src/store_access.rs
@@ -4,7 +4,7 @@
 //! One host of a data centre reads the store and reports what it read to the others. When that host gets no
 //! answer, the store may be unavailable to all hosts or to this one only, and only further calls can show
 //! which. If every other host made such calls by itself, the load would grow with the number of hosts just
-//! when the store can bear it least: 295 hosts sent 1,000 calls a second to a store that refused them all,
+//! when the store can bear it least: 295 hosts send 1,000 calls a second to a store that refuses them all,
 //! against 160 in normal operation. Therefore:
 //!
 //! - Each host records how its own calls ended ([`StoreAccess`]). While they fail, it makes one kind of call
@@ -124,7 +124,7 @@
         true
     }
 
-    /// Starts anew once the store answers again.
+    /// Resets the schedule once the store answers again, so that the next slots are early ones.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
@@ -160,8 +160,8 @@
 /// Returns the role of this host. `report` is that of the polled host, if it answered; `keeps_reading` is
 /// whether this host reads the store itself and is to go on ([`StoreAccess::keeps_reading`]).
 ///
-/// Whether this host itself has recent data is no criterion: the list is read after the catalogue and takes
-/// its time, and a host that stopped reading in between would never have data for the others.
+/// Whether this host itself has recent data is no criterion: the list is read after the catalogue, which
+/// takes time, and a host that stopped reading in between would never have data for the others.
 ///
 /// Recent data was read a moment ago. Once the store no longer answers the host that read it, no more will
 /// follow, so the next reader is looked for at once and not only when the data has become stale.
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -91,8 +91,8 @@
         let host = usize::from(n >= 2000);
         hosts[host].count_request(at(n));
         requests.push(at(n));
-        // No call fails before the callers leave the first host, or while the second host's window is less
-        // than full.
+        // No call fails on the first host before its callers leave it, nor on the second host before its window
+        // is full.
         if n == 1999 || n == 2990 {
             while acquire(&mut hosts[host], at(n), 2) {
                 retries.push(at(n));
--- a/crates/fleet/tests/shared_budget.rs
+++ b/crates/fleet/tests/shared_budget.rs
@@ -382,7 +382,7 @@
         self.retries.iter().map(excess).fold(f64::MIN, f64::max)
     }
 
-    /// The sum of the parts of the burst that all hosts may use now without any request.
+    /// The fraction of the burst that all hosts together may use now.
     fn sum_of_shares(&mut self) -> f64 {
         let now = self.now;
         let processes = self.hosts.iter_mut().filter_map(|h| h.process.as_mut());
