--- a/crates/fleet/benches/quarantine.rs
+++ b/crates/fleet/benches/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a request that is answered costs in the quarantine: its fingerprint, and the note that it was.
+//! Cost of an answered request in the quarantine: its fingerprint and the record of the answer.
 //!
 //! `cargo bench -p dragonflyrill-fleet --bench quarantine`
 
@@ -6,11 +6,11 @@
 
 use criterion::Criterion;
 use dragonflyrill_fleet::{
-    fingerprint::{Asked, Fingerprint},
+    fingerprint::{Fingerprint, RequestIdentity},
     quarantine::Quarantine,
 };
 
-/// Bytes of a usual prompt.
+/// Bytes of a typical prompt.
 const BODY: usize = 800;
 
 fn answered(c: &mut Criterion) {
@@ -21,7 +21,7 @@
         b.iter(|| {
             n += 1;
             body[..8].copy_from_slice(&n.to_be_bytes());
-            let asked = Asked {
+            let identity = RequestIdentity {
                 host: "h.example",
                 method: "POST",
                 path: "/stream/x",
@@ -29,7 +29,7 @@
                 body: black_box(&body),
             };
             let now = Duration::from_millis(n);
-            quarantine.survived(&Fingerprint::of(&asked), now)
+            quarantine.note_answer(&Fingerprint::of(&identity), now)
         });
     });
 }
