--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/hosts.rs
@@ -243,7 +243,7 @@
         accelerator: accelerator.to_owned(),
         // The list says nothing of it: the router learns it from the endpoint's loads.
         layer_us: 0.0,
-        leaving: listed.leaving,
+        leaving: listed.draining,
         in_flight: 0,
         health: routing::Health::Up,
     })
--- a/crates/entry/tests/reports.rs
+++ b/crates/entry/tests/reports.rs
@@ -98,7 +98,7 @@
     cfg.layers = wire::Layers { first: 0, end: 4 };
     cfg.layer_us = 1;
     let mut listing = cfg.listing(spare(&fleet));
-    listing.leaving = true;
+    listing.draining = true;
     fleet.list(&listing).await;
     gets_no_new_work(&fleet).await;
 }
--- a/crates/fleet/benches/choice.rs
+++ b/crates/fleet/benches/choice.rs
@@ -22,10 +22,10 @@
         requests: 10.0,
         token_layers: 60_000.0,
     };
-    let parts = chains.iter().flat_map(|c| &c.parts);
+    let parts = chains.iter().flat_map(|c| &c.stages);
     let told: LoadMap = parts.map(|p| (p.id.clone(), load)).collect();
-    loads.told(told, ms(4750));
-    (0..20).for_each(|n| loads.sent(ms(250 * n)));
+    loads.apply_update(told, ms(4750));
+    (0..20).for_each(|n| loads.record_dispatch(ms(250 * n)));
     loads
 }
 
--- a/crates/fleet/src/catalogue.rs
+++ b/crates/fleet/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! One version of the catalogue: routes, services, workspaces and their keys.
+//! One version of the catalogue: routes, services, workspaces and their API keys.
 
 use std::{rc::Rc, time::Duration};
 
@@ -6,100 +6,101 @@
 
 use crate::{endpoints::Endpoint, layers::LayerRange};
 
-/// One version of the catalogue, never changed after it was read.
+/// One version of the catalogue; immutable after it is read.
 #[derive(Debug, Clone, Default)]
 pub struct Catalogue {
-    /// Grows with each change, in uneven steps.
+    /// Version number; increases with each change, not necessarily by one.
     pub version: u64,
-    /// The routes, by the host name they belong to; the longest prefix comes first.
+    /// Routes by host name, sorted by descending prefix length.
     routes: FxHashMap<Box<str>, Vec<Rc<Route>>>,
     services: FxHashMap<Rc<str>, Rc<Service>>,
     workspaces: FxHashMap<Box<str>, Workspace>,
-    /// Whether any workspace is declared; without one, requests need no key.
+    /// Whether any workspace is declared; if none is, requests need no key.
     pub needs_keys: bool,
-    /// What a caller may send.
+    /// Limits on requests from callers.
     pub caller_limits: CallerLimits,
 }
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of requests from callers.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLimits {
-    /// The largest request head, in bytes.
-    pub head_bytes: usize,
-    /// The largest request body, in bytes.
-    pub body_bytes: usize,
-    /// How long a request head may take to arrive.
+    /// Maximum size of a request head, in bytes.
+    pub max_head_bytes: usize,
+    /// Maximum size of a request body, in bytes.
+    pub max_body_bytes: usize,
+    /// Maximum time for a request head to arrive.
     pub head_timeout: Duration,
-    /// How long a kept connection may be idle.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Used until the first catalogue is known.
+    /// The limits in force until the first catalogue is read.
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 4 * 1024 * 1024,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 4 * 1024 * 1024,
             head_timeout: Duration::from_secs(3),
             idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
-/// What may be repeated.
+/// The kind of a route, which determines whether its requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// A call that may run more than once.
     Idempotent,
-    /// A call that may run once at most.
+    /// A call that may run at most once.
     NonIdempotent,
     /// A stream of events.
     Stream {
-        /// It may be run again from an event on; else it may run once at most.
+        /// Whether the stream may be rerun from a given event; otherwise it may run at most once.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may run more than once.
-    pub fn repeatable(self) -> bool {
+    /// Whether a request on such a route may run more than once.
+    pub fn retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 }
 
-/// Where requests with one prefix go.
+/// A route: the destination and limits of requests whose path has a given prefix.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Box<str>,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// What may be repeated.
+    /// Determines whether requests may be retried.
     pub kind: RouteKind,
-    /// The longest time that a request is kept waiting.
+    /// Maximum time to serve a request.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, is on time.
-    pub target: Duration,
-    /// The longest pause between events that is on time; zero where there are no events.
+    /// Target latency of an answer or, for a stream, of its first event.
+    pub latency_target: Duration,
+    /// Target for the longest gap between events; zero for routes without events.
     pub gap_target: Duration,
-    /// The rank of its requests, 0 is first.
+    /// Priority of requests on this route; 0 is the highest.
     pub priority: u8,
-    /// The most endpoints that one request may be sent to.
+    /// Maximum number of endpoints to which one request may be sent.
     pub max_attempts: u32,
-    /// Requests need no key.
+    /// Whether requests are accepted without a key.
     pub anonymous: bool,
-    /// The services and the weight of each. Invariant: not empty, the weights' sum is over zero.
+    /// Services and their weights. Invariant: not empty, and the sum of the weights is greater than
+    /// zero.
     pub services: Vec<(Rc<Service>, u32)>,
 }
 
 impl Route {
-    /// The service for a request, by its weight; `draw` lies in 0..1.
-    pub fn service(&self, draw: f64) -> &Rc<Service> {
+    /// Selects a service in proportion to the weights; `draw` is uniform in 0..1.
+    pub fn pick_service(&self, draw: f64) -> &Rc<Service> {
         let total: u32 = self.services.iter().map(|(_, w)| w).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for (service, weight) in &self.services {
-            left -= f64::from(*weight);
-            if left < 0.0 {
+            remaining -= f64::from(*weight);
+            if remaining < 0.0 {
                 return service;
             }
         }
@@ -110,65 +111,69 @@
 /// A service that endpoints serve.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Rc<str>,
-    /// The most connections that one endpoint accepts from all hosts together.
+    /// Maximum number of connections that one endpoint accepts from all hosts together.
     pub max_connections: u32,
-    /// What its endpoints are, where they hold layers of a model.
+    /// Model engine parameters, if the endpoints of the service hold layers of a model.
     pub engine: Option<Rc<Engine>>,
 }
 
-/// How the model engines of a service work.
+/// Performance model of the model engines of a service.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// The layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// The memory of one layer, in MB.
+    /// Memory of one layer, in MB.
     pub layer_mb: f64,
-    /// The memory of one token in one layer, in MB.
+    /// Memory of one token in one layer, in MB.
     pub token_layer_mb: f64,
-    /// The time of one step over all layers, on an accelerator of pace 1.
+    /// Time of one decoding step through all layers, in ms, on an accelerator with step factor 1.
     pub step_ms: f64,
-    /// What each request that is generating adds to a step.
+    /// Time that each generating request adds to a step, in ms.
     pub step_ms_per_request: f64,
-    /// What each 1,000 tokens of context add to a step.
+    /// Time that each 1,000 tokens of context add to a step, in ms.
     pub step_ms_per_1k_context: f64,
-    /// Prompt tokens read in a millisecond, on an accelerator of read factor 1.
-    pub read_per_ms: f64,
-    /// The usual length of a prompt, in tokens.
-    pub usual_prompt: f64,
-    /// The usual length of an answer, in tokens.
-    pub usual_answer: f64,
+    /// Prompt tokens prefilled per millisecond through all layers, on an accelerator with prefill
+    /// factor 1.
+    pub prefill_tokens_per_ms: f64,
+    /// Typical length of a prompt, in tokens.
+    pub typical_prompt_tokens: f64,
+    /// Typical length of an answer, in tokens.
+    pub typical_answer_tokens: f64,
     /// Tokens in one event of a stream.
     pub tokens_per_event: f64,
-    /// The time to load the whole model's layers, in seconds.
+    /// Time to load all layers of the model, in seconds.
     pub load_s: f64,
-    /// Loads beyond so many at a time take proportionally longer.
-    pub loads_at_once: f64,
-    /// The kinds of accelerators.
+    /// Number of concurrent loads that run at full speed; with more, each load takes proportionally
+    /// longer.
+    pub concurrent_loads: f64,
+    /// Accelerator kinds on which the engines run.
     pub accelerators: Vec<Accelerator>,
 }
 
 impl Engine {
-    /// The accelerator of that name.
+    /// Returns the accelerator kind with that name.
     pub fn accelerator(&self, name: &str) -> Option<&Accelerator> {
         self.accelerators.iter().find(|a| &*a.name == name)
     }
 
-    /// The memory that an endpoint has for requests, in tokens times layers.
+    /// Memory that the endpoint has for requests, in tokens times layers; `None` if the endpoint
+    /// holds no layers or its accelerator kind is unknown.
     pub fn capacity(&self, endpoint: &Endpoint) -> Option<f64> {
         let accelerator = self.accelerator(endpoint.accelerator.as_deref()?)?;
-        Some(self.memory_left(accelerator.memory_mb, endpoint.layers?))
+        Some(self.request_capacity(accelerator.memory_mb, endpoint.layers?))
     }
 
-    /// What of an accelerator's memory layers leave for requests, in tokens times layers.
-    pub(crate) fn memory_left(&self, memory_mb: f64, layers: LayerRange) -> f64 {
-        let held_mb = f64::from(layers.count()) * self.layer_mb;
-        (memory_mb - held_mb).max(0.0) / self.token_layer_mb
+    /// Memory that remains for requests on an accelerator that holds `layers`, in tokens times
+    /// layers.
+    pub(crate) fn request_capacity(&self, memory_mb: f64, layers: LayerRange) -> f64 {
+        let layers_mb = f64::from(layers.count()) * self.layer_mb;
+        (memory_mb - layers_mb).max(0.0) / self.token_layer_mb
     }
 
-    /// The most layers that the accelerator holds with nothing left for requests.
-    pub fn most_layers(&self, accelerator: &Accelerator) -> u32 {
+    /// Maximum number of layers that fit on the accelerator if no memory is kept for requests.
+    pub fn max_layers(&self, accelerator: &Accelerator) -> u32 {
         ((accelerator.memory_mb / self.layer_mb) as u32).min(self.layers)
     }
 }
@@ -176,38 +181,38 @@
 /// A kind of accelerator.
 #[derive(Debug, Clone)]
 pub struct Accelerator {
-    /// Its name.
+    /// Name of the accelerator kind.
     pub name: Rc<str>,
-    /// Its memory, for layers and requests together, in MB.
+    /// Memory for layers and requests together, in MB.
     pub memory_mb: f64,
-    /// How many times longer a step takes than on the fastest.
-    pub pace: f64,
-    /// How many times longer reading takes than on the fastest.
-    pub read_factor: f64,
+    /// Duration of a step relative to the fastest accelerator kind.
+    pub step_factor: f64,
+    /// Duration of a prefill relative to the fastest accelerator kind.
+    pub prefill_factor: f64,
 }
 
-/// Whose requests they are.
+/// A workspace, identified by the key of a request.
 #[derive(Debug, Clone)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: Rc<str>,
-    /// Goes before the route's.
+    /// Priority that overrides the one of the route.
     pub priority: Option<u8>,
 }
 
-/// What a route is made of besides its services.
+/// Contents from which a [`Catalogue`] is built.
 pub struct CatalogueParts {
-    /// The version.
+    /// Version number.
     pub version: u64,
-    /// Routes with the host name of each.
+    /// Routes, each with its host name.
     pub routes: Vec<(Box<str>, Route)>,
-    /// The services.
+    /// All declared services.
     pub services: Vec<Rc<Service>>,
-    /// Keys and whose they are.
+    /// API keys, each with its workspace.
     pub keys: Vec<(Box<str>, Workspace)>,
     /// Whether any workspace is declared.
     pub needs_keys: bool,
-    /// What a caller may send.
+    /// Limits on requests from callers.
     pub caller_limits: CallerLimits,
 }
 
@@ -233,28 +238,29 @@
 }
 
 impl Catalogue {
-    /// The route of a request: among those of the host, the longest prefix of the path.
+    /// Returns the route of a request: the one with the longest matching path prefix among the
+    /// routes of the host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let list = self.routes.get(host)?;
         list.iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// Whose key it is.
-    pub fn workspace(&self, key: &str) -> Option<&Workspace> {
+    /// Returns the workspace to which the key belongs.
+    pub fn workspace_by_key(&self, key: &str) -> Option<&Workspace> {
         self.workspaces.get(key)
     }
 
-    /// The service of that name.
+    /// Returns the service with that name.
     pub fn service(&self, name: &str) -> Option<&Rc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Rc<Service>> {
         self.services.values()
     }
 
-    /// The services whose endpoints hold layers of a model.
+    /// Iterates over the services whose endpoints hold layers of a model.
     pub fn engine_services(&self) -> impl Iterator<Item = &Rc<Service>> {
         self.services.values().filter(|s| s.engine.is_some())
     }
--- a/crates/fleet/src/chains.rs
+++ b/crates/fleet/src/chains.rs
@@ -1,10 +1,11 @@
 //! Finds chains of endpoints that together run each layer once, in order.
 //!
-//! A chain stays inside one data centre: what a stage hands to the next is large, and the pipes
-//! between data centres are narrow. Endpoints hold overlapping ranges, and a part need not use all
-//! that its endpoint holds, so that there are many chains. They are found when the endpoints
-//! change, not for each request: first the fastest chain of a data centre, then the fastest one
-//! that avoids what is already used, and so on while there are new ones.
+//! A chain stays inside one data centre, because the data passed from one stage to the next is
+//! large and the links between data centres are narrow. Endpoints hold overlapping ranges of
+//! layers, and a stage may use only some of the layers that its endpoint holds, so many chains are
+//! possible. Chains are computed when the set of endpoints changes, not per request: first the
+//! fastest chain of a data centre, then the fastest chain that avoids endpoints already in use, and
+//! so on until no new endpoint is used.
 
 use std::{
     fmt,
@@ -21,190 +22,197 @@
     layers::LayerRange,
 };
 
-/// The most chains kept for one data centre. Each further one is slower than the last, and a
-/// request looks at all of them.
-const MOST_CHAINS: usize = 6;
-/// What handing a token to the next stage takes, in ms: the network inside a data centre and the
-/// wait for the pass that is under way.
+/// Maximum number of chains kept per data centre. Each further chain is slower than the previous
+/// one, and every request evaluates all of them.
+const MAX_CHAINS_PER_DATA_CENTRE: usize = 6;
+/// Time to pass a token to the next stage, in ms: network latency within a data centre plus the
+/// wait for the pass in progress.
 const HOP_MS: f64 = 0.5;
-/// Requests that run are longer than the usual one, as long ones run longer: their part of the
-/// memory against that of the usual request.
-const LONG_REQUESTS: f64 = 1.3;
-/// The part of its time that an endpoint may read; the rest is for steps.
-const MOST_READING: f64 = 0.6;
+/// Average memory of a running request relative to a typical request. It is above 1 because longer
+/// requests run for longer and so are over-represented among the running ones.
+const RUNNING_REQUEST_LENGTH_FACTOR: f64 = 1.3;
+/// Maximum fraction of its time that an endpoint spends on prefill; the rest is left for decoding
+/// steps.
+const MAX_PREFILL_FRACTION: f64 = 0.6;
 const MS_PER_S: f64 = 1000.0;
-/// How much dearer an endpoint looks for each chain that already uses it.
-const USED_FACTOR: f64 = 4.0;
+/// Increase of an endpoint's cost, relative to its unused cost, for each chain that already uses
+/// it.
+const REUSE_COST_FACTOR: f64 = 4.0;
 
-/// One endpoint's part of a chain.
+/// One stage of a chain: an endpoint and the layers that it runs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Part {
-    /// The endpoint.
+pub struct Stage {
+    /// Id of the endpoint.
     pub id: Rc<str>,
-    /// The name that it answers to.
+    /// Name of the endpoint.
     pub name: Rc<str>,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub addr: SocketAddr,
-    /// The layers that it runs.
+    /// Layers that the stage runs.
     pub layers: LayerRange,
-    /// What each request that is generating there adds to a token, in ms.
+    /// Time that each request generating at this endpoint adds to a token, in ms.
     pub token_ms_per_request: f64,
-    /// What reading a token of a prompt takes there, in ms.
-    pub read_ms: f64,
-    /// The memory of the endpoint for requests, in tokens times layers.
+    /// Time to prefill one prompt token at this stage, in ms.
+    pub prefill_ms_per_token: f64,
+    /// Memory of the endpoint for requests, in tokens times layers.
     pub capacity: f64,
 }
 
-/// Endpoints that together run all layers.
+/// A chain: stages that together run all layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Chain {
-    /// The same for chains of the same parts.
+    /// Hash of the stages; equal for chains with the same stages.
     pub key: u64,
-    /// Where all of them are.
+    /// Data centre of all stages.
     pub data_centre: Rc<str>,
-    /// In the order of the layers. Invariant: each layer in exactly one, no endpoint twice.
-    pub parts: Vec<Part>,
-    /// What one token takes when nothing else runs, in ms.
+    /// Stages in the order of their layers. Invariant: each layer is in exactly one stage, and no
+    /// endpoint occurs twice.
+    pub stages: Vec<Stage>,
+    /// Time to generate one token on an idle chain, in ms.
     pub token_ms: f64,
-    /// What reading one token of a prompt takes, in ms.
-    pub read_ms: f64,
-    /// What reading a token occupies the busiest part for, in ms.
-    pub read_busy_ms: f64,
+    /// Time to prefill one prompt token through all stages, in ms.
+    pub prefill_ms_per_token: f64,
+    /// Time for which prefilling one prompt token occupies the slowest stage, in ms.
+    pub bottleneck_prefill_ms: f64,
 }
 
 impl Chain {
-    /// The endpoint that a request is sent to.
-    pub fn first(&self) -> &Part {
-        &self.parts[0]
+    /// Returns the first stage, to whose endpoint requests are sent.
+    pub fn first_stage(&self) -> &Stage {
+        &self.stages[0]
     }
 
-    /// Whether the endpoint is part of it.
+    /// Whether the endpoint is a stage of the chain.
     pub fn uses(&self, id: &str) -> bool {
-        self.parts.iter().any(|p| &*p.id == id)
+        self.stages.iter().any(|p| &*p.id == id)
     }
 }
 
 impl fmt::Display for Chain {
-    /// Its endpoints, each with the layers that it runs.
+    /// Writes the endpoint ids, each with the layers that it runs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, part) in self.parts.iter().enumerate() {
+        for (i, stage) in self.stages.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
-            write!(f, "{comma}{}={}", part.id, part.layers)?;
+            write!(f, "{comma}{}={}", stage.id, stage.layers)?;
         }
         Ok(())
     }
 }
 
-/// What a holder of layers is able to do.
+/// Performance parameters of an endpoint that holds layers.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Holding {
-    /// The layers that it holds.
+pub(crate) struct LayerHolder {
+    /// Layers that the endpoint holds.
     pub(crate) layers: LayerRange,
-    pub(crate) pace: f64,
-    pub(crate) read_factor: f64,
+    pub(crate) step_factor: f64,
+    pub(crate) prefill_factor: f64,
     pub(crate) memory_mb: f64,
-    /// Chains that use it already.
-    pub(crate) used: u32,
+    /// Number of chains that already use the endpoint.
+    pub(crate) used_by_chains: u32,
 }
 
-impl Holding {
+impl LayerHolder {
     pub(crate) fn new(accelerator: &Accelerator, layers: LayerRange) -> Self {
         Self {
             layers,
-            pace: accelerator.pace,
-            read_factor: accelerator.read_factor,
+            step_factor: accelerator.step_factor,
+            prefill_factor: accelerator.prefill_factor,
             memory_mb: accelerator.memory_mb,
-            used: 0,
+            used_by_chains: 0,
         }
     }
 
-    /// The memory for requests, in tokens times layers.
+    /// Memory for requests, in tokens times layers.
     fn capacity(&self, engine: &Engine) -> f64 {
-        engine.memory_left(self.memory_mb, self.layers)
+        engine.request_capacity(self.memory_mb, self.layers)
     }
 
-    /// What reading a token of a prompt through some of its layers takes, in ms.
-    fn read_ms(&self, engine: &Engine, layers: LayerRange) -> f64 {
-        share(engine, layers) * self.read_factor / engine.read_per_ms
+    /// Time to prefill one prompt token through `layers`, in ms.
+    fn prefill_ms_per_token(&self, engine: &Engine, layers: LayerRange) -> f64 {
+        layer_fraction(engine, layers) * self.prefill_factor / engine.prefill_tokens_per_ms
     }
 
-    /// What each request that is generating adds to a token, in ms.
+    /// Time that each generating request adds to a token, in ms.
     fn ms_per_request(&self, engine: &Engine, layers: LayerRange) -> f64 {
-        let context_k = (engine.usual_prompt + engine.usual_answer) / 1000.0;
+        let context_k = (engine.typical_prompt_tokens + engine.typical_answer_tokens) / 1000.0;
         let per_request = engine.step_ms_per_request + engine.step_ms_per_1k_context * context_k;
-        share(engine, layers) * self.pace * per_request
+        layer_fraction(engine, layers) * self.step_factor * per_request
     }
 }
 
-/// The part of all layers that a range is.
-fn share(engine: &Engine, layers: LayerRange) -> f64 {
+/// Fraction of all layers that is in the range.
+fn layer_fraction(engine: &Engine, layers: LayerRange) -> f64 {
     f64::from(layers.count()) / f64::from(engine.layers)
 }
 
-/// An endpoint that may be part of a chain.
-struct Holder<'a> {
+/// An endpoint that may become a stage of a chain.
+struct EndpointHolder<'a> {
     endpoint: &'a Endpoint,
-    holding: Holding,
+    layer_holder: LayerHolder,
 }
 
-/// The times and the room of a chain, from the layers that each holder runs.
+/// Estimated times and token capacity of a chain, from the layers that each stage runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Figures {
+pub(crate) struct ChainEstimate {
     pub(crate) token_ms: f64,
     pub(crate) token_ms_per_request: f64,
-    pub(crate) read_ms: f64,
-    pub(crate) read_busy_ms: f64,
-    pub(crate) room: f64,
+    pub(crate) prefill_ms_per_token: f64,
+    pub(crate) bottleneck_prefill_ms: f64,
+    pub(crate) token_capacity: f64,
 }
 
-impl Figures {
+impl ChainEstimate {
     pub(crate) fn new<'a>(
         engine: &Engine,
-        parts: impl Iterator<Item = (&'a Holding, LayerRange)>,
+        stages: impl Iterator<Item = (&'a LayerHolder, LayerRange)>,
     ) -> Self {
-        let mut figures = Self {
+        let mut estimate = Self {
             token_ms: 0.0,
             token_ms_per_request: 0.0,
-            read_ms: 0.0,
-            read_busy_ms: 0.0,
-            room: f64::INFINITY,
+            prefill_ms_per_token: 0.0,
+            bottleneck_prefill_ms: 0.0,
+            token_capacity: f64::INFINITY,
         };
-        for (holding, layers) in parts {
-            let pace = share(engine, layers) * holding.pace;
-            let read_ms = holding.read_ms(engine, layers);
-            let room = holding.capacity(engine) / f64::from(layers.count());
-            figures.token_ms += pace * engine.step_ms + HOP_MS;
-            figures.token_ms_per_request += holding.ms_per_request(engine, layers);
-            figures.read_ms += read_ms;
-            figures.read_busy_ms = figures.read_busy_ms.max(read_ms);
-            figures.room = figures.room.min(room);
+        for (layer_holder, layers) in stages {
+            let step_factor = layer_fraction(engine, layers) * layer_holder.step_factor;
+            let prefill_ms_per_token = layer_holder.prefill_ms_per_token(engine, layers);
+            let token_capacity = layer_holder.capacity(engine) / f64::from(layers.count());
+            estimate.token_ms += step_factor * engine.step_ms + HOP_MS;
+            estimate.token_ms_per_request += layer_holder.ms_per_request(engine, layers);
+            estimate.prefill_ms_per_token += prefill_ms_per_token;
+            estimate.bottleneck_prefill_ms =
+                estimate.bottleneck_prefill_ms.max(prefill_ms_per_token);
+            estimate.token_capacity = estimate.token_capacity.min(token_capacity);
         }
-        figures
+        estimate
     }
 
-    /// Requests that such a chain serves in a second: as many at once as its memory holds, each for
-    /// as long as its answer takes; no more than can be read.
-    pub(crate) fn rate(&self, engine: &Engine) -> f64 {
-        let request = (engine.usual_prompt + engine.usual_answer).max(1.0);
-        let at_once = self.room / (request * LONG_REQUESTS);
-        let token_ms = self.token_ms + self.token_ms_per_request * at_once;
-        let answer_ms = engine.usual_answer * token_ms + engine.usual_prompt * self.read_ms;
-        let by_memory = at_once / answer_ms.max(1.0);
-        let by_reading = MOST_READING / (engine.usual_prompt * self.read_busy_ms).max(1e-9);
-        by_memory.min(by_reading) * MS_PER_S
+    /// Requests per second that the chain can serve: the number that fits in its memory at once,
+    /// each for the duration of its answer, but no more than can be prefilled.
+    pub(crate) fn requests_per_s(&self, engine: &Engine) -> f64 {
+        let request = (engine.typical_prompt_tokens + engine.typical_answer_tokens).max(1.0);
+        let concurrent_requests = self.token_capacity / (request * RUNNING_REQUEST_LENGTH_FACTOR);
+        let token_ms = self.token_ms + self.token_ms_per_request * concurrent_requests;
+        let answer_ms = engine.typical_answer_tokens * token_ms
+            + engine.typical_prompt_tokens * self.prefill_ms_per_token;
+        let by_memory = concurrent_requests / answer_ms.max(1.0);
+        let by_prefill = MAX_PREFILL_FRACTION
+            / (engine.typical_prompt_tokens * self.bottleneck_prefill_ms).max(1e-9);
+        by_memory.min(by_prefill) * MS_PER_S
     }
 }
 
-/// The chains through the endpoints given, of all data centres.
+/// Finds the chains through the given endpoints, in all data centres.
 ///
-/// Beside each endpoint stands how many times slower it is than its accelerator should be.
+/// Each endpoint is paired with its slowdown factor: how many times slower it is than its
+/// accelerator is expected to be.
 pub fn find<'a>(
     engine: &Engine,
     endpoints: impl Iterator<Item = (&'a Endpoint, f64)>,
 ) -> Vec<Chain> {
-    let holders = endpoints.filter_map(|(e, slower)| holder(engine, e, slower));
-    let mut holders: Vec<Holder<'a>> = holders.collect();
-    // The order decides between equals and must be the same on all hosts.
+    let holders = endpoints.filter_map(|(e, slower)| endpoint_holder(engine, e, slower));
+    let mut holders: Vec<EndpointHolder<'a>> = holders.collect();
+    // The order breaks ties and must be the same on all hosts.
     holders.sort_by(|a, b| a.endpoint.id.cmp(&b.endpoint.id));
     let mut centres: Vec<Rc<str>> = holders
         .iter()
@@ -217,32 +225,46 @@
         let (local, rest): (Vec<_>, Vec<_>) = holders
             .into_iter()
             .partition(|h| h.endpoint.data_centre == centre);
-        find_in(engine, &centre, &local, &mut chains);
+        find_in_data_centre(engine, &centre, &local, &mut chains);
         holders = rest;
     }
     chains
 }
 
-fn holder<'a>(engine: &Engine, endpoint: &'a Endpoint, slower: f64) -> Option<Holder<'a>> {
+fn endpoint_holder<'a>(
+    engine: &Engine,
+    endpoint: &'a Endpoint,
+    slower: f64,
+) -> Option<EndpointHolder<'a>> {
     let accelerator = engine.accelerator(endpoint.accelerator.as_deref()?)?;
-    let mut holding = Holding::new(accelerator, endpoint.layers?);
-    holding.pace *= slower;
-    holding.read_factor *= slower;
-    Some(Holder { endpoint, holding })
+    let mut layer_holder = LayerHolder::new(accelerator, endpoint.layers?);
+    layer_holder.step_factor *= slower;
+    layer_holder.prefill_factor *= slower;
+    Some(EndpointHolder {
+        endpoint,
+        layer_holder,
+    })
 }
 
-fn find_in(engine: &Engine, centre: &Rc<str>, holders: &[Holder<'_>], out: &mut Vec<Chain>) {
+fn find_in_data_centre(
+    engine: &Engine,
+    centre: &Rc<str>,
+    holders: &[EndpointHolder<'_>],
+    out: &mut Vec<Chain>,
+) {
     let start = out.len();
-    let mut holdings: Vec<Holding> = holders.iter().map(|h| h.holding).collect();
-    while out.len() < start + MOST_CHAINS {
-        let Some(path) = cheapest(engine, &holdings) else {
+    let mut layer_holders: Vec<LayerHolder> = holders.iter().map(|h| h.layer_holder).collect();
+    while out.len() < start + MAX_CHAINS_PER_DATA_CENTRE {
+        let Some(path) = cheapest_cover(engine, &layer_holders) else {
             return;
         };
-        let chain = build(engine, centre, holders, &path);
+        let chain = build_chain(engine, centre, holders, &path);
         for (i, _) in &path {
-            holdings[*i].used += 1;
+            layer_holders[*i].used_by_chains += 1;
         }
-        let fresh = path.iter().any(|(i, _)| holdings[*i].used == 1);
+        let fresh = path
+            .iter()
+            .any(|(i, _)| layer_holders[*i].used_by_chains == 1);
         if !fresh {
             return;
         }
@@ -250,16 +272,20 @@
     }
 }
 
-/// The best way found to have run all layers below a boundary.
+/// The last step of the cheapest path found so far that covers all layers below a boundary.
 #[derive(Clone, Copy)]
-struct Reached {
+struct PathStep {
     cost: f64,
     holder: usize,
     from: u32,
 }
 
-/// The cheapest cover of all layers: holders, each with the layers it runs.
-pub(crate) fn cheapest(engine: &Engine, holders: &[Holding]) -> Option<Vec<(usize, LayerRange)>> {
+/// Finds the cheapest cover of all layers: indexes into `holders`, each with the layers that it
+/// runs.
+pub(crate) fn cheapest_cover(
+    engine: &Engine,
+    holders: &[LayerHolder],
+) -> Option<Vec<(usize, LayerRange)>> {
     let end = engine.layers;
     let mut boundaries: Vec<u32> = holders
         .iter()
@@ -269,19 +295,19 @@
         .collect();
     boundaries.sort_unstable();
     boundaries.dedup();
-    let mut best: Vec<Option<Reached>> = vec![None; end as usize + 1];
+    let mut best: Vec<Option<PathStep>> = vec![None; end as usize + 1];
     for &at in boundaries.iter().take_while(|b| **b < end) {
         let so_far = match (at, best[at as usize]) {
             (0, _) => 0.0,
-            (_, Some(reached)) => reached.cost,
+            (_, Some(step)) => step.cost,
             (_, None) => continue,
         };
         for (i, holder) in holders.iter().enumerate() {
             if !holder.layers.contains(at) || on_path(&best, at, i) {
                 continue;
             }
-            let per_layer = holder.pace * engine.step_ms / f64::from(end)
-                * (1.0 + USED_FACTOR * f64::from(holder.used));
+            let per_layer = holder.step_factor * engine.step_ms / f64::from(end)
+                * (1.0 + REUSE_COST_FACTOR * f64::from(holder.used_by_chains));
             let until = boundaries
                 .iter()
                 .filter(|b| **b > at && **b <= holder.layers.end);
@@ -289,7 +315,7 @@
                 let cost = so_far + HOP_MS + per_layer * f64::from(to - at);
                 let known = &mut best[to as usize];
                 if known.is_none_or(|k| cost < k.cost) {
-                    *known = Some(Reached {
+                    *known = Some(PathStep {
                         cost,
                         holder: i,
                         from: at,
@@ -298,69 +324,72 @@
             }
         }
     }
-    trace(&best, end)
+    backtrack(&best, end)
 }
 
-/// Whether the way to a boundary already uses the holder.
-fn on_path(best: &[Option<Reached>], mut at: u32, holder: usize) -> bool {
-    while let Some(reached) = best[at as usize].filter(|_| at > 0) {
-        if reached.holder == holder {
+/// Whether the path to boundary `at` already uses `holder`.
+fn on_path(best: &[Option<PathStep>], mut at: u32, holder: usize) -> bool {
+    while let Some(step) = best[at as usize].filter(|_| at > 0) {
+        if step.holder == holder {
             return true;
         }
-        at = reached.from;
+        at = step.from;
     }
     false
 }
 
-fn trace(best: &[Option<Reached>], end: u32) -> Option<Vec<(usize, LayerRange)>> {
+fn backtrack(best: &[Option<PathStep>], end: u32) -> Option<Vec<(usize, LayerRange)>> {
     let mut path = Vec::new();
     let mut at = end;
     while at > 0 {
-        let reached = best[at as usize]?;
-        path.push((reached.holder, LayerRange::new(reached.from, at)?));
-        at = reached.from;
+        let step = best[at as usize]?;
+        path.push((step.holder, LayerRange::new(step.from, at)?));
+        at = step.from;
     }
     path.reverse();
     Some(path)
 }
 
-fn build(
+fn build_chain(
     engine: &Engine,
     centre: &Rc<str>,
-    holders: &[Holder<'_>],
+    holders: &[EndpointHolder<'_>],
     path: &[(usize, LayerRange)],
 ) -> Chain {
-    let parts = path
+    let stages = path
         .iter()
-        .map(|(i, layers)| (&holders[*i].holding, *layers));
-    let figures = Figures::new(engine, parts);
-    let part = |(i, layers): &(usize, LayerRange)| {
-        let Holder { endpoint, holding } = &holders[*i];
-        Part {
+        .map(|(i, layers)| (&holders[*i].layer_holder, *layers));
+    let estimate = ChainEstimate::new(engine, stages);
+    let stage = |(i, layers): &(usize, LayerRange)| {
+        let EndpointHolder {
+            endpoint,
+            layer_holder,
+        } = &holders[*i];
+        Stage {
             id: endpoint.id.clone(),
             name: endpoint.name.clone(),
             addr: endpoint.addr,
             layers: *layers,
-            token_ms_per_request: holding.ms_per_request(engine, *layers),
-            read_ms: holding.read_ms(engine, *layers),
-            capacity: holding.capacity(engine),
+            token_ms_per_request: layer_holder.ms_per_request(engine, *layers),
+            prefill_ms_per_token: layer_holder.prefill_ms_per_token(engine, *layers),
+            capacity: layer_holder.capacity(engine),
         }
     };
-    let parts: Vec<Part> = path.iter().map(part).collect();
+    let stages: Vec<Stage> = path.iter().map(stage).collect();
     Chain {
-        key: key(&parts),
+        key: chain_key(&stages),
         data_centre: centre.clone(),
-        parts,
-        token_ms: figures.token_ms,
-        read_ms: figures.read_ms,
-        read_busy_ms: figures.read_busy_ms,
+        stages,
+        token_ms: estimate.token_ms,
+        prefill_ms_per_token: estimate.prefill_ms_per_token,
+        bottleneck_prefill_ms: estimate.bottleneck_prefill_ms,
     }
 }
 
-fn key(parts: &[Part]) -> u64 {
+fn chain_key(stages: &[Stage]) -> u64 {
     let mut hasher = FxHasher::default();
-    for part in parts {
-        (&part.id, part.layers.first).hash(&mut hasher);
+    for stage in stages {
+        (&stage.id, stage.layers.first).hash(&mut hasher);
     }
     hasher.finish()
 }
--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/choice.rs
@@ -10,32 +10,32 @@
 use rustc_hash::FxHashMap;
 
 use crate::{
-    chains::{Chain, Part},
-    unseen::RecentSends,
+    chains::{Chain, Stage},
+    dispatch_rate::RecentDispatches,
 };
 
 /// For how long what other hosts told is taken as it is; it comes several times a second.
-const TOLD_AGE: Duration = Duration::from_millis(1500);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
 /// For how long an endpoint that refused for want of memory gets nothing: about the time in which
 /// some of its requests end.
-const FULL: Duration = Duration::from_millis(150);
+const FULL_DURATION: Duration = Duration::from_millis(150);
 /// Steps in which requests that other hosts have sent meanwhile are put on chains at most: each costs one look
 /// at a chain.
-const MOST_STEPS: f64 = 8.0;
+const MAX_PLACEMENT_STEPS: f64 = 8.0;
 /// The part of an endpoint's memory that is planned with: answers differ widely in length.
-const MEMORY_USED: f64 = 0.9;
+const PLANNED_MEMORY_FRACTION: f64 = 0.9;
 
 /// What a request needs.
 #[derive(Debug, Clone, Copy)]
-pub struct Want {
+pub struct RequestDemand {
     /// Tokens of its prompt.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Tokens of its answer, as expected.
-    pub answer: f64,
+    pub answer_tokens: f64,
     /// The time that is left for the first event to be on time, in ms; over zero.
-    pub target_ms: f64,
+    pub first_event_target_ms: f64,
     /// The longest pause between events that is on time, in ms.
-    pub gap_ms: f64,
+    pub max_gap_ms: f64,
     /// Tokens in one event.
     pub tokens_per_event: f64,
 }
@@ -88,64 +88,64 @@
     /// Endpoints that refused for want of memory, until when they count as full.
     full: FxHashMap<Rc<str>, Duration>,
     /// What this host has sent lately.
-    sends: RecentSends,
+    dispatches: RecentDispatches,
     /// Hosts that send requests, this one included.
     pub hosts: u32,
 }
 
 impl Loads {
     /// A request of this host with so many tokens begins on a chain.
-    pub fn begin(&mut self, chain: &Chain, tokens: f64) {
-        for part in &chain.parts {
-            let load = self.own.entry(part.id.clone()).or_default();
-            *load = load.plus(part_load(tokens, part.layers.count()));
+    pub fn add_request(&mut self, chain: &Chain, tokens: f64) {
+        for stage in &chain.stages {
+            let load = self.own.entry(stage.id.clone()).or_default();
+            *load = load.plus(stage_load(tokens, stage.layers.count()));
         }
     }
 
     /// Such a request has ended.
-    pub fn end(&mut self, chain: &Chain, tokens: f64) {
-        for part in &chain.parts {
-            let Some(load) = self.own.get_mut(&part.id) else {
+    pub fn remove_request(&mut self, chain: &Chain, tokens: f64) {
+        for stage in &chain.stages {
+            let Some(load) = self.own.get_mut(&stage.id) else {
                 continue;
             };
-            *load = load.minus(part_load(tokens, part.layers.count()));
+            *load = load.minus(stage_load(tokens, stage.layers.count()));
             // Nothing of a sum of fractions may stay behind.
             if load.requests < 0.5 {
-                self.own.remove(&part.id);
+                self.own.remove(&stage.id);
             }
         }
     }
 
     /// A request of this host is sent.
-    pub fn sent(&mut self, now: Duration) {
-        self.sends.note(now);
+    pub fn record_dispatch(&mut self, now: Duration) {
+        self.dispatches.record(now);
     }
 
     /// Requests that the other hosts have sent since they told of theirs, about.
-    fn unseen(&self, now: Duration) -> f64 {
+    fn unreported_requests(&self, now: Duration) -> f64 {
         let others = self.hosts.saturating_sub(1);
         let age = self.others_at.map(|at| now.saturating_sub(at));
-        let age = age.filter(|age| *age < TOLD_AGE);
-        self.sends.by_others(others, age, now)
+        let age = age.filter(|age| *age < MAX_REPORT_AGE);
+        self.dispatches.estimate_others(others, age, now)
     }
 
     /// A chain begins to read so many tokens of a request of this host.
-    pub fn begin_reading(&mut self, chain: &Chain, tokens: f64) {
-        for part in &chain.parts {
-            *self.reading.entry(part.id.clone()).or_default() += tokens;
+    pub fn add_prefill(&mut self, chain: &Chain, tokens: f64) {
+        for stage in &chain.stages {
+            *self.reading.entry(stage.id.clone()).or_default() += tokens;
         }
     }
 
     /// It has read them, or does so no more.
-    pub fn end_reading(&mut self, chain: &Chain, tokens: f64) {
-        for part in &chain.parts {
-            let Some(reading) = self.reading.get_mut(&part.id) else {
+    pub fn remove_prefill(&mut self, chain: &Chain, tokens: f64) {
+        for stage in &chain.stages {
+            let Some(reading) = self.reading.get_mut(&stage.id) else {
                 continue;
             };
             *reading -= tokens;
             // Nothing of a sum of fractions may stay behind.
             if *reading < 0.5 {
-                self.reading.remove(&part.id);
+                self.reading.remove(&stage.id);
             }
         }
     }
@@ -155,19 +155,21 @@
     /// What the other hosts have sent in the same moment is not told yet. They are taken to have sent
     /// as much as this one: after the loss of a chain all of them send their streams elsewhere at
     /// once, and each by itself would find the next best chain idle.
-    fn reading_ms(&self, chain: &Chain) -> f64 {
-        let ms = |part: &Part| self.reading.get(&part.id).copied().unwrap_or(0.0) * part.read_ms;
-        let own = chain.parts.iter().map(ms).fold(0.0, f64::max);
+    fn prefill_wait_ms(&self, chain: &Chain) -> f64 {
+        let ms = |stage: &Stage| {
+            self.reading.get(&stage.id).copied().unwrap_or(0.0) * stage.prefill_ms_per_token
+        };
+        let own = chain.stages.iter().map(ms).fold(0.0, f64::max);
         own * f64::from(self.hosts.max(1))
     }
 
     /// How long a chain still reads so many tokens that others have sent since they told of their loads, in ms.
-    fn reading_ahead_ms(&self, chain: &Chain, tokens: f64, now: Duration) -> f64 {
+    fn unreported_prefill_ms(&self, chain: &Chain, tokens: f64, now: Duration) -> f64 {
         let since = self
             .others_at
             .map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let read_meanwhile = since.min(TOLD_AGE).as_secs_f64() * 1000.0;
-        (tokens * chain.read_busy_ms - read_meanwhile).max(0.0)
+        let prefilled_meanwhile_ms = since.min(MAX_REPORT_AGE).as_secs_f64() * 1000.0;
+        (tokens * chain.bottleneck_prefill_ms - prefilled_meanwhile_ms).max(0.0)
     }
 
     /// What this host puts on endpoints.
@@ -176,20 +178,20 @@
     }
 
     /// What the other hosts put on endpoints, as told at `now`.
-    pub fn told(&mut self, others: LoadMap, now: Duration) {
+    pub fn apply_update(&mut self, others: LoadMap, now: Duration) {
         self.others = others;
         self.others_at = Some(now);
     }
 
     /// An endpoint refused for want of memory.
-    pub fn refused(&mut self, id: &Rc<str>, now: Duration) {
-        self.full.insert(id.clone(), now + FULL);
+    pub fn record_refusal(&mut self, id: &Rc<str>, now: Duration) {
+        self.full.insert(id.clone(), now + FULL_DURATION);
     }
 
     /// Whether an endpoint of the chain has just refused for want of memory.
-    pub fn full(&self, chain: &Chain, now: Duration) -> bool {
+    pub fn is_full(&self, chain: &Chain, now: Duration) -> bool {
         let full = |id: &Rc<str>| self.full.get(id).is_some_and(|until| *until > now);
-        chain.parts.iter().any(|p| full(&p.id))
+        chain.stages.iter().any(|p| full(&p.id))
     }
 
     /// Forgets an endpoint that is gone.
@@ -201,10 +203,10 @@
 
     /// What all hosts put on an endpoint, as far as is known: if the others have not told of
     /// theirs lately, they are taken to do as this one.
-    pub fn at(&self, id: &str, now: Duration) -> Load {
+    pub fn load_at(&self, id: &str, now: Duration) -> Load {
         let own = self.own.get(id).copied().unwrap_or_default();
         match self.others_at {
-            Some(at) if at + TOLD_AGE > now => {
+            Some(at) if at + MAX_REPORT_AGE > now => {
                 own.plus(self.others.get(id).copied().unwrap_or_default())
             }
             _ => own.times(f64::from(self.hosts.max(1))),
@@ -212,7 +214,7 @@
     }
 }
 
-fn part_load(tokens: f64, layers: u32) -> Load {
+fn stage_load(tokens: f64, layers: u32) -> Load {
     Load {
         requests: 1.0,
         token_layers: tokens * f64::from(layers),
@@ -221,64 +223,70 @@
 
 /// What a request may expect of a chain.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Expected {
+pub struct Estimate {
     /// Until the first event, in ms.
-    pub first_ms: f64,
+    pub first_event_ms: f64,
     /// Between events, in ms.
     pub gap_ms: f64,
     /// Until the end, in ms.
-    pub whole_ms: f64,
+    pub total_ms: f64,
     /// The part of the chain's memory that is taken, this request included; over 1 is too much.
-    pub fill: f64,
+    pub memory_fill: f64,
 }
 
-impl Expected {
+impl Estimate {
     /// Whether an answer would be on time.
-    fn on_time(&self, want: &Want) -> bool {
-        self.first_ms <= want.target_ms && self.gap_ms <= want.gap_ms && self.fill <= 1.0
+    fn meets_targets(&self, demand: &RequestDemand) -> bool {
+        self.first_event_ms <= demand.first_event_target_ms
+            && self.gap_ms <= demand.max_gap_ms
+            && self.memory_fill <= 1.0
     }
 }
 
 /// What the request may expect of the chain under such loads, after `reading_ms` in which it reads
 /// what was sent before.
-pub fn expect(
+pub fn predict(
     chain: &Chain,
-    want: &Want,
-    reading_ms: f64,
-    load: impl Fn(&Part) -> Load,
-) -> Expected {
-    let need = want.prompt + want.answer;
+    demand: &RequestDemand,
+    prefill_wait_ms: f64,
+    load: impl Fn(&Stage) -> Load,
+) -> Estimate {
+    let demand_tokens = demand.prompt_tokens + demand.answer_tokens;
     let mut token_ms = chain.token_ms;
     let mut running: f64 = 0.0;
-    let mut fill: f64 = 0.0;
-    for part in &chain.parts {
-        let load = load(part);
-        token_ms += part.token_ms_per_request * load.requests;
+    let mut memory_fill: f64 = 0.0;
+    for stage in &chain.stages {
+        let load = load(stage);
+        token_ms += stage.token_ms_per_request * load.requests;
         running = running.max(load.requests);
-        let taken = load.token_layers + need * f64::from(part.layers.count());
-        fill = fill.max(taken / (part.capacity * MEMORY_USED).max(1.0));
+        let taken = load.token_layers + demand_tokens * f64::from(stage.layers.count());
+        memory_fill = memory_fill.max(taken / (stage.capacity * PLANNED_MEMORY_FRACTION).max(1.0));
     }
-    let gap_ms = token_ms * want.tokens_per_event;
+    let gap_ms = token_ms * demand.tokens_per_event;
     // Prompts of others are read in between; how many, follows from how long answers take.
-    let answer_ms = want.answer * token_ms + want.prompt * chain.read_ms;
-    let reading = (running * want.prompt * chain.read_busy_ms / answer_ms.max(1.0)).min(0.95);
+    let answer_ms =
+        demand.answer_tokens * token_ms + demand.prompt_tokens * chain.prefill_ms_per_token;
+    let reading = (running * demand.prompt_tokens * chain.bottleneck_prefill_ms
+        / answer_ms.max(1.0))
+    .min(0.95);
     let slowed = 1.0 / (1.0 - reading);
-    let first_ms = reading_ms + (want.prompt * chain.read_ms + gap_ms) * slowed;
-    Expected {
-        first_ms,
+    let first_event_ms =
+        prefill_wait_ms + (demand.prompt_tokens * chain.prefill_ms_per_token + gap_ms) * slowed;
+    Estimate {
+        first_event_ms,
         gap_ms: gap_ms * slowed,
-        whole_ms: first_ms + want.answer * token_ms * slowed,
-        fill,
+        total_ms: first_event_ms + demand.answer_tokens * token_ms * slowed,
+        memory_fill,
     }
 }
 
 /// The chain for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Chosen {
+pub struct Choice {
     /// Its place in the list.
-    pub place: usize,
+    pub index: usize,
     /// What the request may expect of it.
-    pub expected: Expected,
+    pub estimate: Estimate,
 }
 
 /// Picks the chain for a request.
@@ -292,80 +300,92 @@
 pub fn choose(
     chains: &[Chain],
     loads: &Loads,
-    want: &Want,
+    demand: &RequestDemand,
     now: Duration,
     draw: f64,
     usable: impl Fn(&Chain) -> bool,
-) -> Option<Chosen> {
+) -> Option<Choice> {
     let chains = chains.iter().enumerate().filter(|(_, c)| usable(c));
-    let mut weighed: Vec<Weighed<'_>> = chains
-        .map(|(place, chain)| Weighed::new(place, chain, loads, want, now))
+    let mut scored: Vec<ScoredChain<'_>> = chains
+        .map(|(index, chain)| ScoredChain::new(index, chain, loads, demand, now))
         .collect();
-    let ahead = draw * loads.unseen(now);
-    let steps = ahead.ceil().min(MOST_STEPS);
+    let unreported = draw * loads.unreported_requests(now);
+    let steps = unreported.ceil().min(MAX_PLACEMENT_STEPS);
     for _ in 0..steps as u32 {
-        let next = cheapest(&mut weighed)?;
-        next.ahead += ahead / steps;
-        next.weigh(loads, want, now);
+        let next = cheapest(&mut scored)?;
+        next.unreported += unreported / steps;
+        next.rescore(loads, demand, now);
     }
-    cheapest(&mut weighed).map(|w| Chosen {
-        place: w.place,
-        expected: w.expected,
+    cheapest(&mut scored).map(|w| Choice {
+        index: w.index,
+        estimate: w.estimate,
     })
 }
 
 /// The one that costs least, the first of equals.
-fn cheapest<'a, 'b>(weighed: &'a mut [Weighed<'b>]) -> Option<&'a mut Weighed<'b>> {
-    let by_cost = |a: &&mut Weighed<'_>, b: &&mut Weighed<'_>| {
-        let late = a.cost.0.cmp(&b.cost.0);
-        late.then(a.cost.1.total_cmp(&b.cost.1))
+fn cheapest<'a, 'b>(scored: &'a mut [ScoredChain<'b>]) -> Option<&'a mut ScoredChain<'b>> {
+    let by_cost = |a: &&mut ScoredChain<'_>, b: &&mut ScoredChain<'_>| {
+        let misses_targets = a.cost.0.cmp(&b.cost.0);
+        misses_targets.then(a.cost.1.total_cmp(&b.cost.1))
     };
-    weighed.iter_mut().min_by(by_cost)
+    scored.iter_mut().min_by(by_cost)
 }
 
 /// A chain that may get the request.
-struct Weighed<'a> {
-    place: usize,
+struct ScoredChain<'a> {
+    index: usize,
     chain: &'a Chain,
     /// Requests that other hosts are taken to have sent to it meanwhile.
-    ahead: f64,
+    unreported: f64,
     /// Without those.
-    expected: Expected,
+    estimate: Estimate,
     /// Whether the answer would be late, and what ranks it among others.
     cost: (bool, f64),
 }
 
-impl<'a> Weighed<'a> {
-    fn new(place: usize, chain: &'a Chain, loads: &Loads, want: &Want, now: Duration) -> Self {
-        let reading_ms = loads.reading_ms(chain);
-        let expected = expect(chain, want, reading_ms, |part| loads.at(&part.id, now));
+impl<'a> ScoredChain<'a> {
+    fn new(
+        index: usize,
+        chain: &'a Chain,
+        loads: &Loads,
+        demand: &RequestDemand,
+        now: Duration,
+    ) -> Self {
+        let prefill_wait_ms = loads.prefill_wait_ms(chain);
+        let estimate = predict(chain, demand, prefill_wait_ms, |stage| {
+            loads.load_at(&stage.id, now)
+        });
         Self {
-            place,
+            index,
             chain,
-            ahead: 0.0,
-            expected,
-            cost: cost(&expected, want),
+            unreported: 0.0,
+            estimate,
+            cost: cost(&estimate, demand),
         }
     }
 
-    fn weigh(&mut self, loads: &Loads, want: &Want, now: Duration) {
-        let tokens = want.prompt + want.answer;
-        let reading_ahead = loads.reading_ahead_ms(self.chain, want.prompt * self.ahead, now);
-        let reading_ms = loads.reading_ms(self.chain).max(reading_ahead);
-        let ahead = |part: &Part| part_load(tokens, part.layers.count()).times(self.ahead);
-        let expected = expect(self.chain, want, reading_ms, |part| {
-            loads.at(&part.id, now).plus(ahead(part))
+    fn rescore(&mut self, loads: &Loads, demand: &RequestDemand, now: Duration) {
+        let tokens = demand.prompt_tokens + demand.answer_tokens;
+        let unreported_wait_ms =
+            loads.unreported_prefill_ms(self.chain, demand.prompt_tokens * self.unreported, now);
+        let prefill_wait_ms = loads.prefill_wait_ms(self.chain).max(unreported_wait_ms);
+        let unreported =
+            |stage: &Stage| stage_load(tokens, stage.layers.count()).times(self.unreported);
+        let estimate = predict(self.chain, demand, prefill_wait_ms, |stage| {
+            loads.load_at(&stage.id, now).plus(unreported(stage))
         });
-        self.cost = cost(&expected, want);
+        self.cost = cost(&estimate, demand);
     }
 }
 
-fn cost(expected: &Expected, want: &Want) -> (bool, f64) {
-    let late = !expected.on_time(want);
+fn cost(estimate: &Estimate, demand: &RequestDemand) -> (bool, f64) {
+    let misses_targets = !estimate.meets_targets(demand);
     // Late ones are ranked by how full they are, as memory that ran out costs most.
-    let cost = match late {
-        true => expected.fill.max(expected.first_ms / want.target_ms),
-        false => expected.whole_ms,
+    let cost = match misses_targets {
+        true => estimate
+            .memory_fill
+            .max(estimate.first_event_ms / demand.first_event_target_ms),
+        false => estimate.total_ms,
     };
-    (late, cost)
+    (misses_targets, cost)
 }
--- a/crates/fleet/src/delta_sync.rs
+++ b/crates/fleet/src/delta_sync.rs
@@ -15,7 +15,7 @@
 
 impl Cursor {
     /// After which of its changes a host tells somebody who knows them up to here; `origin` is its own.
-    pub fn known_of(&self, origin: u64) -> u64 {
+    pub fn known_version(&self, origin: u64) -> u64 {
         match self.origin == origin {
             true => self.version,
             false => 0,
@@ -27,33 +27,33 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DeltaSync {
     /// Up to which of this host's changes the other one knows.
-    told: u64,
-    heard: Cursor,
+    acknowledged: u64,
+    received: Cursor,
 }
 
 impl DeltaSync {
     /// After which of this host's changes the other one is told.
-    pub fn told(&self) -> u64 {
-        self.told
+    pub fn acknowledged(&self) -> u64 {
+        self.acknowledged
     }
 
     /// Up to where this host knows the other's changes.
-    pub fn heard(&self) -> Cursor {
-        self.heard
+    pub fn received(&self) -> Cursor {
+        self.received
     }
 
     /// A call was answered that told this host's changes up to a version, with all of the other's up to a
     /// place.
-    pub fn answered(&mut self, version: u64, cursor: Cursor) {
+    pub fn record_response(&mut self, version: u64, cursor: Cursor) {
         // It may be another process than the one that was told what went before.
-        let same = self.heard.origin == cursor.origin;
-        let told_all = self.told == 0;
-        self.told = if same || told_all { version } else { 0 };
-        self.heard = cursor;
+        let same = self.received.origin == cursor.origin;
+        let sent_all = self.acknowledged == 0;
+        self.acknowledged = if same || sent_all { version } else { 0 };
+        self.received = cursor;
     }
 
     /// A call was not answered: nobody knows what has come over.
-    pub fn failed(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
--- a/crates/fleet/src/freshness.rs
+++ b/crates/fleet/src/freshness.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// What is kept back for the way from the check to the endpoint and for the clock's rate.
-const MARGIN: Duration = Duration::from_millis(300);
+const SAFETY_MARGIN: Duration = Duration::from_millis(300);
 
 /// The newest proof that the catalogue is the newest.
 #[derive(Debug, Clone, Copy)]
@@ -29,25 +29,25 @@
     }
 
     /// A read sent at `sent_at` has shown the version that is now known to be the newest.
-    pub fn proven(&mut self, sent_at: Duration) {
+    pub fn record_proof(&mut self, sent_at: Duration) {
         self.proven_at = self.proven_at.max(Some(sent_at));
     }
 
     /// How long ago the newest read was sent that found nothing newer.
-    pub fn age(&self, now: Duration) -> Option<Duration> {
+    pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.proven_at?))
     }
 
     /// Whether the catalogue may be acted on.
-    pub fn fresh(&self, now: Duration) -> bool {
-        self.left(now) > Duration::ZERO
+    pub fn is_fresh(&self, now: Duration) -> bool {
+        self.remaining(now) > Duration::ZERO
     }
 
     /// For how long the catalogue may still be acted on.
-    pub fn left(&self, now: Duration) -> Duration {
+    pub fn remaining(&self, now: Duration) -> Duration {
         let Some(at) = self.proven_at else {
             return Duration::ZERO;
         };
-        (at + self.bound.saturating_sub(MARGIN)).saturating_sub(now)
+        (at + self.bound.saturating_sub(SAFETY_MARGIN)).saturating_sub(now)
     }
 }
--- a/crates/fleet/src/incarnations.rs
+++ b/crates/fleet/src/incarnations.rs
@@ -15,9 +15,9 @@
 
 /// When an endpoint started, in milliseconds since the Unix epoch, as it says itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for Born {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -25,33 +25,33 @@
 
 /// Stands between name and start in an id. Names go into headers and are ASCII, so that no name looks
 /// like the id of another's start.
-const MARK: char = '·';
+const ID_SEPARATOR: char = '·';
 
 /// The id of one start of an endpoint; the name alone where the endpoint does not say its start.
-pub fn id(name: &str, born: Option<Born>) -> Rc<str> {
-    match born {
-        Some(born) => format!("{name}{MARK}{born}").into(),
+pub fn id(name: &str, started_at: Option<StartTime>) -> Rc<str> {
+    match started_at {
+        Some(started_at) => format!("{name}{ID_SEPARATOR}{started_at}").into(),
         None => name.into(),
     }
 }
 
 /// The name of the endpoint of which an id names a start.
 pub fn name(id: &str) -> &str {
-    id.split_once(MARK).map_or(id, |(name, _)| name)
+    id.split_once(ID_SEPARATOR).map_or(id, |(name, _)| name)
 }
 
 /// What an entry means for the starts that are known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Verdict {
     /// It speaks of this start or a later one; these have ended by it.
-    Holds {
+    Current {
         /// Their ids.
-        over: Vec<Rc<str>>,
+        replaced: Vec<Rc<str>>,
         /// The start was gone.
-        returned: bool,
+        relisted: bool,
     },
     /// It speaks of a start that is over.
-    Late,
+    Outdated,
     /// It leaves out the start, which the endpoint says always: somebody else wrote it.
     Foreign,
 }
@@ -62,44 +62,44 @@
     /// The id of the start that is listed, by name.
     current: FxHashMap<Rc<str>, Rc<str>>,
     /// The id of the start that was listed last at an address, and when it was born.
-    at: FxHashMap<SocketAddr, (Rc<str>, Option<Born>)>,
+    by_address: FxHashMap<SocketAddr, (Rc<str>, Option<StartTime>)>,
     /// The latest start of each name, listed or gone.
-    latest: FxHashMap<Rc<str>, Born>,
+    latest: FxHashMap<Rc<str>, StartTime>,
     /// The ids that were listed and are not.
-    gone: FxHashSet<Rc<str>>,
+    removed: FxHashSet<Rc<str>>,
 }
 
 impl Incarnations {
     /// What an entry means. It is taken by [`Self::listed`] if it holds.
-    pub(crate) fn judge(&self, endpoint: &Endpoint) -> Verdict {
-        match (endpoint.born, self.latest.get(&endpoint.name)) {
-            (Some(born), Some(latest)) if born < *latest => return Verdict::Late,
+    pub(crate) fn classify(&self, endpoint: &Endpoint) -> Verdict {
+        match (endpoint.started_at, self.latest.get(&endpoint.name)) {
+            (Some(started_at), Some(latest)) if started_at < *latest => return Verdict::Outdated,
             (None, Some(_)) => return Verdict::Foreign,
             _ => {}
         }
         let current = self.current.get(&endpoint.name);
         if current == Some(&endpoint.id) {
-            return Verdict::Holds {
-                over: Vec::new(),
-                returned: false,
+            return Verdict::Current {
+                replaced: Vec::new(),
+                relisted: false,
             };
         }
-        let returned = self.gone.contains(&endpoint.id);
-        let mut over: Vec<Rc<str>> = current.cloned().into_iter().collect();
-        if let Some((other, born)) = self.at.get(&endpoint.addr) {
-            let late = match (endpoint.born, born) {
+        let relisted = self.removed.contains(&endpoint.id);
+        let mut replaced: Vec<Rc<str>> = current.cloned().into_iter().collect();
+        if let Some((other, started_at)) = self.by_address.get(&endpoint.addr) {
+            let outdated = match (endpoint.started_at, started_at) {
                 (Some(own), Some(other)) => own < *other,
                 // Without their starts, the one that was gone is the former one.
-                _ => returned && *other != endpoint.id,
+                _ => relisted && *other != endpoint.id,
             };
-            if late {
-                return Verdict::Late;
+            if outdated {
+                return Verdict::Outdated;
             }
-            if *other != endpoint.id && !over.contains(other) {
-                over.push(other.clone());
+            if *other != endpoint.id && !replaced.contains(other) {
+                replaced.push(other.clone());
             }
         }
-        Verdict::Holds { over, returned }
+        Verdict::Current { replaced, relisted }
     }
 
     /// The id of the start that is listed under a name.
@@ -108,33 +108,39 @@
     }
 
     /// An entry was taken.
-    pub(crate) fn listed(&mut self, endpoint: &Endpoint) {
-        let Endpoint { id, name, born, .. } = endpoint;
-        self.gone.remove(id);
+    pub(crate) fn record_listed(&mut self, endpoint: &Endpoint) {
+        let Endpoint {
+            id,
+            name,
+            started_at,
+            ..
+        } = endpoint;
+        self.removed.remove(id);
         // One that moves leaves its address to whoever is listed there.
-        self.at.retain(|_, (at, _)| at != id);
+        self.by_address.retain(|_, (at, _)| at != id);
         self.current.insert(name.clone(), id.clone());
-        self.at.insert(endpoint.addr, (id.clone(), *born));
-        if let Some(born) = born {
-            self.latest.insert(name.clone(), *born);
+        self.by_address
+            .insert(endpoint.addr, (id.clone(), *started_at));
+        if let Some(started_at) = started_at {
+            self.latest.insert(name.clone(), *started_at);
         }
     }
 
     /// An endpoint is no longer listed, and is remembered.
-    pub(crate) fn removed(&mut self, endpoint: &Endpoint) {
+    pub(crate) fn record_removed(&mut self, endpoint: &Endpoint) {
         let Endpoint { id, name, addr, .. } = endpoint;
-        self.gone.insert(id.clone());
+        self.removed.insert(id.clone());
         if self.current.get(name) == Some(id) {
             self.current.remove(name);
         }
-        if self.at.get(addr).is_some_and(|(at, _)| at == id) {
-            self.at.remove(addr);
+        if self.by_address.get(addr).is_some_and(|(at, _)| at == id) {
+            self.by_address.remove(addr);
         }
     }
 
     /// An endpoint that is no longer listed is forgotten.
     pub(crate) fn forget(&mut self, endpoint: &Endpoint) {
-        self.gone.remove(&endpoint.id);
+        self.removed.remove(&endpoint.id);
         if !self.current.contains_key(&endpoint.name) {
             self.latest.remove(&endpoint.name);
         }
--- a/crates/fleet/src/layers.rs
+++ b/crates/fleet/src/layers.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// A range of layers, never empty.
+/// A non-empty, half-open range of layers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LayerRange {
     /// The first layer.
@@ -12,36 +12,36 @@
 }
 
 impl LayerRange {
-    /// The range, unless it is empty.
+    /// Returns the range, or `None` if it is empty.
     pub fn new(first: u32, end: u32) -> Option<Self> {
         (first < end).then_some(Self { first, end })
     }
 
-    /// How many layers.
+    /// Number of layers in the range.
     pub fn count(&self) -> u32 {
         self.end - self.first
     }
 
-    /// The layers that are in both, if there are any.
+    /// Layers that are in both ranges, or `None` if there are none.
     pub fn intersection(self, other: Self) -> Option<Self> {
         Self::new(self.first.max(other.first), self.end.min(other.end))
     }
 
-    /// Whether it has the layer.
+    /// Whether the range contains the layer.
     pub fn contains(&self, layer: u32) -> bool {
         (self.first..self.end).contains(&layer)
     }
 }
 
-/// Whether ranges hold all layers of a model between them.
-pub fn hold_all(layers: u32, ranges: impl Iterator<Item = LayerRange>) -> bool {
+/// Whether `ranges` together contain all layers of a model with `layers` layers.
+pub fn cover_all_layers(layers: u32, ranges: impl Iterator<Item = LayerRange>) -> bool {
     let mut ranges: Vec<LayerRange> = ranges.collect();
     ranges.sort();
-    let reach = |reached: u32, r: &LayerRange| match r.first <= reached {
-        true => reached.max(r.end),
-        false => reached,
+    let extend = |covered: u32, r: &LayerRange| match r.first <= covered {
+        true => covered.max(r.end),
+        false => covered,
     };
-    ranges.iter().fold(0, reach) >= layers
+    ranges.iter().fold(0, extend) >= layers
 }
 
 impl fmt::Display for LayerRange {
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -9,47 +9,55 @@
 /// For how many heartbeats of endpoints nobody may hear of the list before entries can have lapsed: after
 /// three without one they do, and the last one may be one old when the store goes away. The rest is kept
 /// back, as they come about as often as that.
-const NONE_LAPSES_BEATS: f64 = 1.75;
+const MIN_LAPSE_HEARTBEATS: f64 = 1.75;
 
 /// What a host knows of the last trouble with the store, whoever told it.
 #[derive(Debug)]
-pub struct Outage {
+pub struct StoreOutage {
     /// After a silence of less than that no entry has lapsed.
-    none_lapses: Duration,
+    min_lapse: Duration,
     /// When the store was last found in trouble, if the list was not heard of since.
-    troubled_at: Option<Duration>,
-    returned_at: Option<Duration>,
+    last_failure_at: Option<Duration>,
+    recovered_at: Option<Duration>,
 }
 
-impl Outage {
+impl StoreOutage {
     /// No trouble yet. Endpoints write their entries about that often.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
-            none_lapses: heartbeat.mul_f64(NONE_LAPSES_BEATS),
-            troubled_at: None,
-            returned_at: None,
+            min_lapse: heartbeat.mul_f64(MIN_LAPSE_HEARTBEATS),
+            last_failure_at: None,
+            recovered_at: None,
         }
     }
 
     /// The store is in trouble, as far as this host knows.
-    pub fn troubled(&mut self, now: Duration) {
-        self.troubled_at = Some(now);
+    pub fn record_failure(&mut self, now: Duration) {
+        self.last_failure_at = Some(now);
     }
 
     /// The list was heard of as it was at that time, and last before that as it was at another one.
-    pub fn heard(&mut self, at: Duration, before: Option<Duration>, now: Duration) {
-        if self.troubled_at.is_none_or(|troubled| troubled >= at) {
+    pub fn record_list_update(
+        &mut self,
+        read_at: Duration,
+        previous_at: Option<Duration>,
+        now: Duration,
+    ) {
+        if self
+            .last_failure_at
+            .is_none_or(|failed_at| failed_at >= read_at)
+        {
             return;
         }
-        self.troubled_at = None;
-        let silence = at.saturating_sub(before.unwrap_or_default());
-        if silence >= self.none_lapses {
-            self.returned_at = Some(now);
+        self.last_failure_at = None;
+        let silence = read_at.saturating_sub(previous_at.unwrap_or_default());
+        if silence >= self.min_lapse {
+            self.recovered_at = Some(now);
         }
     }
 
     /// When the store was last back after trouble in which entries can have lapsed.
-    pub fn returned_at(&self) -> Option<Duration> {
-        self.returned_at
+    pub fn recovered_at(&self) -> Option<Duration> {
+        self.recovered_at
     }
 }
--- a/crates/fleet/src/placement/cells.rs
+++ b/crates/fleet/src/placement/cells.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{Candidate, value::Remaining};
-use crate::{catalogue::Engine, chains::Holding};
+use crate::{catalogue::Engine, chains::LayerHolder};
 
 /// The most engines of a cell that is made.
 pub const MOST: usize = 48;
@@ -128,7 +128,7 @@
     let mut groups = Vec::new();
     let holding = |c: &Candidate| {
         let accelerator = engine.accelerator(&c.accelerator)?;
-        Some(Holding::new(accelerator, c.holds?))
+        Some(LayerHolder::new(accelerator, c.holds?))
     };
     let held = candidates.iter().enumerate();
     let held = held.filter_map(|(place, c)| Some((place, holding(c)?)));
--- a/crates/fleet/src/placement/covers.rs
+++ b/crates/fleet/src/placement/covers.rs
@@ -3,7 +3,7 @@
 use super::{Placement, Slot, most_layers, moves, request_tokens};
 use crate::{
     catalogue::Engine,
-    chains::{Figures, Holding},
+    chains::{ChainEstimate, LayerHolder},
     layers::LayerRange,
 };
 
@@ -139,10 +139,10 @@
 
 /// Requests that a cover serves in a second.
 fn rate(engine: &Engine, slots: &[Slot<'_>], members: &[(usize, LayerRange)]) -> f64 {
-    let held = |(i, layers): &(usize, LayerRange)| Holding::new(slots[*i].accelerator, *layers);
-    let holdings: Vec<Holding> = members.iter().map(held).collect();
+    let held = |(i, layers): &(usize, LayerRange)| LayerHolder::new(slots[*i].accelerator, *layers);
+    let holdings: Vec<LayerHolder> = members.iter().map(held).collect();
     let parts = holdings.iter().map(|h| (h, h.layers));
-    Figures::new(engine, parts).rate(engine)
+    ChainEstimate::new(engine, parts).requests_per_s(engine)
 }
 
 /// One cover out of the endpoints that are free: the fastest that fit, and for what is missing then
--- a/crates/fleet/src/placement/knowledge.rs
+++ b/crates/fleet/src/placement/knowledge.rs
@@ -200,7 +200,7 @@
     /// What is believed of an engine for plans.
     pub fn belief(&self, directory: &Directory, id: &str) -> Belief {
         match self.known.get(id) {
-            _ if directory.is_lost(id) => Belief::Lost,
+            _ if directory.is_unresponsive(id) => Belief::Lost,
             Some(Known::Loading(layers, _)) => Belief::Loading(*layers),
             Some(Known::Unsure(_)) => Belief::Unsure,
             Some(Known::Asked(_)) | None => Belief::Listed,
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -128,7 +128,10 @@
     let slots = candidates.iter().filter_map(|c| slot(engine, c));
     let mut slots: Vec<Slot<'_>> = slots.collect();
     slots.sort_by(|a, b| {
-        let pace = a.accelerator.pace.total_cmp(&b.accelerator.pace);
+        let pace = a
+            .accelerator
+            .step_factor
+            .total_cmp(&b.accelerator.step_factor);
         pace.then_with(|| a.candidate.id.cmp(&b.candidate.id))
     });
     let mut placements = Vec::new();
@@ -154,10 +157,10 @@
 /// The most layers that leave room for `tokens` of requests on each of them.
 fn most_layers(engine: &Engine, accelerator: &Accelerator, tokens: f64) -> u32 {
     let per_layer = engine.layer_mb + tokens * engine.token_layer_mb;
-    ((accelerator.memory_mb / per_layer) as u32).clamp(1, engine.most_layers(accelerator).max(1))
+    ((accelerator.memory_mb / per_layer) as u32).clamp(1, engine.max_layers(accelerator).max(1))
 }
 
 /// Tokens of one request, prompt and answer.
 fn request_tokens(engine: &Engine) -> f64 {
-    (engine.usual_prompt + engine.usual_answer).max(1.0)
+    (engine.typical_prompt_tokens + engine.typical_answer_tokens).max(1.0)
 }
--- a/crates/fleet/src/placement/moves.rs
+++ b/crates/fleet/src/placement/moves.rs
@@ -159,7 +159,7 @@
             // One after the other, or all at once.
             true => loads.sum::<f64>(),
             false => {
-                let crowd = steps.len() as f64 / self.engine.loads_at_once;
+                let crowd = steps.len() as f64 / self.engine.concurrent_loads;
                 loads.fold(0.0, f64::max) * crowd.max(1.0)
             }
         };
@@ -215,7 +215,7 @@
     let engine = centre.engine;
     let accelerator = centre.slots[slot].accelerator;
     let tokens = USUAL_REQUESTS * request_tokens(engine);
-    let most = engine.most_layers(accelerator).max(1);
+    let most = engine.max_layers(accelerator).max(1);
     let size = most_layers(engine, accelerator, tokens).min(most);
     let speeds = speeds(engine, centre.slots, &centre.held);
     weakest(&speeds, size.min(engine.layers))
--- a/crates/fleet/src/placement/settling.rs
+++ b/crates/fleet/src/placement/settling.rs
@@ -65,7 +65,7 @@
         self.holders = holders;
         self.came_at.retain(|_, at| *at + SETTLE > now);
         let lost = engines.staying.iter();
-        let lost = lost.filter(|e| engines.directory.is_lost(&e.id));
+        let lost = lost.filter(|e| engines.directory.is_unresponsive(&e.id));
         let lost = lost.map(|e| e.data_centre.clone());
         let mut unsettled: Vec<Rc<str>> = self.came_at.keys().cloned().chain(lost).collect();
         unsettled.sort();
--- a/crates/fleet/src/placement/succession.rs
+++ b/crates/fleet/src/placement/succession.rs
@@ -167,7 +167,7 @@
             .iter()
             .filter(|(e, _)| e.data_centre == endpoint.data_centre);
         let may_go = near.clone().any(|(e, _)| alike(e, endpoint));
-        let whole = layers::hold_all(layers, near.map(|(_, held)| *held));
+        let whole = layers::cover_all_layers(layers, near.map(|(_, held)| *held));
         until.is_some_and(|until| now < *until) && may_go && whole
     }
 }
--- a/crates/fleet/src/placement/value.rs
+++ b/crates/fleet/src/placement/value.rs
@@ -3,7 +3,7 @@
 use super::Slot;
 use crate::{
     catalogue::Engine,
-    chains::{self, Figures, Holding},
+    chains::{self, ChainEstimate, LayerHolder},
     layers::LayerRange,
 };
 
@@ -16,7 +16,7 @@
 pub(super) struct ChainPart {
     /// Names the holder.
     pub(super) place: usize,
-    pub(super) holding: Holding,
+    pub(super) holding: LayerHolder,
     /// The layers that it runs.
     pub(super) layers: LayerRange,
 }
@@ -24,18 +24,18 @@
 /// Holders that are part of no chain yet, of chains that share no holder.
 pub(super) struct Remaining {
     places: Vec<usize>,
-    holdings: Vec<Holding>,
+    holdings: Vec<LayerHolder>,
 }
 
 impl Remaining {
-    pub(super) fn new(holders: impl Iterator<Item = (usize, Holding)>) -> Self {
+    pub(super) fn new(holders: impl Iterator<Item = (usize, LayerHolder)>) -> Self {
         let (places, holdings) = holders.unzip();
         Self { places, holdings }
     }
 
     /// The fastest chain of those that remain, without which the rest remains.
     pub(super) fn take_chain(&mut self, engine: &Engine) -> Option<Vec<ChainPart>> {
-        let path = chains::cheapest(engine, &self.holdings)?;
+        let path = chains::cheapest_cover(engine, &self.holdings)?;
         let part = |(i, layers): &(usize, LayerRange)| ChainPart {
             place: self.places[*i],
             holding: self.holdings[*i],
@@ -62,7 +62,7 @@
     let mut speeds = vec![0.0; engine.layers as usize];
     for (slot, range) in slots.iter().zip(held) {
         for layer in range.iter().flat_map(|r| r.first..r.end.min(engine.layers)) {
-            speeds[layer as usize] += 1.0 / slot.accelerator.pace;
+            speeds[layer as usize] += 1.0 / slot.accelerator.step_factor;
         }
     }
     speeds
@@ -72,14 +72,14 @@
 /// where there is none, the more the nearer it is to having one.
 pub(super) fn value(engine: &Engine, slots: &[Slot<'_>], held: &[Option<LayerRange>]) -> f64 {
     let holding = |(place, (slot, range)): (usize, (&Slot<'_>, &Option<LayerRange>))| {
-        Some((place, Holding::new(slot.accelerator, (*range)?)))
+        Some((place, LayerHolder::new(slot.accelerator, (*range)?)))
     };
     let holdings = slots.iter().zip(held).enumerate().filter_map(holding);
     let mut remaining = Remaining::new(holdings);
     let mut rate = 0.0;
     while let Some(chain) = remaining.take_chain(engine) {
         let parts = chain.iter().map(|part| (&part.holding, part.layers));
-        rate += Figures::new(engine, parts).rate(engine);
+        rate += ChainEstimate::new(engine, parts).requests_per_s(engine);
     }
     let covered = speeds(engine, slots, held)
         .iter()
--- a/crates/fleet/src/probing.rs
+++ b/crates/fleet/src/probing.rs
@@ -105,7 +105,7 @@
         if self.running.len() >= MOST_REMEMBERED {
             self.running.retain(|_, r| r.at + RUNS > now);
         }
-        let parts = chain.parts.iter().map(|p| p.id.clone()).collect();
+        let parts = chain.stages.iter().map(|p| p.id.clone()).collect();
         self.running.insert(chain.key, Running { at: now, parts });
     }
 
@@ -133,7 +133,7 @@
         }
         let before = last.map_or(0, |last| last.before + 1);
         self.probed.insert(chain.key, Probed { at: now, before });
-        let ids = chain.parts.iter().map(|p| &p.id);
+        let ids = chain.stages.iter().map(|p| &p.id);
         Next::Ask(ids.filter(|id| !self.known(id, doubt)).cloned().collect())
     }
 
--- a/crates/fleet/tests/catalogue.rs
+++ b/crates/fleet/tests/catalogue.rs
@@ -20,7 +20,7 @@
         prefix: prefix.into(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
+        latency_target: Duration::from_millis(100),
         gap_target: Duration::ZERO,
         priority: 1,
         max_attempts: 2,
@@ -70,19 +70,19 @@
 fn requests_are_split_by_weight() {
     let catalogue = catalogue();
     let route = catalogue.route("h", "/a/b/").expect("there");
-    assert_eq!(&*route.service(0.0).name, "app");
-    assert_eq!(&*route.service(0.899).name, "app");
-    assert_eq!(&*route.service(0.901).name, "new");
+    assert_eq!(&*route.pick_service(0.0).name, "app");
+    assert_eq!(&*route.pick_service(0.899).name, "app");
+    assert_eq!(&*route.pick_service(0.901).name, "new");
 }
 
 #[test]
 fn a_key_belongs_to_one_workspace() {
     assert_eq!(
         catalogue()
-            .workspace("key")
+            .workspace_by_key("key")
             .map(|w| w.name.to_string())
             .as_deref(),
         Some("w")
     );
-    assert!(catalogue().workspace("other").is_none());
+    assert!(catalogue().workspace_by_key("other").is_none());
 }
--- a/crates/fleet/tests/chains.rs
+++ b/crates/fleet/tests/chains.rs
@@ -13,7 +13,7 @@
 fn check(chain: &Chain, endpoints: &[Endpoint]) {
     let mut at = 0;
     let mut ids = Vec::new();
-    for part in &chain.parts {
+    for part in &chain.stages {
         assert_eq!(part.layers.first, at, "no gap and no overlap: {chain:?}");
         at = part.layers.end;
         let holder = endpoints.iter().find(|e| e.id == part.id).expect("listed");
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -5,14 +5,14 @@
 use common::{endpoint, engine, ms, name};
 use dragonflyrill_fleet::{
     chains::{self, Chain},
-    choice::{self, Load, Loads, Want},
+    choice::{self, Load, Loads, RequestDemand},
 };
 
-const WANT: Want = Want {
-    prompt: 774.0,
-    answer: 204.0,
-    target_ms: 500.0,
-    gap_ms: 200.0,
+const WANT: RequestDemand = RequestDemand {
+    prompt_tokens: 774.0,
+    answer_tokens: 204.0,
+    first_event_target_ms: 500.0,
+    max_gap_ms: 200.0,
     tokens_per_event: 3.0,
 };
 
@@ -32,8 +32,8 @@
 
 fn first(chains: &[Chain], loads: &Loads) -> String {
     let chosen = choice::choose(chains, loads, &WANT, ms(0), 0.0, |_| true);
-    chains[chosen.expect("one is usable").place]
-        .first()
+    chains[chosen.expect("one is usable").index]
+        .first_stage()
         .id
         .to_string()
 }
@@ -49,7 +49,7 @@
 fn told(id: &str, requests: f64, token_layers: f64) -> Loads {
     let mut loads = Loads::default();
     let others = [(name(id), load(requests, token_layers))];
-    loads.told(others.into_iter().collect(), ms(0));
+    loads.apply_update(others.into_iter().collect(), ms(0));
     loads
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn if_all_chains_are_full_the_least_full_is_chosen() {
     let mut loads = told("h", 60.0, 1e9);
-    loads.told(
+    loads.apply_update(
         [(name("h"), load(60.0, 1e9)), (name("s"), load(60.0, 1e8))]
             .into_iter()
             .collect(),
@@ -83,10 +83,10 @@
 fn a_request_counts_on_each_part_of_its_chain_until_it_ends() {
     let chains = two_chains();
     let mut loads = told("g", 2.0, 100.0);
-    loads.begin(&chains[0], 10.0);
-    assert_eq!(loads.at("g", ms(100)), load(3.0, 100.0 + 10.0 * 32.0));
-    loads.end(&chains[0], 10.0);
-    assert_eq!(loads.at("g", ms(100)), load(2.0, 100.0));
+    loads.add_request(&chains[0], 10.0);
+    assert_eq!(loads.load_at("g", ms(100)), load(3.0, 100.0 + 10.0 * 32.0));
+    loads.remove_request(&chains[0], 10.0);
+    assert_eq!(loads.load_at("g", ms(100)), load(2.0, 100.0));
     assert!(loads.own().is_empty());
 }
 
@@ -95,8 +95,8 @@
     let chains = two_chains();
     let mut loads = told("f", 100.0, 0.0);
     loads.hosts = 8;
-    loads.begin(&chains[0], 10.0);
-    assert_eq!(loads.at("f", ms(60_000)), load(8.0, 8.0 * 320.0));
+    loads.add_request(&chains[0], 10.0);
+    assert_eq!(loads.load_at("f", ms(60_000)), load(8.0, 8.0 * 320.0));
 }
 
 #[test]
@@ -113,16 +113,16 @@
     let mut sent = vec![0; chains.len()];
     let mut loads = Loads::default();
     loads.hosts = hosts;
-    loads.told(Default::default(), ms(0));
+    loads.apply_update(Default::default(), ms(0));
     for _ in 0..prompts {
         let chosen = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
-        let chain = &chains[chosen.expect("one is usable").place];
-        loads.begin(chain, WANT.prompt + WANT.answer);
-        loads.begin_reading(chain, WANT.prompt);
-        sent[chosen.expect("one is usable").place] += 1;
+        let chain = &chains[chosen.expect("one is usable").index];
+        loads.add_request(chain, WANT.prompt_tokens + WANT.answer_tokens);
+        loads.add_prefill(chain, WANT.prompt_tokens);
+        sent[chosen.expect("one is usable").index] += 1;
     }
     let read_ms = |(chain, n): (&Chain, &i32)| {
-        f64::from(*n) * f64::from(hosts) * WANT.prompt * chain.read_busy_ms
+        f64::from(*n) * f64::from(hosts) * WANT.prompt_tokens * chain.bottleneck_prefill_ms
     };
     chains.iter().zip(&sent).map(read_ms).fold(0.0, f64::max)
 }
@@ -133,7 +133,7 @@
     // to read, and half of them miss their target of 500 ms.
     let waited = surge(20, 8);
     assert!(waited < 1000.0, "{waited} ms");
-    let one = two_chains()[0].read_busy_ms * WANT.prompt * 160.0;
+    let one = two_chains()[0].bottleneck_prefill_ms * WANT.prompt_tokens * 160.0;
     assert!(one > 1.5 * waited, "{one} ms on one chain, {waited} ms");
 }
 
@@ -143,10 +143,10 @@
     let mut loads = Loads::default();
     loads.hosts = 8;
     let idle = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
-    loads.begin_reading(&chains[0], 50_000.0);
+    loads.add_prefill(&chains[0], 50_000.0);
     let busy = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
-    assert_ne!(busy.map(|c| c.place), idle.map(|c| c.place));
-    loads.end_reading(&chains[0], 50_000.0);
+    assert_ne!(busy.map(|c| c.index), idle.map(|c| c.index));
+    loads.remove_prefill(&chains[0], 50_000.0);
     let read = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
     assert_eq!(read, idle);
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -6,18 +6,23 @@
 use dragonflyrill_fleet::{
     catalogue::{Accelerator, Engine},
     chains::{self, Chain},
-    choice::Want,
+    choice::RequestDemand,
     endpoints::Endpoint,
     layers::LayerRange,
     placement::{self, Candidate},
 };
 
-pub(crate) fn accelerator(name: &str, memory_mb: f64, pace: f64, read_factor: f64) -> Accelerator {
+pub(crate) fn accelerator(
+    name: &str,
+    memory_mb: f64,
+    step_factor: f64,
+    prefill_factor: f64,
+) -> Accelerator {
     Accelerator {
         name: name.into(),
         memory_mb,
-        pace,
-        read_factor,
+        step_factor,
+        prefill_factor,
     }
 }
 
@@ -29,12 +34,12 @@
         step_ms: 1.02,
         step_ms_per_request: 0.00714,
         step_ms_per_1k_context: 0.00956,
-        read_per_ms: 105.0,
-        usual_prompt: 774.0,
-        usual_answer: 204.0,
+        prefill_tokens_per_ms: 105.0,
+        typical_prompt_tokens: 774.0,
+        typical_answer_tokens: 204.0,
         tokens_per_event: 3.0,
         load_s: 14.0,
-        loads_at_once: 5.0,
+        concurrent_loads: 5.0,
         accelerators: vec![
             accelerator("a100", 72_000.0, 2.4, 3.2),
             accelerator("l40s", 43_200.0, 5.6, 2.7),
@@ -78,12 +83,12 @@
     Endpoint {
         id: id.into(),
         name: id.into(),
-        born: None,
+        started_at: None,
         service: "model".into(),
         addr: ([127, 0, 0, 1], number).into(),
         data_centre: data_centre.into(),
         slots: 192,
-        leaving: false,
+        draining: false,
         accelerator: Some(kind.into()),
         layers: LayerRange::new(first, end),
     }
@@ -109,11 +114,11 @@
 }
 
 /// What a stream needs.
-pub(crate) const STREAM: Want = Want {
-    prompt: 774.0,
-    answer: 204.0,
-    target_ms: 600.0,
-    gap_ms: 250.0,
+pub(crate) const STREAM: RequestDemand = RequestDemand {
+    prompt_tokens: 774.0,
+    answer_tokens: 204.0,
+    first_event_target_ms: 600.0,
+    max_gap_ms: 250.0,
     tokens_per_event: 3.0,
 };
 
--- a/crates/fleet/tests/delta_sync.rs
+++ b/crates/fleet/tests/delta_sync.rs
@@ -9,34 +9,40 @@
 #[test]
 fn what_was_told_and_heard_is_not_told_again() {
     let mut sync = DeltaSync::default();
-    assert_eq!((sync.told(), sync.heard()), (0, Cursor::default()));
-    sync.answered(5, cursor(7, 3));
-    assert_eq!((sync.told(), sync.heard()), (5, cursor(7, 3)));
-    sync.answered(6, cursor(7, 4));
-    assert_eq!((sync.told(), sync.heard()), (6, cursor(7, 4)));
+    assert_eq!(
+        (sync.acknowledged(), sync.received()),
+        (0, Cursor::default())
+    );
+    sync.record_response(5, cursor(7, 3));
+    assert_eq!((sync.acknowledged(), sync.received()), (5, cursor(7, 3)));
+    sync.record_response(6, cursor(7, 4));
+    assert_eq!((sync.acknowledged(), sync.received()), (6, cursor(7, 4)));
 }
 
 #[test]
 fn all_is_told_again_to_another_process() {
     let mut sync = DeltaSync::default();
-    sync.answered(5, cursor(7, 3));
-    sync.answered(6, cursor(8, 1));
-    assert_eq!((sync.told(), sync.heard()), (0, cursor(8, 1)));
-    sync.answered(6, cursor(8, 1));
-    assert_eq!(sync.told(), 6);
+    sync.record_response(5, cursor(7, 3));
+    sync.record_response(6, cursor(8, 1));
+    assert_eq!((sync.acknowledged(), sync.received()), (0, cursor(8, 1)));
+    sync.record_response(6, cursor(8, 1));
+    assert_eq!(sync.acknowledged(), 6);
 }
 
 #[test]
 fn all_is_told_again_after_a_call_that_may_not_have_come_over() {
     let mut sync = DeltaSync::default();
-    sync.answered(5, cursor(7, 3));
-    sync.failed();
-    assert_eq!((sync.told(), sync.heard()), (0, Cursor::default()));
+    sync.record_response(5, cursor(7, 3));
+    sync.reset();
+    assert_eq!(
+        (sync.acknowledged(), sync.received()),
+        (0, Cursor::default())
+    );
 }
 
 #[test]
 fn a_place_in_the_changes_of_another_process_is_the_beginning() {
-    assert_eq!(cursor(7, 3).known_of(7), 3);
-    assert_eq!(cursor(7, 3).known_of(8), 0);
-    assert_eq!(Cursor::default().known_of(8), 0);
+    assert_eq!(cursor(7, 3).known_version(7), 3);
+    assert_eq!(cursor(7, 3).known_version(8), 0);
+    assert_eq!(Cursor::default().known_version(8), 0);
 }
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -12,30 +12,30 @@
 
 #[test]
 fn nothing_is_fresh_before_the_first_proof() {
-    assert!(!Freshness::new(BOUND).fresh(s(0.0)));
+    assert!(!Freshness::new(BOUND).is_fresh(s(0.0)));
 }
 
 #[test]
 fn a_proof_ends_before_the_bound_does() {
     let mut freshness = Freshness::new(BOUND);
-    freshness.proven(s(10.0));
-    assert!(freshness.fresh(s(14.6)));
-    assert!(!freshness.fresh(s(14.8)));
-    assert!(!freshness.fresh(s(15.0)));
+    freshness.record_proof(s(10.0));
+    assert!(freshness.is_fresh(s(14.6)));
+    assert!(!freshness.is_fresh(s(14.8)));
+    assert!(!freshness.is_fresh(s(15.0)));
 }
 
 #[test]
 fn an_older_proof_does_not_take_a_newer_one_back() {
     let mut freshness = Freshness::new(BOUND);
-    freshness.proven(s(10.0));
-    freshness.proven(s(2.0));
-    assert!(freshness.fresh(s(14.0)));
+    freshness.record_proof(s(10.0));
+    freshness.record_proof(s(2.0));
+    assert!(freshness.is_fresh(s(14.0)));
 }
 
 #[test]
 fn what_is_left_shrinks_to_nothing() {
     let mut freshness = Freshness::new(BOUND);
-    freshness.proven(s(1.0));
-    assert!(freshness.left(s(1.0)) < BOUND);
-    assert_eq!(freshness.left(s(100.0)), Duration::ZERO);
+    freshness.record_proof(s(1.0));
+    assert!(freshness.remaining(s(1.0)) < BOUND);
+    assert_eq!(freshness.remaining(s(100.0)), Duration::ZERO);
 }
--- a/crates/fleet/tests/herd.rs
+++ b/crates/fleet/tests/herd.rs
@@ -29,9 +29,10 @@
         let chain = &chains[place];
         sent[place] += 1;
         all += 1.0;
-        let read_ms =
-            STREAM.prompt * (chain.read_ms + f64::from(sent[place] - 1) * chain.read_busy_ms);
-        if read_ms + chain.token_ms * STREAM.tokens_per_event <= STREAM.target_ms {
+        let read_ms = STREAM.prompt_tokens
+            * (chain.prefill_ms_per_token
+                + f64::from(sent[place] - 1) * chain.bottleneck_prefill_ms);
+        if read_ms + chain.token_ms * STREAM.tokens_per_event <= STREAM.first_event_target_ms {
             on_time += 1.0;
         }
     }
@@ -55,10 +56,10 @@
     for _ in 0..SENDS {
         for loads in &mut all {
             let next = choice::choose(chains, loads, &STREAM, ms(0), rng.random(), |_| true);
-            let place = next.expect("all are usable").place;
-            loads.begin(&chains[place], STREAM.prompt + STREAM.answer);
-            loads.sent(ms(0));
-            loads.begin_reading(&chains[place], STREAM.prompt);
+            let place = next.expect("all are usable").index;
+            loads.add_request(&chains[place], STREAM.prompt_tokens + STREAM.answer_tokens);
+            loads.record_dispatch(ms(0));
+            loads.add_prefill(&chains[place], STREAM.prompt_tokens);
             chosen.push(place);
         }
     }
@@ -72,9 +73,9 @@
     let mut chosen = Vec::new();
     for _ in 0..hosts * SENDS {
         let next = choice::choose(chains, &loads, &STREAM, ms(0), 0.0, |_| true);
-        let place = next.expect("all are usable").place;
-        loads.begin(&chains[place], STREAM.prompt + STREAM.answer);
-        loads.begin_reading(&chains[place], STREAM.prompt);
+        let place = next.expect("all are usable").index;
+        loads.add_request(&chains[place], STREAM.prompt_tokens + STREAM.answer_tokens);
+        loads.add_prefill(&chains[place], STREAM.prompt_tokens);
         chosen.push(place);
     }
     played(chains, chosen.into_iter())
@@ -108,13 +109,13 @@
     let chains = chains_of_86();
     let mut loads = Loads::default();
     loads.hosts = 76;
-    loads.sent(ms(900));
+    loads.record_dispatch(ms(900));
     let chosen = |loads: &Loads, draw| {
         let chosen = choice::choose(&chains, loads, &STREAM, ms(1000), draw, |_| true);
-        chosen.expect("all are usable").place
+        chosen.expect("all are usable").index
     };
     let best = chosen(&loads, 0.0);
-    loads.told(Default::default(), ms(1000));
+    loads.apply_update(Default::default(), ms(1000));
     assert!(
         [0.25, 0.5, 0.99]
             .iter()
@@ -123,7 +124,7 @@
     // What is a second old may be all of 75 others' requests behind.
     let mut old = Loads::default();
     old.hosts = 76;
-    (0..10).for_each(|n| old.sent(ms(100 * n)));
-    old.told(Default::default(), ms(0));
+    (0..10).for_each(|n| old.record_dispatch(ms(100 * n)));
+    old.apply_update(Default::default(), ms(0));
     assert_ne!(chosen(&old, 0.99), best);
 }
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -7,25 +7,25 @@
 
 use common::{endpoint, ms};
 use dragonflyrill_fleet::{
-    endpoints::{Directory, Endpoint, Put},
-    incarnations::{self, Born},
+    endpoints::{Directory, Endpoint, PutOutcome},
+    incarnations::{self, StartTime},
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
 /// An engine that started at a moment, at the address of its name.
-fn start(name: &str, born: u64) -> Endpoint {
-    let born = Some(Born(born));
+fn start(name: &str, started_at: u64) -> Endpoint {
+    let started_at = Some(StartTime(started_at));
     Endpoint {
-        id: incarnations::id(name, born),
-        born,
+        id: incarnations::id(name, started_at),
+        started_at,
         ..endpoint(name, "a", "l40s", 0, 40)
     }
 }
 
 fn leaving(endpoint: Endpoint) -> Endpoint {
     Endpoint {
-        leaving: true,
+        draining: true,
         ..endpoint
     }
 }
@@ -35,20 +35,23 @@
     let mut directory = Directory::default();
     let first = start("e", 1000);
     directory.put(leaving(first.clone()), ms(0));
-    directory.failed(&first.id, ms(10));
-    directory.paced(&first.id, 5.0, ms(10));
-    directory.begin(&first.id);
+    directory.record_failure(&first.id, ms(10));
+    directory.record_slowdown(&first.id, 5.0, ms(10));
+    directory.begin_request(&first.id);
     let second = start("e", 2000);
     let put = directory.put(second.clone(), ms(20));
-    assert_eq!(put, Put::InPlaceOf(vec![Rc::new(leaving(first.clone()))]));
-    assert!(directory.is_over(&first.id) && !directory.is_over(&second.id));
+    assert_eq!(
+        put,
+        PutOutcome::Replaced(vec![Rc::new(leaving(first.clone()))])
+    );
+    assert!(directory.has_ended(&first.id) && !directory.has_ended(&second.id));
     assert!(directory.usable(&second.id, ms(20)));
-    assert_eq!(directory.pace(&second.id, ms(20)), 1.0);
+    assert_eq!(directory.slowdown_factor(&second.id, ms(20)), 1.0);
     assert_eq!(directory.in_flight(&second.id), 0);
     // What the former start was asked ends without a trace.
-    directory.end(&first.id);
-    directory.succeeded(&first.id);
-    assert_eq!(directory.named("e"), Some(&Rc::new(second)));
+    directory.end_request(&first.id);
+    directory.record_success(&first.id);
+    assert_eq!(directory.by_name("e"), Some(&Rc::new(second)));
 }
 
 #[test]
@@ -61,10 +64,10 @@
         ..start("e", 2000)
     };
     let put = directory.put(second.clone(), ms(10));
-    assert_eq!(put, Put::InPlaceOf(vec![Rc::new(first.clone())]));
-    assert!(directory.is_over(&first.id));
+    assert_eq!(put, PutOutcome::Replaced(vec![Rc::new(first.clone())]));
+    assert!(directory.has_ended(&first.id));
     assert_eq!(directory.get(&first.id), None);
-    assert_eq!(directory.named("e").map(|e| &e.id), Some(&second.id));
+    assert_eq!(directory.by_name("e").map(|e| &e.id), Some(&second.id));
 }
 
 #[test]
@@ -72,15 +75,15 @@
     let mut directory = Directory::default();
     let (first, second) = (start("e", 1000), start("e", 2000));
     directory.put(second.clone(), ms(0));
-    assert_eq!(directory.put(first.clone(), ms(10)), Put::Late);
+    assert_eq!(directory.put(first.clone(), ms(10)), PutOutcome::Outdated);
     assert!(directory.usable(&second.id, ms(10)));
     directory.remove(&second.id);
     assert_eq!(
         directory.put(first, ms(20)),
-        Put::Late,
+        PutOutcome::Outdated,
         "the later one is gone"
     );
-    assert_eq!(directory.put(second, ms(30)), Put::Returned);
+    assert_eq!(directory.put(second, ms(30)), PutOutcome::Relisted);
 }
 
 #[test]
@@ -88,13 +91,13 @@
     let mut directory = Directory::default();
     directory.put(start("e", 1000), ms(0));
     let foreign = endpoint("e", "a", "l40s", 0, 40);
-    assert_eq!(directory.put(foreign, ms(10)), Put::Foreign);
-    assert_eq!(directory.named("e"), None, "and it is not used any more");
+    assert_eq!(directory.put(foreign, ms(10)), PutOutcome::Foreign);
+    assert_eq!(directory.by_name("e"), None, "and it is not used any more");
 }
 
 #[test]
 fn the_name_is_read_back_from_the_id_of_a_start() {
-    for born in [None, Some(Born(0)), Some(Born(u64::MAX))] {
+    for born in [None, Some(StartTime(0)), Some(StartTime(u64::MAX))] {
         assert_eq!(incarnations::name(&incarnations::id("i-1", born)), "i-1");
     }
 }
@@ -106,7 +109,7 @@
     let after = start("e", 1000);
     assert!(matches!(
         directory.put(after.clone(), ms(10)),
-        Put::InPlaceOf(_)
+        PutOutcome::Replaced(_)
     ));
     assert!(directory.usable(&after.id, ms(10)));
 }
@@ -121,10 +124,10 @@
     directory.put(at("e", 1000), ms(0));
     assert!(matches!(
         directory.put(at("f", 2000), ms(10)),
-        Put::InPlaceOf(_)
+        PutOutcome::Replaced(_)
     ));
-    assert_eq!(directory.put(at("g", 1500), ms(20)), Put::Late);
-    assert!(directory.listed(&at("f", 2000).id));
+    assert_eq!(directory.put(at("g", 1500), ms(20)), PutOutcome::Outdated);
+    assert!(directory.is_active(&at("f", 2000).id));
 }
 
 #[test]
@@ -136,8 +139,8 @@
     };
     directory.put(at("e", 7), ms(0));
     directory.put(at("e", 8), ms(10));
-    assert_eq!(directory.put(at("f", 7), ms(20)), Put::Listed);
-    assert!(directory.listed("e") && directory.listed("f"));
+    assert_eq!(directory.put(at("f", 7), ms(20)), PutOutcome::Listed);
+    assert!(directory.is_active("e") && directory.is_active("f"));
 }
 
 /// News of one endpoint on their way to a host: an entry, or that it was removed.
@@ -155,7 +158,7 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut hosts = [Directory::default(), Directory::default()];
         let mut newest: BTreeMap<Rc<str>, Endpoint> = BTreeMap::new();
-        let mut seen: [BTreeMap<Rc<str>, Born>; 2] = Default::default();
+        let mut seen: [BTreeMap<Rc<str>, StartTime>; 2] = Default::default();
         let mut under_way: Vec<(usize, News)> = Vec::new();
         for step in 0..400u64 {
             let now = Duration::from_millis(step * 50);
@@ -164,7 +167,7 @@
                 let before = newest.get(&name);
                 let started = match before {
                     Some(known) if rng.random_bool(0.5) => Endpoint {
-                        leaving: rng.random_bool(0.3),
+                        draining: rng.random_bool(0.3),
                         layers: None,
                         ..known.clone()
                     },
@@ -205,8 +208,8 @@
             for endpoint in newest.values() {
                 let news = News::Entry(endpoint.clone());
                 deliver(host, seen, news, Duration::from_secs(60), seed);
-                let listed = host.named(&endpoint.name).map(|e| e.born);
-                assert_eq!(listed, Some(endpoint.born), "seed {seed}");
+                let listed = host.by_name(&endpoint.name).map(|e| e.started_at);
+                assert_eq!(listed, Some(endpoint.started_at), "seed {seed}");
             }
         }
     }
@@ -214,7 +217,7 @@
 
 fn deliver(
     host: &mut Directory,
-    seen: &mut BTreeMap<Rc<str>, Born>,
+    seen: &mut BTreeMap<Rc<str>, StartTime>,
     news: News,
     now: Duration,
     seed: u64,
@@ -224,7 +227,7 @@
         News::Removed(id) => drop(host.remove(&id)),
     }
     for endpoint in host.iter() {
-        let born = endpoint.born.expect("all say it");
+        let born = endpoint.started_at.expect("all say it");
         let before = seen.insert(endpoint.name.clone(), born);
         assert!(
             before.is_none_or(|b| b <= born),
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -145,9 +145,9 @@
     known.ordered(&order, Outcome::Taken, ms(10));
     let ordered = Belief::Loading(order.layers);
     assert_eq!(known.belief(&directory, "e"), ordered);
-    directory.lost("e", ms(20));
+    directory.record_unresponsive("e", ms(20));
     assert_eq!(known.belief(&directory, "e"), Belief::Lost);
-    directory.succeeded("e");
+    directory.record_success("e");
     assert_eq!(known.belief(&directory, "e"), ordered, "it answers again");
 }
 
@@ -171,7 +171,7 @@
         for placement in plan(&candidates) {
             let found = candidates.iter().find(|c| c.id == placement.id).expect("a candidate");
             let accelerator = engine.accelerator(&found.accelerator).expect("known");
-            prop_assert!(placement.layers.count() <= engine.most_layers(accelerator));
+            prop_assert!(placement.layers.count() <= engine.max_layers(accelerator));
             prop_assert!(placement.layers.first < placement.layers.end);
             prop_assert!(placement.layers.end <= engine.layers);
         }
--- a/crates/fleet/tests/placing_orders.rs
+++ b/crates/fleet/tests/placing_orders.rs
@@ -13,7 +13,7 @@
 use common::{endpoint, engine, ms};
 use dragonflyrill_fleet::{
     endpoints::{Directory, Endpoint},
-    incarnations::{self, Born},
+    incarnations::{self, StartTime},
     layers::LayerRange,
     placement::{
         knowledge::{Knowledge, Order, Outcome, Told},
@@ -114,17 +114,17 @@
     /// The entry that an engine would write now.
     fn entry(&self, at: usize) -> Endpoint {
         let engine = &self.engines[at];
-        let (name, born) = match self.says_start {
-            true => (format!("e{at}"), Some(Born(engine.starts))),
+        let (name, started_at) = match self.says_start {
+            true => (format!("e{at}"), Some(StartTime(engine.starts))),
             false => (format!("e{at}-{}", engine.starts), None),
         };
         Endpoint {
-            id: incarnations::id(&name, born),
+            id: incarnations::id(&name, started_at),
             name: name.as_str().into(),
-            born,
+            started_at,
             addr: ([127, 0, 0, 1], 1000 + engine.place as u16).into(),
             layers: engine.layers,
-            leaving: engine.leaving(self.now),
+            draining: engine.leaving(self.now),
             ..endpoint(&name, "a", engine.kind, 0, 1)
         }
     }
@@ -239,11 +239,11 @@
     /// Engines that are lost are asked until they answer and hold what they are listed with.
     fn ask_lost(&mut self, trouble: f64) {
         let lost = self.directory.iter();
-        let lost = lost.filter(|e| self.directory.is_lost(&e.id));
+        let lost = lost.filter(|e| self.directory.is_unresponsive(&e.id));
         for endpoint in lost.cloned().collect::<Vec<_>>() {
             let told = self.ask(&endpoint, trouble);
             if told.is_some_and(|told| told.layers == endpoint.layers) {
-                self.directory.succeeded(&endpoint.id);
+                self.directory.record_success(&endpoint.id);
             }
         }
     }
@@ -266,7 +266,7 @@
             return false;
         }
         let accelerator = model.accelerator(engine.kind).expect("a kind");
-        assert!(order.layers.count() <= model.most_layers(accelerator));
+        assert!(order.layers.count() <= model.max_layers(accelerator));
         engine.orders += 1;
         engine.layers = None;
         let load = Duration::from_secs_f64(14.0 * f64::from(order.layers.count()) / 80.0);
@@ -290,7 +290,7 @@
             busy: engine.loads.is_some(),
             orders: engine.orders,
         };
-        if entry.born > endpoint.born {
+        if entry.started_at > endpoint.started_at {
             self.directory.put(entry, self.now);
         }
         Some(told)
@@ -300,7 +300,7 @@
     fn listed(&self) -> (Vec<Rc<Endpoint>>, Vec<Rc<Endpoint>>) {
         let mut listed: Vec<Rc<Endpoint>> = self.directory.iter().cloned().collect();
         listed.sort_by(|a, b| a.id.cmp(&b.id));
-        listed.into_iter().partition(|e| !e.leaving)
+        listed.into_iter().partition(|e| !e.draining)
     }
 
     fn current(&self, id: &str) -> bool {
--- a/crates/fleet/tests/settling.rs
+++ b/crates/fleet/tests/settling.rs
@@ -102,10 +102,10 @@
     let (mut directory, engines) = (Directory::default(), uneven());
     let spare = endpoint("e7", "a", "l40s", 0, 20);
     directory.put(spare.clone(), ms(0));
-    directory.lost("e7", ms(0));
+    directory.record_unresponsive("e7", ms(0));
     let engines = [engines, vec![Rc::new(spare)]].concat();
     assert_eq!(moves(&mut planner, &engines, &directory, ms(0)), 0);
     assert_eq!(moves(&mut planner, &engines, &directory, ms(5000)), 0);
-    directory.succeeded("e7");
+    directory.record_success("e7");
     assert_ne!(moves(&mut planner, &engines, &directory, ms(5100)), 0);
 }
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -46,9 +46,9 @@
 }
 
 fn leaving(id: &str, kind: &str, first: u32, end: u32) -> Rc<Endpoint> {
-    let leaving = true;
+    let draining = true;
     Rc::new(Endpoint {
-        leaving,
+        draining,
         ..(*engine(id, kind, first, end)).clone()
     })
 }
@@ -332,7 +332,7 @@
 fn ranges_hold_a_model_when_none_of_its_layers_is_left_out() {
     let whole = |ranges: &[(u32, u32)]| {
         let ranges = ranges.iter().map(|(first, end)| range(*first, *end));
-        layers::hold_all(LAYERS, ranges)
+        layers::cover_all_layers(LAYERS, ranges)
     };
     assert!(whole(&[(40, 80), (0, 50)]));
     assert!(!whole(&[(0, 40), (41, 80)]));
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -91,7 +91,7 @@
         }
         if news.whole {
             let listed = news.changed.iter().map(|e| &*e.name);
-            gone.extend(self.gateway.directory.borrow().others(listed));
+            gone.extend(self.gateway.directory.borrow().ids_except(listed));
             self.gateway.endpoints_known.set(true);
         }
         for endpoint in news.changed {
@@ -100,7 +100,7 @@
         }
         // Entries lapse while the store is away, whether or not a read of the list has met that. When it was
         // back counts, and not when this host reads again: what is removed later is gone.
-        let returned_at = self.gateway.outage.borrow().returned_at();
+        let returned_at = self.gateway.outage.borrow().recovered_at();
         let until = returned_at.map(|at| at + DOUBT).filter(|t| *t > now);
         for id in gone {
             match until {
@@ -114,13 +114,13 @@
         self.gateway
             .directory
             .borrow_mut()
-            .known_up_to(self.gateway.list_mark.get());
+            .record_revision(self.gateway.list_mark.get());
     }
 
     /// The ids of the starts that are listed under names.
     fn named(&self, names: &[Rc<str>]) -> Vec<Rc<str>> {
         let directory = self.gateway.directory.borrow();
-        let listed = names.iter().filter_map(|name| directory.named(name));
+        let listed = names.iter().filter_map(|name| directory.by_name(name));
         listed.map(|e| e.id.clone()).collect()
     }
 
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -125,7 +125,7 @@
         let engines = directory.iter().filter(|e| e.service == *service);
         let mut engines: Vec<Rc<Endpoint>> = engines.cloned().collect();
         engines.sort_by(|a, b| a.id.cmp(&b.id));
-        let (leaving, staying) = engines.into_iter().partition(|e| e.leaving);
+        let (leaving, staying) = engines.into_iter().partition(|e| e.draining);
         Listed { staying, leaving }
     }
 
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -171,11 +171,11 @@
     let mut directory = gateway.directory.borrow_mut();
     match &result {
         Ok(whole) if whole.begun.head.status.is_server_error() => {
-            directory.erred(&endpoint.id, gateway.now());
+            directory.record_error(&endpoint.id, gateway.now());
         }
-        Ok(_) => directory.succeeded(&endpoint.id),
+        Ok(_) => directory.record_success(&endpoint.id),
         Err(Failed::MayHaveRun(_) | Failed::BrokeOff(_)) => {
-            directory.failed(&endpoint.id, gateway.now())
+            directory.record_failure(&endpoint.id, gateway.now())
         }
         _ => {}
     }
@@ -185,7 +185,7 @@
 /// Ends when the endpoint is known to have ended: what it was asked is lost.
 async fn until_over(gateway: &Gateway, id: &str) {
     let mut changed = gateway.prober.lost();
-    while !gateway.directory.borrow().is_over(id) {
+    while !gateway.directory.borrow().has_ended(id) {
         // The sender lives as long as the gateway does.
         let _ = changed.changed().await;
     }
@@ -199,13 +199,13 @@
 
 impl<'a> AtEndpoint<'a> {
     fn new(gateway: &'a Gateway, id: &'a str) -> Self {
-        gateway.directory.borrow_mut().begin(id);
+        gateway.directory.borrow_mut().begin_request(id);
         Self { gateway, id }
     }
 }
 
 impl Drop for AtEndpoint<'_> {
     fn drop(&mut self) {
-        self.gateway.directory.borrow_mut().end(self.id);
+        self.gateway.directory.borrow_mut().end_request(self.id);
     }
 }
--- a/crates/gateway/src/forward/ended.rs
+++ b/crates/gateway/src/forward/ended.rs
@@ -66,13 +66,13 @@
     };
     if let Some(over) = ran
         .iter()
-        .find(|r| gateway.directory.borrow().is_over(r.id))
+        .find(|r| gateway.directory.borrow().has_ended(r.id))
     {
         return gateway.ended_under(admitted.fingerprint(), over.id);
     }
     for (place, part) in ran.iter().enumerate() {
         // A later part that has ended has the first one break off after a while; it is lost by then.
-        let lost = gateway.directory.borrow().is_lost(part.id);
+        let lost = gateway.directory.borrow().is_unresponsive(part.id);
         let suspected = lost || (broke_off && place == 0);
         if !suspected {
             continue;
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -81,13 +81,13 @@
             tries.not_sent(refusal);
             return false;
         }
-        let may_run_again = self.route.kind.repeatable() || !tries.may_have_run();
+        let may_run_again = self.route.kind.retryable() || !tries.may_have_run();
         may_run_again && tries.sent() < self.most_sends()
     }
 
     /// Whether another send may follow the next one, even if that may have run.
     fn may_go_on(&self, tries: &Tries) -> bool {
-        self.route.kind.repeatable() && tries.sent() + 1 < self.most_sends()
+        self.route.kind.retryable() && tries.sent() + 1 < self.most_sends()
     }
 
     /// Names it, whichever attempt of it this is.
@@ -190,7 +190,7 @@
         };
         match self.find(&head, &incoming) {
             Ok((route, workspace)) => {
-                let service = route.service(rand::rng().random()).clone();
+                let service = route.pick_service(rand::rng().random()).clone();
                 gateway.count_request(&service.name);
                 let deadline = incoming.deadline.unwrap_or(USUAL_DEADLINE);
                 let priority = workspace.as_ref().and_then(|w| w.priority);
@@ -237,7 +237,10 @@
         let Some(route) = catalogue.route(asked_host(head), head.uri.path()) else {
             return Err(Refusal::NoRoute);
         };
-        let workspace = incoming.key.as_deref().and_then(|k| catalogue.workspace(k));
+        let workspace = incoming
+            .key
+            .as_deref()
+            .and_then(|k| catalogue.workspace_by_key(k));
         if workspace.is_none() && catalogue.needs_keys && !route.anonymous {
             return Err(Refusal::NoWorkspace);
         }
--- a/crates/gateway/src/forward/on_chain.rs
+++ b/crates/gateway/src/forward/on_chain.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use dragonflyrill_fleet::{chains::Chain, choice::Want};
+use dragonflyrill_fleet::{chains::Chain, choice::RequestDemand};
 
 use crate::gateway::Gateway;
 
@@ -18,16 +18,16 @@
 
 impl<'a> OnChain<'a> {
     /// The request begins to run there.
-    pub(super) fn new(gateway: &'a Gateway, chain: &'a Chain, want: &Want) -> Self {
-        let tokens = want.prompt + want.answer;
+    pub(super) fn new(gateway: &'a Gateway, chain: &'a Chain, want: &RequestDemand) -> Self {
+        let tokens = want.prompt_tokens + want.answer_tokens;
         let mut loads = gateway.loads.borrow_mut();
-        loads.begin(chain, tokens);
-        loads.sent(gateway.now());
-        loads.begin_reading(chain, want.prompt);
+        loads.add_request(chain, tokens);
+        loads.record_dispatch(gateway.now());
+        loads.add_prefill(chain, want.prompt_tokens);
         Self {
             gateway,
             chain,
-            prompt: Cell::new(want.prompt),
+            prompt: Cell::new(want.prompt_tokens),
             tokens,
         }
     }
@@ -37,7 +37,7 @@
         let prompt = self.prompt.take();
         if prompt > 0.0 {
             let mut loads = self.gateway.loads.borrow_mut();
-            loads.end_reading(self.chain, prompt);
+            loads.remove_prefill(self.chain, prompt);
         }
     }
 }
@@ -45,6 +45,9 @@
 impl Drop for OnChain<'_> {
     fn drop(&mut self) {
         self.read();
-        self.gateway.loads.borrow_mut().end(self.chain, self.tokens);
+        self.gateway
+            .loads
+            .borrow_mut()
+            .remove_request(self.chain, self.tokens);
     }
 }
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -9,7 +9,7 @@
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
 use dragonflyrill_fleet::{
-    chains::{Chain, Part},
+    chains::{Chain, Stage},
     endpoints::Endpoint,
     probing::{Doubt, Next, ProbeSchedule},
 };
@@ -86,8 +86,8 @@
     log::info!(target: "forward", chain = chain.to_string(), doubt:? = doubt; "A chain is in doubt and is probed.");
     let (ended, done) = watch::channel(false);
     going_on.insert(chain.key, done.clone());
-    let asked = chain.parts.iter().filter(|p| ids.contains(&p.id));
-    let asked: Vec<Part> = asked.cloned().collect();
+    let asked = chain.stages.iter().filter(|p| ids.contains(&p.id));
+    let asked: Vec<Stage> = asked.cloned().collect();
     let gateway = gateway.clone();
     actix_rt::spawn(async move {
         future::join_all(asked.iter().map(|part| probe(&gateway, part))).await;
@@ -104,9 +104,9 @@
     }
 }
 
-async fn probe(gateway: &Rc<Gateway>, part: &Part) {
+async fn probe(gateway: &Rc<Gateway>, part: &Stage) {
     let prober = &gateway.prober;
-    if gateway.directory.borrow().is_lost(&part.id) {
+    if gateway.directory.borrow().is_unresponsive(&part.id) {
         return;
     }
     let reply = answer(gateway, part).await;
@@ -118,14 +118,18 @@
         let now = gateway.now();
         prober.schedule.borrow_mut().answered(&part.id, now);
         let mut directory = gateway.directory.borrow_mut();
-        if directory.paced(&part.id, report.pace, now) {
+        if directory.record_slowdown(&part.id, report.pace, now) {
             log::info!(target: "fleet", endpoint = &*part.id, pace = report.pace; "Endpoint is slow.");
             actix_rt::spawn(ask_until_well(gateway.clone(), Asked::of(part), BACK));
         }
         return;
     }
     let now = gateway.now();
-    if gateway.directory.borrow_mut().lost(&part.id, now) {
+    if gateway
+        .directory
+        .borrow_mut()
+        .record_unresponsive(&part.id, now)
+    {
         log::info!(target: "fleet", endpoint = &*part.id; "Endpoint does not answer and is avoided.");
         gateway.prober.changed();
         actix_rt::spawn(ask_until_well(gateway.clone(), Asked::of(part), BACK));
@@ -148,7 +152,7 @@
 }
 
 impl Asked {
-    fn of(part: &Part) -> Self {
+    fn of(part: &Stage) -> Self {
         Self {
             id: part.id.clone(),
             addr: part.addr,
@@ -179,7 +183,7 @@
 }
 
 /// What a part answers to one of two calls; it is silent only if it answers neither.
-async fn answer(gateway: &Gateway, part: &Part) -> Reply {
+async fn answer(gateway: &Gateway, part: &Stage) -> Reply {
     let first = std::pin::pin!(ask(gateway, &part.id, part.addr));
     let second = std::pin::pin!(async {
         time::sleep(SECOND).await;
@@ -202,7 +206,7 @@
     let mut pause = first;
     loop {
         time::sleep(pause).await;
-        if !gateway.directory.borrow().listed(&part.id) {
+        if !gateway.directory.borrow().is_active(&part.id) {
             return;
         }
         let report = match ask(&gateway, &part.id, part.addr).await {
@@ -215,26 +219,26 @@
         pause = LONGEST_BACK.min(pause * 2).max(BACK);
         let now = gateway.now();
         let mut directory = gateway.directory.borrow_mut();
-        let lost = directory.is_lost(&part.id);
+        let lost = directory.is_unresponsive(&part.id);
         let listed = directory.get(&part.id).and_then(|e| e.layers);
         match report {
             // It has started again behind a cut, and its entry is that of before.
             Some(report) if lost && report.layers != listed => {
-                directory.lost(&part.id, now);
+                directory.record_unresponsive(&part.id, now);
                 pause = BACK;
             }
             Some(report) => {
-                directory.paced(&part.id, report.pace, now);
+                directory.record_slowdown(&part.id, report.pace, now);
                 if lost {
                     log::info!(target: "fleet", endpoint = &*part.id; "Endpoint answers again.");
-                    directory.succeeded(&part.id);
+                    directory.record_success(&part.id);
                 }
-                if directory.pace(&part.id, now) <= 1.0 {
+                if directory.slowdown_factor(&part.id, now) <= 1.0 {
                     return;
                 }
             }
             None if lost => {
-                directory.lost(&part.id, now);
+                directory.record_unresponsive(&part.id, now);
             }
             None => {}
         }
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -61,7 +61,7 @@
     /// An endpoint that has left since it was chosen.
     fn left(&self, directory: &Directory) -> Option<&Rc<str>> {
         let mut parts = self.parts.iter().copied();
-        parts.find(|id| !directory.listed(id))
+        parts.find(|id| !directory.is_active(id))
     }
 
     /// What becomes of a send that is given up on the way: it may have run as soon as a byte has left.
@@ -135,7 +135,10 @@
     let opened = connection::open_within(target.addr, &gateway.codec, CONNECT.min(limit)).await;
     opened.map_err(|e| {
         let now = gateway.now();
-        gateway.directory.borrow_mut().failed(target.id, now);
+        gateway
+            .directory
+            .borrow_mut()
+            .record_failure(target.id, now);
         Failed::NotSent(format!("connecting failed: {e}"))
     })
 }
@@ -178,8 +181,8 @@
     let at_once = !misdirected && after < AT_ONCE;
     let full = at_once && fill(gateway, &directory, &id, now) > MAY_BE_FULL;
     match full {
-        true => gateway.loads.borrow_mut().refused(&id, now),
-        false => directory.failed(&id, now),
+        true => gateway.loads.borrow_mut().record_refusal(&id, now),
+        false => directory.record_failure(&id, now),
     }
 }
 
@@ -191,7 +194,7 @@
         let service = catalogue.as_ref()?.service(&endpoint.service)?;
         service.engine.as_ref()?.capacity(endpoint)
     };
-    let taken = gateway.loads.borrow().at(id, now).token_layers;
+    let taken = gateway.loads.borrow().load_at(id, now).token_layers;
     capacity().map_or(0.0, |capacity| taken / capacity.max(1.0))
 }
 
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -10,7 +10,7 @@
     adaptive_timeout::Run,
     catalogue::Engine,
     chains::Chain,
-    choice::{self, Chosen, Want},
+    choice::{self, Choice, RequestDemand},
     layers::LayerRange,
 };
 use rand::Rng;
@@ -93,7 +93,7 @@
 struct Planned {
     chain: Chain,
     /// What the run needs.
-    want: Want,
+    want: RequestDemand,
     /// Until its first event, as expected.
     expected_first: Duration,
     /// How full its fullest part is taken to be.
@@ -163,7 +163,7 @@
 
     /// Notes if an endpoint has ended under a run that failed, before another one gets it.
     async fn note_end(&self, chain: &Chain, failed: &Failed) {
-        let parts = chain.parts.iter();
+        let parts = chain.stages.iter();
         let ran: Vec<ended::Ran<'_>> = parts
             .map(|part| ended::Ran {
                 id: &part.id,
@@ -181,53 +181,56 @@
         let want = self.want(engine);
         let loads = gateway.loads.borrow();
         let without_permit = gateway.without_permit(&self.admitted.service.name);
-        let permitted = |chain: &Chain| !chain.parts.iter().any(|p| without_permit.contains(&p.id));
+        let permitted =
+            |chain: &Chain| !chain.stages.iter().any(|p| without_permit.contains(&p.id));
         let untried = |chain: &Chain| !self.tried.contains(&chain.key) && permitted(chain);
-        let with_room = |chain: &Chain| untried(chain) && !loads.full(chain, now);
+        let with_room = |chain: &Chain| untried(chain) && !loads.is_full(chain, now);
         let draw = rand::rng().random();
         let chosen = choice::choose(&chains, &loads, &want, now, draw, with_room)
             .or_else(|| choice::choose(&chains, &loads, &want, now, draw, untried));
-        let Some(Chosen { place, expected }) = chosen else {
+        let Some(Choice { index, estimate }) = chosen else {
             if !chains.is_empty() && !without_permit.is_empty() {
                 self.tries.not_sent(Refusal::AtLimit);
             }
             return None;
         };
-        if expected.fill > MOST_FILL {
+        if estimate.memory_fill > MOST_FILL {
             let short = Refusal::NoEndpoint("memory is short everywhere");
             self.tries.not_sent(short);
             return None;
         }
         Some(Planned {
-            chain: chains[place].clone(),
+            chain: chains[index].clone(),
             want,
-            expected_first: Duration::from_secs_f64(expected.first_ms.max(0.0) / 1000.0),
-            expected_fill: expected.fill,
+            expected_first: Duration::from_secs_f64(estimate.first_event_ms.max(0.0) / 1000.0),
+            expected_fill: estimate.memory_fill,
         })
     }
 
     /// What the next run needs.
-    fn want(&self, engine: &Engine) -> Want {
+    fn want(&self, engine: &Engine) -> RequestDemand {
         let Incoming {
             tokens,
             answer_guess,
             ..
         } = self.admitted.incoming;
-        let prompt = tokens.map_or(engine.usual_prompt, |(prompt, _)| f64::from(prompt));
+        let prompt_tokens = tokens.map_or(engine.typical_prompt_tokens, |(prompt, _)| {
+            f64::from(prompt)
+        });
         let most = tokens.map_or(f64::INFINITY, |(_, most)| f64::from(most));
         let route = &self.admitted.route;
         let on_time = match self.last_event_at {
             Some(at) => at + route.gap_target,
-            None => self.admitted.at + route.target,
+            None => self.admitted.at + route.latency_target,
         };
         let left = on_time.saturating_duration_since(Instant::now());
-        Want {
-            prompt,
-            answer: answer_guess
-                .map_or(engine.usual_answer, f64::from)
+        RequestDemand {
+            prompt_tokens,
+            answer_tokens: answer_guess
+                .map_or(engine.typical_answer_tokens, f64::from)
                 .min(most),
-            target_ms: ms(left.max(LEAST_LEFT)),
-            gap_ms: ms(route.gap_target),
+            first_event_target_ms: ms(left.max(LEAST_LEFT)),
+            max_gap_ms: ms(route.gap_target),
             tokens_per_event: engine.tokens_per_event,
         }
     }
@@ -238,7 +241,7 @@
         Run {
             began: false,
             more: self.admitted.may_go_on(&self.tries),
-            target: route.target,
+            target: route.latency_target,
             gap: route.gap_target,
             expected_first: planned.expected_first,
             before: self.last_event_at.unwrap_or(self.admitted.at).elapsed(),
@@ -254,12 +257,12 @@
         let chain = &planned.chain;
         let on = OnChain::new(gateway, chain, &planned.want);
         let hops: Vec<(SocketAddr, LayerRange)> =
-            chain.parts.iter().map(|p| (p.addr, p.layers)).collect();
-        let parts: Vec<&Rc<str>> = chain.parts.iter().map(|p| &p.id).collect();
+            chain.stages.iter().map(|p| (p.addr, p.layers)).collect();
+        let parts: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
         let target = Target {
-            id: &chain.first().id,
-            name: &chain.first().name,
-            addr: chain.first().addr,
+            id: &chain.first_stage().id,
+            name: &chain.first_stage().name,
+            addr: chain.first_stage().addr,
             chain: &hops,
             parts: &parts,
             after_event: self.events.last(),
@@ -287,7 +290,7 @@
         };
         if begun.head.status.is_server_error() {
             let now = gateway.now();
-            gateway.directory.borrow_mut().erred(target.id, now);
+            gateway.directory.borrow_mut().record_error(target.id, now);
             if self.admitted.may_go_on(&self.tries) {
                 let why = format!("{} of its own", begun.head.status.as_u16());
                 return Ok(RunEnd::Failed(Failed::MayHaveRun(why)));
@@ -300,7 +303,10 @@
         if let RunEnd::Complete(_) = end {
             gateway.survived(self.admitted.fingerprint());
             let mut directory = gateway.directory.borrow_mut();
-            chain.parts.iter().for_each(|p| directory.succeeded(&p.id));
+            chain
+                .stages
+                .iter()
+                .for_each(|p| directory.record_success(&p.id));
         }
         Ok(end)
     }
@@ -372,7 +378,7 @@
         }
         out.end().await?;
         if begun.connection.reusable() {
-            let addr = watch.chain.first().addr;
+            let addr = watch.chain.first_stage().addr;
             self.gateway
                 .keep(addr, begun.connection, &self.admitted.service);
         }
@@ -393,7 +399,7 @@
             return false;
         };
         let now = self.gateway.now();
-        let full = self.gateway.loads.borrow().full(&planned.chain, now);
+        let full = self.gateway.loads.borrow().is_full(&planned.chain, now);
         let room = planned.expected_fill <= 1.0 && !full;
         room && self.gateway.may_repeat(name)
     }
--- a/crates/gateway/src/forward/trail.rs
+++ b/crates/gateway/src/forward/trail.rs
@@ -179,7 +179,7 @@
             id: id.to_owned(),
             kind,
             at,
-            target: route.target,
+            target: route.latency_target,
             gap_target: route.gap_target,
             last_event: Cell::new(None),
             longest_pause: Cell::new(Duration::ZERO),
--- a/crates/gateway/src/forward/watch.rs
+++ b/crates/gateway/src/forward/watch.rs
@@ -74,11 +74,14 @@
 
     fn over_part(&self) -> bool {
         let directory = self.gateway.directory.borrow();
-        self.chain.parts.iter().any(|p| directory.is_over(&p.id))
+        self.chain.stages.iter().any(|p| directory.has_ended(&p.id))
     }
 
     fn lost_part(&self) -> bool {
         let directory = self.gateway.directory.borrow();
-        self.chain.parts.iter().any(|p| directory.is_lost(&p.id))
+        self.chain
+            .stages
+            .iter()
+            .any(|p| directory.is_unresponsive(&p.id))
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,7 +24,7 @@
     endpoint_limits::EndpointLimits,
     endpoints::Directory,
     freshness::Freshness,
-    outage::Outage,
+    outage::StoreOutage,
     quarantine::Quarantine,
     share,
     store_access::Access,
@@ -129,7 +129,7 @@
     /// How this host's own reads of the store have ended.
     access: watch::Sender<Access>,
     /// The last trouble with the store in which entries can have lapsed.
-    pub outage: RefCell<Outage>,
+    pub outage: RefCell<StoreOutage>,
     /// The other hosts.
     pub peers: Peers,
     /// Whether any request has come.
@@ -155,7 +155,7 @@
         let lines = LineBudget::new(settings.logged_per_s);
         let bounds = Bounds::new(settings.retries);
         let quarantine = Quarantine::new(settings.request_hold);
-        let outage = Outage::new(settings.endpoint_heartbeat);
+        let outage = StoreOutage::new(settings.endpoint_heartbeat);
         Rc::new(Self {
             settings,
             platform,
@@ -200,13 +200,13 @@
 
     /// Whether the catalogue may be acted on.
     pub fn fresh(&self) -> bool {
-        self.freshness.get().fresh(self.now())
+        self.freshness.get().is_fresh(self.now())
     }
 
     /// A read sent at `sent_at` has shown that the catalogue is the newest.
     pub fn proven(&self, sent_at: Duration) {
         let mut freshness = self.freshness.get();
-        freshness.proven(sent_at);
+        freshness.record_proof(sent_at);
         self.freshness.set(freshness);
     }
 
@@ -217,18 +217,18 @@
 
     /// How old the proof is that the catalogue is the newest.
     pub fn proof_age(&self) -> Option<Duration> {
-        self.freshness.get().age(self.now())
+        self.freshness.get().proof_age(self.now())
     }
 
     /// Brings the gauges up to date.
     pub fn observe(&self) {
         let metrics = &self.metrics;
         let now = self.now();
-        let states = self.directory.borrow().states(now);
+        let states = self.directory.borrow().counts(now);
         for (state, n) in [
             ("usable", states.usable),
             ("avoided", states.avoided),
-            ("leaving", states.leaving),
+            ("leaving", states.draining),
         ] {
             metrics.endpoints.with_label_values(&[state]).set(n);
         }
@@ -374,11 +374,11 @@
         let usable = directory
             .iter()
             .filter(|e| e.service == *service && directory.usable(&e.id, now));
-        let paced = usable.map(|e| (&**e, directory.pace(&e.id, now)));
+        let paced = usable.map(|e| (&**e, directory.slowdown_factor(&e.id, now)));
         let chains = Rc::new(chains::find(engine, paced));
         let entry = FoundChains {
             generation: directory.generation(),
-            until: directory.next_return(now),
+            until: directory.next_expiry(now),
             chains: chains.clone(),
         };
         found.insert(service.clone(), entry);
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use dragonflyrill_fleet::{
-    endpoints::{Endpoint, Put},
+    endpoints::{Endpoint, PutOutcome},
     incarnations,
 };
 
@@ -32,12 +32,12 @@
         let mut directory = self.directory.borrow_mut();
         let put = directory.put(endpoint, self.now());
         match &put {
-            Put::Nothing => return,
-            Put::Late => {
+            PutOutcome::Unchanged => return,
+            PutOutcome::Outdated => {
                 log::info!(target: "fleet", endpoint = &*id; "An entry of an endpoint that has ended is not taken.");
                 return;
             }
-            Put::Foreign => {
+            PutOutcome::Foreign => {
                 drop(directory);
                 self.ignore_entry(UnusableEntry {
                     name,
@@ -47,14 +47,14 @@
                 });
                 return;
             }
-            Put::InPlaceOf(ended) => ended.iter().for_each(|e| self.ended(e, &id)),
-            Put::Listed | Put::Returned => {}
+            PutOutcome::Replaced(ended) => ended.iter().for_each(|e| self.ended(e, &id)),
+            PutOutcome::Listed | PutOutcome::Relisted => {}
         }
         let Some(listed) = directory.get(&id) else {
             return;
         };
         log_listed(listed);
-        if put == Put::Returned {
+        if put == PutOutcome::Relisted {
             log::info!(target: "fleet", endpoint = &*id; "Endpoint is listed again and must answer first.");
             forward::prove(self, listed);
         }
@@ -76,14 +76,15 @@
     /// over, and the engine is what it reports.
     pub fn reported(self: &Rc<Self>, id: &str, report: &EngineReport) {
         let known = self.directory.borrow().get(id).cloned();
-        let Some(known) = known.filter(|e| e.born.is_some() && report.born > e.born) else {
+        let Some(known) = known.filter(|e| e.started_at.is_some() && report.born > e.started_at)
+        else {
             return;
         };
         self.list_endpoint(Endpoint {
             id: incarnations::id(&known.name, report.born),
-            born: report.born,
+            started_at: report.born,
             layers: report.layers,
-            leaving: false,
+            draining: false,
             ..(*known).clone()
         });
     }
@@ -91,7 +92,7 @@
     /// An entry names no endpoint to use: what was listed under its name is not used any more. What is
     /// under way there goes on.
     pub fn ignore_entry(&self, entry: UnusableEntry) {
-        let listed = self.directory.borrow().named(&entry.name).cloned();
+        let listed = self.directory.borrow().by_name(&entry.name).cloned();
         if let Some(endpoint) = &listed {
             self.forget_endpoint(&endpoint.id);
         }
@@ -140,7 +141,7 @@
         data_centre = &*endpoint.data_centre,
         accelerator = endpoint.accelerator.as_deref().unwrap_or("-"),
         layers = layers.as_deref().unwrap_or("-"),
-        leaving = endpoint.leaving;
+        leaving = endpoint.draining;
         "Endpoint is listed."
     );
 }
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -16,7 +16,9 @@
         heard[on as usize] = before.max(Some(at));
         self.heard_at.set(heard);
         if on == On::List {
-            self.outage.borrow_mut().heard(at, before, self.now());
+            self.outage
+                .borrow_mut()
+                .record_list_update(at, before, self.now());
         }
         if !fresh && self.reads_well() {
             // The hosts that wait hear of it at once, and not with the next call.
@@ -71,7 +73,7 @@
 
     /// The store is in trouble, as far as this host knows.
     pub fn store_troubled(&self) {
-        self.outage.borrow_mut().troubled(self.now());
+        self.outage.borrow_mut().record_failure(self.now());
     }
 
     /// Whether this host reads the store itself and the store does not count as away for it.
--- a/crates/gateway/src/http/callers.rs
+++ b/crates/gateway/src/http/callers.rs
@@ -206,14 +206,14 @@
     let request = loop {
         let came = buf.len();
         match codec.decode(buf) {
-            Ok(Some(Message::Item(_))) if came - buf.len() > limits.head_bytes => {
+            Ok(Some(Message::Item(_))) if came - buf.len() > limits.max_head_bytes => {
                 return Err(too_large);
             }
             Ok(Some(Message::Item(request))) => break request,
             Ok(_) => {}
             Err(_) => return Err(NoRequest::Refused(StatusCode::BAD_REQUEST)),
         }
-        if buf.len() > limits.head_bytes {
+        if buf.len() > limits.max_head_bytes {
             return Err(too_large);
         }
         match fill(io, buf, until.saturating_duration_since(Instant::now())).await {
@@ -250,7 +250,7 @@
     let length = request.head().headers.get(header::CONTENT_LENGTH);
     let length: Option<usize> = length.and_then(|l| l.to_str().ok()?.trim().parse().ok());
     let too_large = Err(NoRequest::Refused(StatusCode::PAYLOAD_TOO_LARGE));
-    if length.is_some_and(|l| l > limits.body_bytes) {
+    if length.is_some_and(|l| l > limits.max_body_bytes) {
         return too_large;
     }
     if request.head().expect() && buf.is_empty() {
@@ -263,7 +263,7 @@
         let piece = codec.decode(buf);
         match piece.map_err(|_| NoRequest::Refused(StatusCode::BAD_REQUEST))? {
             Some(Message::Chunk(Some(piece))) => {
-                if whole.len() + piece.len() > limits.body_bytes {
+                if whole.len() + piece.len() > limits.max_body_bytes {
                     return too_large;
                 }
                 whole.extend_from_slice(&piece);
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -5,7 +5,7 @@
 use dragonflyrill_fleet::{
     choice::LoadMap,
     endpoints::Endpoint,
-    incarnations::{self, Born},
+    incarnations::{self, StartTime},
     layers::LayerRange,
     store_access::{self, Role, Told},
 };
@@ -237,7 +237,10 @@
         // A host that comes later knows less of the loads: the first is told them by all the others.
         if host.host < gateway.settings.host {
             let loads = from_wire(&news.loads);
-            gateway.loads.borrow_mut().told(loads, gateway.now());
+            gateway
+                .loads
+                .borrow_mut()
+                .apply_update(loads, gateway.now());
         }
         self.take(news, sent_at, age);
         Some(told)
@@ -287,7 +290,7 @@
             peers.set_lease(news.lease);
         }
         let told = avoided_from_wire(&news.avoided);
-        gateway.directory.borrow_mut().told_avoided(told, now);
+        gateway.directory.borrow_mut().apply_peer_avoided(told, now);
     }
 
     /// Exchanges loads with the reading hosts of the other data centres.
@@ -313,7 +316,7 @@
         }
         let now = gateway.now();
         let others = peers.sum(now, |_, _| true);
-        gateway.loads.borrow_mut().told(others, now);
+        gateway.loads.borrow_mut().apply_update(others, now);
     }
 
     fn offer(&self, loads: &LoadMap, near: bool) -> Offer {
@@ -430,7 +433,7 @@
         let directory = gateway.directory.borrow();
         let doubted = list.doubted.iter().filter_map(|id| directory.get(id));
         let listed = list.changed.iter().map(|l| &*l.name);
-        directory.others(listed.chain(doubted.map(|e| &*e.name)))
+        directory.ids_except(listed.chain(doubted.map(|e| &*e.name)))
     } else {
         list.removed
             .iter()
@@ -453,7 +456,7 @@
     gateway
         .directory
         .borrow_mut()
-        .known_up_to(gateway.list_mark.get());
+        .record_revision(gateway.list_mark.get());
 }
 
 /// Whether one of some endpoints is another start of the one with an id, or listens at its address, and that
@@ -471,16 +474,16 @@
 }
 
 fn endpoint(listed: Listed) -> Endpoint {
-    let born = listed.born_ms.map(Born);
+    let started_at = listed.born_ms.map(StartTime);
     Endpoint {
-        id: incarnations::id(&listed.name, born),
+        id: incarnations::id(&listed.name, started_at),
         name: listed.name.into(),
-        born,
+        started_at,
         service: listed.service.into(),
         addr: listed.addr,
         data_centre: listed.data_centre.into(),
         slots: listed.slots,
-        leaving: listed.leaving,
+        draining: listed.leaving,
         accelerator: listed.accelerator.map(Into::into),
         layers: listed
             .layers
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -24,7 +24,7 @@
 use dragonflyrill_fleet::{
     choice::{Load, LoadMap},
     endpoint_limits,
-    endpoints::Avoided,
+    endpoints::AvoidedEndpoint,
     store_access::Turns,
 };
 use dragonflyrill_protocol::exchange::{self, EndpointLoad, FleetHost, LeaseRow, ListMark};
@@ -48,7 +48,7 @@
     from: FleetHost,
     loads: LoadMap,
     /// What it avoided then.
-    avoided: Vec<Avoided>,
+    avoided: Vec<AvoidedEndpoint>,
     /// When the store last answered it, if it reads the store itself.
     read_at: Option<Duration>,
     at: Duration,
@@ -249,15 +249,15 @@
     }
 
     /// What the hosts that told this one avoid, but for `host`, and for how long still.
-    fn avoided_but(&self, host: &str, now: Duration) -> Vec<Avoided> {
+    fn avoided_but(&self, host: &str, now: Duration) -> Vec<AvoidedEndpoint> {
         let heard = self.heard.borrow();
         let others = heard.iter().filter(|(h, _)| **h != *host);
         let avoided = others.flat_map(|(_, h)| h.avoided.iter().map(|a| (h.at, a)));
-        let left = avoided.map(|(at, a)| Avoided {
+        let left = avoided.map(|(at, a)| AvoidedEndpoint {
             id: a.id.clone(),
-            left: (at + a.left).saturating_sub(now),
+            remaining: (at + a.remaining).saturating_sub(now),
         });
-        left.filter(|a| !a.left.is_zero()).collect()
+        left.filter(|a| !a.remaining.is_zero()).collect()
     }
 }
 
@@ -288,18 +288,18 @@
     loads.iter().map(one).collect()
 }
 
-fn avoided_to_wire(avoided: &[Avoided]) -> Vec<exchange::Avoided> {
-    let one = |a: &Avoided| exchange::Avoided {
+fn avoided_to_wire(avoided: &[AvoidedEndpoint]) -> Vec<exchange::Avoided> {
+    let one = |a: &AvoidedEndpoint| exchange::Avoided {
         endpoint: a.id.to_string(),
-        left_ms: u32::try_from(a.left.as_millis()).unwrap_or(u32::MAX),
+        left_ms: u32::try_from(a.remaining.as_millis()).unwrap_or(u32::MAX),
     };
     avoided.iter().map(one).collect()
 }
 
-fn avoided_from_wire(avoided: &[exchange::Avoided]) -> Vec<Avoided> {
-    let one = |a: &exchange::Avoided| Avoided {
+fn avoided_from_wire(avoided: &[exchange::Avoided]) -> Vec<AvoidedEndpoint> {
+    let one = |a: &exchange::Avoided| AvoidedEndpoint {
         id: Rc::from(a.endpoint.as_str()),
-        left: Duration::from_millis(a.left_ms.into()),
+        remaining: Duration::from_millis(a.left_ms.into()),
     };
     avoided.iter().map(one).collect()
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dragonflyrill_fleet::{
     choice::LoadMap,
-    endpoints::{Avoided, Endpoint},
+    endpoints::{AvoidedEndpoint, Endpoint},
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
@@ -105,7 +105,7 @@
         log::info!(target: "peers", host = from; "A host is to try the store.");
     }
     let told = peers.avoided_but(&gateway.settings.host, now);
-    gateway.directory.borrow_mut().told_avoided(told, now);
+    gateway.directory.borrow_mut().apply_peer_avoided(told, now);
     let loads = match same {
         true => loads_but(gateway, from),
         false => own_data_centre(gateway),
@@ -116,7 +116,7 @@
         CatalogueNews::Follows => (None, true),
     };
     // What proves this host's catalogue says nothing of the older one that the other host keeps meanwhile.
-    let age = gateway.freshness.get().age(now).filter(|_| !follows);
+    let age = gateway.freshness.get().proof_age(now).filter(|_| !follows);
     News {
         proof_age_us: age.map(|a| a.as_micros() as u64),
         heard_age_us: gateway.heard_age().map(|a| a.as_micros() as u64),
@@ -169,7 +169,7 @@
 }
 
 /// What the hosts of this data centre but one avoid by what they saw themselves.
-fn avoided_but(gateway: &Gateway, host: &str) -> Vec<Avoided> {
+fn avoided_but(gateway: &Gateway, host: &str) -> Vec<AvoidedEndpoint> {
     let now = gateway.now();
     let mut all = gateway.directory.borrow().avoided(now);
     all.extend(gateway.peers.avoided_but(host, now));
@@ -201,10 +201,10 @@
     let directory = gateway.directory.borrow();
     let known = match mark.origin == origin {
         true => Some(mark.version),
-        false => known_to.and_then(|at| directory.version_at(at)),
+        false => known_to.and_then(|at| directory.version_at_revision(at)),
     };
     let changes = directory.changes_since(known);
-    if changes.whole && changes.changed.len() > MOST_TOLD_WHOLE {
+    if changes.complete && changes.changed.len() > MOST_TOLD_WHOLE {
         return None;
     }
     let doubted = gateway.doubted.borrow();
@@ -218,7 +218,7 @@
             version: changes.version,
         },
         store_mark: gateway.list_mark.get(),
-        whole: changes.whole,
+        whole: changes.complete,
         changed: certain.map(|e| listed(e)).collect(),
         doubted: doubted.keys().map(ToString::to_string).collect(),
         removed: changes.removed.iter().map(ToString::to_string).collect(),
@@ -228,12 +228,12 @@
 fn listed(endpoint: &Endpoint) -> Listed {
     Listed {
         name: endpoint.name.to_string(),
-        born_ms: endpoint.born.map(|b| b.0),
+        born_ms: endpoint.started_at.map(|b| b.0),
         service: endpoint.service.to_string(),
         addr: endpoint.addr,
         data_centre: endpoint.data_centre.to_string(),
         slots: endpoint.slots,
-        leaving: endpoint.leaving,
+        leaving: endpoint.draining,
         accelerator: endpoint.accelerator.as_deref().map(str::to_owned),
         layers: endpoint.layers.map(|l| (l.first, l.end)),
     }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -34,9 +34,9 @@
     /// What goes with a call to a host.
     pub(super) fn offer(&self, addr: SocketAddr, gateway: &Gateway) -> Offered {
         let sync = self.0.get(&addr).copied().unwrap_or_default();
-        let Cursor { origin, version } = sync.heard();
+        let Cursor { origin, version } = sync.received();
         let quarantine = gateway.quarantine.borrow();
-        let changed = quarantine.changes_since(sync.told(), gateway.now());
+        let changed = quarantine.changes_since(sync.acknowledged(), gateway.now());
         Offered {
             known: ListMark { origin, version },
             suspects: changed.iter().map(to_wire).collect(),
@@ -47,12 +47,12 @@
     /// The call was answered, with all that the other host knows up to a mark of its own.
     pub(super) fn answered(&mut self, addr: SocketAddr, offered: &Offered, mark: ListMark) {
         let sync = self.0.entry(addr).or_default();
-        sync.answered(offered.version, cursor(mark));
+        sync.record_response(offered.version, cursor(mark));
     }
 
     /// The call was not answered.
     pub(super) fn failed(&mut self, addr: SocketAddr) {
-        self.0.entry(addr).or_default().failed();
+        self.0.entry(addr).or_default().reset();
     }
 }
 
@@ -64,7 +64,7 @@
 /// What a host lacks that knows this one's suspects up to a mark.
 pub(super) fn news(gateway: &Gateway, known: ListMark) -> SuspectNews {
     let origin = gateway.peers.list_origin(&gateway.settings.host);
-    let since = cursor(known).known_of(origin);
+    let since = cursor(known).known_version(origin);
     let quarantine = gateway.quarantine.borrow();
     let changed = quarantine.changes_since(since, gateway.now());
     SuspectNews {
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -6,8 +6,8 @@
 use actix_http::{RequestHead, ResponseHead, header::HeaderMap};
 use bytes::Bytes;
 use dragonflyrill_fleet::{
-    catalogue::Catalogue, endpoint_limits::RequestRate, endpoints::Endpoint, incarnations::Born,
-    layers::LayerRange,
+    catalogue::Catalogue, endpoint_limits::RequestRate, endpoints::Endpoint,
+    incarnations::StartTime, layers::LayerRange,
 };
 use dragonflyrill_store::PlatformError;
 use futures_util::future::LocalBoxFuture;
@@ -265,7 +265,7 @@
     /// How many times slower it is than its accelerator should be.
     pub pace: f64,
     /// When it started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
 }
 
 /// Orders to model engines.
--- a/crates/standins/src/engine/config.rs
+++ b/crates/standins/src/engine/config.rs
@@ -88,12 +88,12 @@
         Endpoint {
             id: self.id.as_str().into(),
             name: self.id.as_str().into(),
-            born: None,
+            started_at: None,
             service: self.model.as_str().into(),
             addr,
             data_centre: self.data_centre.as_str().into(),
             slots: self.max_sessions as u32,
-            leaving: false,
+            draining: false,
             accelerator: Some(self.accelerator.as_str().into()),
             layers: LayerRange::new(self.layers.first, self.layers.end),
         }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -105,7 +105,7 @@
         Some(Endpoint {
             service: now.model.into(),
             layers: LayerRange::new(now.layers.first, now.layers.end),
-            leaving: now.leaving,
+            draining: now.leaving,
             ..state.engine.config().listing(addr)
         })
     }
--- a/crates/standins/src/service/mod.rs
+++ b/crates/standins/src/service/mod.rs
@@ -54,12 +54,12 @@
         Endpoint {
             id: self.id.as_str().into(),
             name: self.id.as_str().into(),
-            born: None,
+            started_at: None,
             service: self.service.as_str().into(),
             addr,
             data_centre: self.data_centre.as_str().into(),
             slots: self.max_running as u32,
-            leaving: false,
+            draining: false,
             accelerator: None,
             layers: None,
         }
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -67,7 +67,7 @@
 
     fn listing(&self, addr: SocketAddr) -> Option<Endpoint> {
         Some(Endpoint {
-            leaving: self.lock().leaving,
+            draining: self.lock().leaving,
             ..self.cfg.listing(addr)
         })
     }
--- a/crates/standins/tests/register.rs
+++ b/crates/standins/tests/register.rs
@@ -54,7 +54,7 @@
         common::send("POST", engine.addr(), "/standin/leave", &[], Vec::new())
             .await
             .expect("ok");
-        until(store, |list| list[0].leaving).await;
+        until(store, |list| list[0].draining).await;
         tx.send(()).expect("still registered");
     };
     let (result, ()) = future::join(registered, watched).await;
