--- a/crates/fleet/src/chains.rs
+++ b/crates/fleet/src/chains.rs
@@ -84,7 +84,7 @@
 
     /// Whether the endpoint is a stage of the chain.
     pub fn uses(&self, id: &str) -> bool {
-        self.stages.iter().any(|p| &*p.id == id)
+        self.stages.iter().any(|stage| &*stage.id == id)
     }
 }
 
@@ -210,22 +210,23 @@
     engine: &Engine,
     endpoints: impl Iterator<Item = (&'a Endpoint, f64)>,
 ) -> Vec<Chain> {
-    let holders = endpoints.filter_map(|(e, slower)| endpoint_holder(engine, e, slower));
+    let holders =
+        endpoints.filter_map(|(e, slowdown_factor)| endpoint_holder(engine, e, slowdown_factor));
     let mut holders: Vec<EndpointHolder<'a>> = holders.collect();
     // The order breaks ties and must be the same on all hosts.
     holders.sort_by(|a, b| a.endpoint.id.cmp(&b.endpoint.id));
-    let mut centres: Vec<Rc<str>> = holders
+    let mut data_centres: Vec<Rc<str>> = holders
         .iter()
         .map(|h| h.endpoint.data_centre.clone())
         .collect();
-    centres.sort();
-    centres.dedup();
+    data_centres.sort();
+    data_centres.dedup();
     let mut chains = Vec::new();
-    for centre in centres {
+    for data_centre in data_centres {
         let (local, rest): (Vec<_>, Vec<_>) = holders
             .into_iter()
-            .partition(|h| h.endpoint.data_centre == centre);
-        find_in_data_centre(engine, &centre, &local, &mut chains);
+            .partition(|h| h.endpoint.data_centre == data_centre);
+        find_in_data_centre(engine, &data_centre, &local, &mut chains);
         holders = rest;
     }
     chains
@@ -234,12 +235,12 @@
 fn endpoint_holder<'a>(
     engine: &Engine,
     endpoint: &'a Endpoint,
-    slower: f64,
+    slowdown_factor: f64,
 ) -> Option<EndpointHolder<'a>> {
     let accelerator = engine.accelerator(endpoint.accelerator.as_deref()?)?;
     let mut layer_holder = LayerHolder::new(accelerator, endpoint.layers?);
-    layer_holder.step_factor *= slower;
-    layer_holder.prefill_factor *= slower;
+    layer_holder.step_factor *= slowdown_factor;
+    layer_holder.prefill_factor *= slowdown_factor;
     Some(EndpointHolder {
         endpoint,
         layer_holder,
@@ -248,7 +249,7 @@
 
 fn find_in_data_centre(
     engine: &Engine,
-    centre: &Rc<str>,
+    data_centre: &Rc<str>,
     holders: &[EndpointHolder<'_>],
     out: &mut Vec<Chain>,
 ) {
@@ -258,14 +259,14 @@
         let Some(path) = cheapest_cover(engine, &layer_holders) else {
             return;
         };
-        let chain = build_chain(engine, centre, holders, &path);
+        let chain = build_chain(engine, data_centre, holders, &path);
         for (i, _) in &path {
             layer_holders[*i].used_by_chains += 1;
         }
-        let fresh = path
+        let uses_new_endpoint = path
             .iter()
             .any(|(i, _)| layer_holders[*i].used_by_chains == 1);
-        if !fresh {
+        if !uses_new_endpoint {
             return;
         }
         out.push(chain);
@@ -297,7 +298,7 @@
     boundaries.dedup();
     let mut best: Vec<Option<PathStep>> = vec![None; end as usize + 1];
     for &at in boundaries.iter().take_while(|b| **b < end) {
-        let so_far = match (at, best[at as usize]) {
+        let cost_so_far = match (at, best[at as usize]) {
             (0, _) => 0.0,
             (_, Some(step)) => step.cost,
             (_, None) => continue,
@@ -312,7 +313,7 @@
                 .iter()
                 .filter(|b| **b > at && **b <= holder.layers.end);
             for &to in until {
-                let cost = so_far + HOP_MS + per_layer * f64::from(to - at);
+                let cost = cost_so_far + HOP_MS + per_layer * f64::from(to - at);
                 let known = &mut best[to as usize];
                 if known.is_none_or(|k| cost < k.cost) {
                     *known = Some(PathStep {
@@ -352,7 +353,7 @@
 
 fn build_chain(
     engine: &Engine,
-    centre: &Rc<str>,
+    data_centre: &Rc<str>,
     holders: &[EndpointHolder<'_>],
     path: &[(usize, LayerRange)],
 ) -> Chain {
@@ -378,7 +379,7 @@
     let stages: Vec<Stage> = path.iter().map(stage).collect();
     Chain {
         key: chain_key(&stages),
-        data_centre: centre.clone(),
+        data_centre: data_centre.clone(),
         stages,
         token_ms: estimate.token_ms,
         prefill_ms_per_token: estimate.prefill_ms_per_token,
--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/choice.rs
@@ -1,9 +1,9 @@
-//! Picks a chain for one request.
+//! Selects a chain for one request.
 //!
-//! Each endpoint has an account of the requests that run on it: those of this host, and what the
-//! other hosts last told of theirs. From these follow the time to the first event, the time between
-//! events and the memory that is taken on each part of a chain; the chain with the least expected
-//! time for the whole answer wins, one that would miss its targets only if no other is left.
+//! For each endpoint, a host tracks the load of its own requests and the load that the other hosts
+//! last reported. From these loads it estimates the time to the first event, the gap between events
+//! and the memory used at each stage of a chain. The chain with the shortest estimated total time
+//! is chosen. A chain that would miss its targets is chosen only if no other chain is left.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,43 +14,43 @@
     dispatch_rate::RecentDispatches,
 };
 
-/// For how long what other hosts told is taken as it is; it comes several times a second.
+/// Age up to which loads reported by other hosts are used; reports arrive several times a second.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
-/// For how long an endpoint that refused for want of memory gets nothing: about the time in which
-/// some of its requests end.
+/// Time for which an endpoint that refused a request for lack of memory gets no requests: about the
+/// time in which some of its requests end.
 const FULL_DURATION: Duration = Duration::from_millis(150);
-/// Steps in which requests that other hosts have sent meanwhile are put on chains at most: each costs one look
-/// at a chain.
+/// Maximum number of steps in which the unreported requests of other hosts are assigned to chains.
+/// Each step evaluates one chain again.
 const MAX_PLACEMENT_STEPS: f64 = 8.0;
-/// The part of an endpoint's memory that is planned with: answers differ widely in length.
+/// Fraction of an endpoint's memory that is planned with, because answer lengths vary widely.
 const PLANNED_MEMORY_FRACTION: f64 = 0.9;
 
-/// What a request needs.
+/// Resources and latency targets of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestDemand {
-    /// Tokens of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: f64,
-    /// Tokens of its answer, as expected.
+    /// Expected length of the answer, in tokens.
     pub answer_tokens: f64,
-    /// The time that is left for the first event to be on time, in ms; over zero.
+    /// Time left for the first event to meet its target, in ms; greater than zero.
     pub first_event_target_ms: f64,
-    /// The longest pause between events that is on time, in ms.
+    /// Longest gap between events that meets the target, in ms.
     pub max_gap_ms: f64,
-    /// Tokens in one event.
+    /// Tokens per event.
     pub tokens_per_event: f64,
 }
 
-/// The requests at one endpoint.
+/// Load of one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// How many run there.
+    /// Number of running requests.
     pub requests: f64,
-    /// Their tokens, each counted once for each layer that the endpoint runs.
+    /// Tokens of these requests, each counted once for each layer that the endpoint runs.
     pub token_layers: f64,
 }
 
 impl Load {
-    /// Both together.
+    /// Sum of two loads.
     pub fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests + other.requests,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Without the other's part; never below nothing.
+    /// Difference of two loads; each component is at least zero.
     pub fn minus(self, other: Self) -> Self {
         Self {
             requests: (self.requests - other.requests).max(0.0),
@@ -74,27 +74,28 @@
     }
 }
 
-/// Loads by endpoint.
+/// Loads by endpoint id.
 pub type LoadMap = FxHashMap<Rc<str>, Load>;
 
-/// The loads of all endpoints, as far as this host knows.
+/// Loads of all endpoints, as far as this host knows them.
 #[derive(Debug, Default)]
 pub struct Loads {
     own: LoadMap,
     others: LoadMap,
-    others_at: Option<Duration>,
-    /// Tokens of prompts that this host has sent to endpoints and that are still being read.
-    reading: FxHashMap<Rc<str>, f64>,
-    /// Endpoints that refused for want of memory, until when they count as full.
-    full: FxHashMap<Rc<str>, Duration>,
-    /// What this host has sent lately.
+    others_updated_at: Option<Duration>,
+    /// Prompt tokens that this host has sent to each endpoint and that are not prefilled yet.
+    prefill_tokens: FxHashMap<Rc<str>, f64>,
+    /// Endpoints that refused a request for lack of memory, with the time until which they count as
+    /// full.
+    full_until: FxHashMap<Rc<str>, Duration>,
+    /// Recent dispatches of this host.
     dispatches: RecentDispatches,
-    /// Hosts that send requests, this one included.
+    /// Number of hosts that send requests, including this one.
     pub hosts: u32,
 }
 
 impl Loads {
-    /// A request of this host with so many tokens begins on a chain.
+    /// Adds a request of this host with the given number of tokens to the stages of a chain.
     pub fn add_request(&mut self, chain: &Chain, tokens: f64) {
         for stage in &chain.stages {
             let load = self.own.entry(stage.id.clone()).or_default();
@@ -102,110 +103,111 @@
         }
     }
 
-    /// Such a request has ended.
+    /// Removes a request that was added by [`Self::add_request`].
     pub fn remove_request(&mut self, chain: &Chain, tokens: f64) {
         for stage in &chain.stages {
             let Some(load) = self.own.get_mut(&stage.id) else {
                 continue;
             };
             *load = load.minus(stage_load(tokens, stage.layers.count()));
-            // Nothing of a sum of fractions may stay behind.
+            // Clears rounding errors of the floating-point sum.
             if load.requests < 0.5 {
                 self.own.remove(&stage.id);
             }
         }
     }
 
-    /// A request of this host is sent.
+    /// Records that this host dispatched a request.
     pub fn record_dispatch(&mut self, now: Duration) {
         self.dispatches.record(now);
     }
 
-    /// Requests that the other hosts have sent since they told of theirs, about.
+    /// Estimates how many requests the other hosts have sent since they last reported their loads.
     fn unreported_requests(&self, now: Duration) -> f64 {
         let others = self.hosts.saturating_sub(1);
-        let age = self.others_at.map(|at| now.saturating_sub(at));
+        let age = self.others_updated_at.map(|at| now.saturating_sub(at));
         let age = age.filter(|age| *age < MAX_REPORT_AGE);
         self.dispatches.estimate_others(others, age, now)
     }
 
-    /// A chain begins to read so many tokens of a request of this host.
+    /// Adds prompt tokens of a request of this host that a chain starts to prefill.
     pub fn add_prefill(&mut self, chain: &Chain, tokens: f64) {
         for stage in &chain.stages {
-            *self.reading.entry(stage.id.clone()).or_default() += tokens;
+            *self.prefill_tokens.entry(stage.id.clone()).or_default() += tokens;
         }
     }
 
-    /// It has read them, or does so no more.
+    /// Removes prompt tokens whose prefill is complete or abandoned.
     pub fn remove_prefill(&mut self, chain: &Chain, tokens: f64) {
         for stage in &chain.stages {
-            let Some(reading) = self.reading.get_mut(&stage.id) else {
+            let Some(tokens_left) = self.prefill_tokens.get_mut(&stage.id) else {
                 continue;
             };
-            *reading -= tokens;
-            // Nothing of a sum of fractions may stay behind.
-            if *reading < 0.5 {
-                self.reading.remove(&stage.id);
+            *tokens_left -= tokens;
+            // Clears rounding errors of the floating-point sum.
+            if *tokens_left < 0.5 {
+                self.prefill_tokens.remove(&stage.id);
             }
         }
     }
 
-    /// How long a chain still reads what was sent before, in ms.
+    /// Time that a chain still needs to prefill the prompts sent earlier, in ms.
     ///
-    /// What the other hosts have sent in the same moment is not told yet. They are taken to have sent
-    /// as much as this one: after the loss of a chain all of them send their streams elsewhere at
-    /// once, and each by itself would find the next best chain idle.
+    /// What the other hosts have sent at the same moment is not reported yet, so they are assumed
+    /// to have sent as much as this host: after the loss of a chain, all hosts redirect their
+    /// streams at once, and each of them would consider the next best chain idle.
     fn prefill_wait_ms(&self, chain: &Chain) -> f64 {
         let ms = |stage: &Stage| {
-            self.reading.get(&stage.id).copied().unwrap_or(0.0) * stage.prefill_ms_per_token
+            self.prefill_tokens.get(&stage.id).copied().unwrap_or(0.0) * stage.prefill_ms_per_token
         };
         let own = chain.stages.iter().map(ms).fold(0.0, f64::max);
         own * f64::from(self.hosts.max(1))
     }
 
-    /// How long a chain still reads so many tokens that others have sent since they told of their loads, in ms.
+    /// Time that a chain still needs to prefill the given number of tokens, sent by other hosts
+    /// since they last reported their loads, in ms.
     fn unreported_prefill_ms(&self, chain: &Chain, tokens: f64, now: Duration) -> f64 {
         let since = self
-            .others_at
+            .others_updated_at
             .map_or(Duration::ZERO, |at| now.saturating_sub(at));
         let prefilled_meanwhile_ms = since.min(MAX_REPORT_AGE).as_secs_f64() * 1000.0;
         (tokens * chain.bottleneck_prefill_ms - prefilled_meanwhile_ms).max(0.0)
     }
 
-    /// What this host puts on endpoints.
+    /// Loads caused by the requests of this host.
     pub fn own(&self) -> &LoadMap {
         &self.own
     }
 
-    /// What the other hosts put on endpoints, as told at `now`.
+    /// Replaces the loads caused by the other hosts by those received at `now`.
     pub fn apply_update(&mut self, others: LoadMap, now: Duration) {
         self.others = others;
-        self.others_at = Some(now);
+        self.others_updated_at = Some(now);
     }
 
-    /// An endpoint refused for want of memory.
+    /// Records that an endpoint refused a request for lack of memory.
     pub fn record_refusal(&mut self, id: &Rc<str>, now: Duration) {
-        self.full.insert(id.clone(), now + FULL_DURATION);
+        self.full_until.insert(id.clone(), now + FULL_DURATION);
     }
 
-    /// Whether an endpoint of the chain has just refused for want of memory.
+    /// Whether an endpoint of the chain recently refused a request for lack of memory.
     pub fn is_full(&self, chain: &Chain, now: Duration) -> bool {
-        let full = |id: &Rc<str>| self.full.get(id).is_some_and(|until| *until > now);
-        chain.stages.iter().any(|p| full(&p.id))
+        let full = |id: &Rc<str>| self.full_until.get(id).is_some_and(|until| *until > now);
+        chain.stages.iter().any(|stage| full(&stage.id))
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Discards the state of an endpoint that is no longer listed.
     pub fn forget(&mut self, id: &str) {
-        self.full.remove(id);
+        self.full_until.remove(id);
         self.own.remove(id);
         self.others.remove(id);
     }
 
-    /// What all hosts put on an endpoint, as far as is known: if the others have not told of
-    /// theirs lately, they are taken to do as this one.
+    /// Load caused by all hosts on an endpoint, as far as known. Without a recent report, each
+    /// other host is assumed to cause the same load as this one.
     pub fn load_at(&self, id: &str, now: Duration) -> Load {
         let own = self.own.get(id).copied().unwrap_or_default();
-        match self.others_at {
+        match self.others_updated_at {
             Some(at) if at + MAX_REPORT_AGE > now => {
                 own.plus(self.others.get(id).copied().unwrap_or_default())
             }
@@ -221,21 +223,22 @@
     }
 }
 
-/// What a request may expect of a chain.
+/// Estimated service of a request by a chain.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// Until the first event, in ms.
+    /// Time to the first event, in ms.
     pub first_event_ms: f64,
-    /// Between events, in ms.
+    /// Gap between events, in ms.
     pub gap_ms: f64,
-    /// Until the end, in ms.
+    /// Time to the end of the answer, in ms.
     pub total_ms: f64,
-    /// The part of the chain's memory that is taken, this request included; over 1 is too much.
+    /// Fraction of the chain's usable memory that is used, including this request, at its fullest
+    /// stage; the request does not fit if it is above 1.
     pub memory_fill: f64,
 }
 
 impl Estimate {
-    /// Whether an answer would be on time.
+    /// Whether the answer meets its targets and fits into memory.
     fn meets_targets(&self, demand: &RequestDemand) -> bool {
         self.first_event_ms <= demand.first_event_target_ms
             && self.gap_ms <= demand.max_gap_ms
@@ -243,8 +246,8 @@
     }
 }
 
-/// What the request may expect of the chain under such loads, after `reading_ms` in which it reads
-/// what was sent before.
+/// Estimates the service of a request by a chain under the given loads, if the chain first spends
+/// `prefill_wait_ms` on prompts that were sent earlier.
 pub fn predict(
     chain: &Chain,
     demand: &RequestDemand,
@@ -259,17 +262,19 @@
         let load = load(stage);
         token_ms += stage.token_ms_per_request * load.requests;
         running = running.max(load.requests);
-        let taken = load.token_layers + demand_tokens * f64::from(stage.layers.count());
-        memory_fill = memory_fill.max(taken / (stage.capacity * PLANNED_MEMORY_FRACTION).max(1.0));
+        let used_token_layers = load.token_layers + demand_tokens * f64::from(stage.layers.count());
+        memory_fill = memory_fill
+            .max(used_token_layers / (stage.capacity * PLANNED_MEMORY_FRACTION).max(1.0));
     }
     let gap_ms = token_ms * demand.tokens_per_event;
-    // Prompts of others are read in between; how many, follows from how long answers take.
+    // Prefills of other requests interleave with the steps; their share of the time follows from
+    // how long an answer takes.
     let answer_ms =
         demand.answer_tokens * token_ms + demand.prompt_tokens * chain.prefill_ms_per_token;
-    let reading = (running * demand.prompt_tokens * chain.bottleneck_prefill_ms
+    let prefill_fraction = (running * demand.prompt_tokens * chain.bottleneck_prefill_ms
         / answer_ms.max(1.0))
     .min(0.95);
-    let slowed = 1.0 / (1.0 - reading);
+    let slowed = 1.0 / (1.0 - prefill_fraction);
     let first_event_ms =
         prefill_wait_ms + (demand.prompt_tokens * chain.prefill_ms_per_token + gap_ms) * slowed;
     Estimate {
@@ -280,23 +285,24 @@
     }
 }
 
-/// The chain for a request.
+/// The chain chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
-    /// Its place in the list.
+    /// Index of the chain in the list.
     pub index: usize,
-    /// What the request may expect of it.
+    /// Estimated service of the request by this chain.
     pub estimate: Estimate,
 }
 
-/// Picks the chain for a request.
+/// Chooses the chain for a request, or `None` if no chain is usable.
 ///
-/// Other hosts choose in the same moment by the same numbers. So a part of what they are taken to have sent
-/// since, drawn by `draw` from 0 to 1, is put where it would go, and the request goes where the next one would:
-/// all hosts together fill the chains in the order of their costs, and where the numbers are fresh each
-/// takes the best.
+/// Other hosts choose at the same moment from the same data. Therefore a fraction `draw` (uniform
+/// in 0..1) of the requests that they are estimated to have sent since their last report is first
+/// assigned to the chains where these requests would go, and this request goes where the next one
+/// would go. Together, the hosts thus fill the chains in the order of their cost; with fresh data,
+/// each host takes the best chain.
 ///
-/// `usable` says which chains may get it.
+/// `usable` filters the chains that may be chosen.
 pub fn choose(
     chains: &[Chain],
     loads: &Loads,
@@ -316,13 +322,13 @@
         next.unreported += unreported / steps;
         next.rescore(loads, demand, now);
     }
-    cheapest(&mut scored).map(|w| Choice {
-        index: w.index,
-        estimate: w.estimate,
+    cheapest(&mut scored).map(|best| Choice {
+        index: best.index,
+        estimate: best.estimate,
     })
 }
 
-/// The one that costs least, the first of equals.
+/// Returns the chain with the lowest cost; the first one of equals.
 fn cheapest<'a, 'b>(scored: &'a mut [ScoredChain<'b>]) -> Option<&'a mut ScoredChain<'b>> {
     let by_cost = |a: &&mut ScoredChain<'_>, b: &&mut ScoredChain<'_>| {
         let misses_targets = a.cost.0.cmp(&b.cost.0);
@@ -331,15 +337,16 @@
     scored.iter_mut().min_by(by_cost)
 }
 
-/// A chain that may get the request.
+/// A usable chain with its estimate and cost.
 struct ScoredChain<'a> {
     index: usize,
     chain: &'a Chain,
-    /// Requests that other hosts are taken to have sent to it meanwhile.
+    /// Estimated number of unreported requests of other hosts on this chain.
     unreported: f64,
-    /// Without those.
+    /// Estimate without the unreported requests.
     estimate: Estimate,
-    /// Whether the answer would be late, and what ranks it among others.
+    /// Whether the answer would miss its targets, and the rank among chains for which this is
+    /// equal.
     cost: (bool, f64),
 }
 
@@ -380,7 +387,8 @@
 
 fn cost(estimate: &Estimate, demand: &RequestDemand) -> (bool, f64) {
     let misses_targets = !estimate.meets_targets(demand);
-    // Late ones are ranked by how full they are, as memory that ran out costs most.
+    // Chains that miss their targets are ranked by how full they are, because running out of memory
+    // costs the most.
     let cost = match misses_targets {
         true => estimate
             .memory_fill
--- a/crates/fleet/src/delta_sync.rs
+++ b/crates/fleet/src/delta_sync.rs
@@ -1,20 +1,22 @@
-//! Delta synchronization of two hosts: how far each knows what has changed at the other.
+//! Delta synchronization between two hosts: tracks how far each host knows the other's changes.
 //!
-//! Each counts its own changes. A host that asks another tells what the other was not told yet, and gets
-//! what it does not know. Calls may be lost, and the process at the other end may be another one than before:
-//! then all is told anew, as telling the same twice does no harm.
+//! Each host counts its own changes. A host that polls another sends the changes that the other has
+//! not received yet, and receives those that it does not know itself. Calls may be lost, and the
+//! process at the other end may have been replaced by a new one; then all changes are sent again,
+//! which is harmless because applying a change twice has no effect.
 
-/// A place in the changes of one host.
+/// A position in the change history of one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Cursor {
-    /// Names the host and its incarnation; 0 is none.
+    /// Identifies the host and its incarnation; 0 means none.
     pub origin: u64,
-    /// How many of its changes are known.
+    /// Number of its changes that are known.
     pub version: u64,
 }
 
 impl Cursor {
-    /// After which of its changes a host tells somebody who knows them up to here; `origin` is its own.
+    /// Returns the version after which a host sends its changes to a peer that knows them up to
+    /// this position; `origin` is the sending host's own.
     pub fn known_version(&self, origin: u64) -> u64 {
         match self.origin == origin {
             true => self.version,
@@ -23,36 +25,37 @@
     }
 }
 
-/// How far this host and one that it asks have told each other.
+/// How far this host and a polled host know each other's changes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DeltaSync {
-    /// Up to which of this host's changes the other one knows.
+    /// Version up to which the other host knows this host's changes.
     acknowledged: u64,
     received: Cursor,
 }
 
 impl DeltaSync {
-    /// After which of this host's changes the other one is told.
+    /// Returns the version after which this host's changes are sent to the other host.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
 
-    /// Up to where this host knows the other's changes.
+    /// Returns the position up to which this host knows the other host's changes.
     pub fn received(&self) -> Cursor {
         self.received
     }
 
-    /// A call was answered that told this host's changes up to a version, with all of the other's up to a
-    /// place.
+    /// Records a successful call that sent this host's changes up to `version` and returned all of
+    /// the other host's changes up to `cursor`.
     pub fn record_response(&mut self, version: u64, cursor: Cursor) {
-        // It may be another process than the one that was told what went before.
+        // The response may come from another process than the one that received the earlier
+        // changes.
         let same = self.received.origin == cursor.origin;
         let sent_all = self.acknowledged == 0;
         self.acknowledged = if same || sent_all { version } else { 0 };
         self.received = cursor;
     }
 
-    /// A call was not answered: nobody knows what has come over.
+    /// Records a failed call: it is unknown which changes arrived, so all are sent again.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/fleet/src/dispatch_rate.rs
+++ b/crates/fleet/src/dispatch_rate.rs
@@ -1,26 +1,27 @@
-//! How many requests other hosts have sent since they last told of their loads.
+//! Estimates how many requests other hosts have sent since they last reported their loads.
 //!
-//! Hosts that choose by the same numbers choose the same chain. Each of them reckons with what the others send
-//! meanwhile, at the rate at which it sends itself.
+//! Hosts that choose from the same data choose the same chain. Each host therefore assumes that the
+//! others have sent requests since their last report at the rate at which it sends requests itself.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// The time over which a host's own rate is taken.
+/// Window over which a host measures its own dispatch rate.
 const RATE_WINDOW: Duration = Duration::from_secs(2);
-/// The least time for that: a host that has just begun to send has sent one request in no time.
+/// Minimum window, because a host that has just started has sent one request in almost no time.
 const MIN_RATE_WINDOW: Duration = Duration::from_millis(250);
 
-/// What one host has sent lately.
+/// Recent dispatches of one host.
 #[derive(Debug, Default)]
 pub struct RecentDispatches {
-    /// Invariant: in order, none older than [`RATE_OVER`] when the last was noted.
+    /// Times of the dispatches, in ascending order. Invariant: when the last one was recorded, none
+    /// was older than [`RATE_WINDOW`].
     times: VecDeque<Duration>,
-    /// When the first one was sent.
+    /// Time of the first dispatch ever.
     first_at: Option<Duration>,
 }
 
 impl RecentDispatches {
-    /// A request is sent.
+    /// Records a dispatch.
     pub fn record(&mut self, now: Duration) {
         self.first_at.get_or_insert(now);
         self.times.push_back(now);
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Requests in a second.
+    /// Dispatches per second.
     fn per_s(&self, now: Duration) -> f64 {
         let expired = |t: &Duration| *t + RATE_WINDOW < now;
         let recent = self.times.len() - self.times.partition_point(expired);
@@ -40,8 +41,8 @@
         recent as f64 / window.as_secs_f64()
     }
 
-    /// Requests that so many other hosts have sent within `age`; one each if that is not known, as they may choose at
-    /// the same moment.
+    /// Estimates how many requests `others` other hosts have sent within `age`: one each if `age`
+    /// is unknown, because they may choose at the same moment.
     pub fn estimate_others(&self, others: u32, age: Option<Duration>, now: Duration) -> f64 {
         let each = match age {
             Some(age) => self.per_s(now) * age.as_secs_f64(),
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are known, and which of them may get new work.
+//! The known endpoints, and which of them may get new work.
 
 use std::{collections::VecDeque, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -9,179 +9,185 @@
     layers::LayerRange,
 };
 
-/// One start of an endpoint, as the platform's list shows it.
+/// One incarnation of an endpoint, as listed by the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Names this start, see [`crate::incarnations::id`].
+    /// Identifies the incarnation; see [`crate::incarnations::id`].
     pub id: Rc<str>,
-    /// The endpoint's own name, which it may have had before.
+    /// Name of the endpoint; earlier incarnations may have had the same name.
     pub name: Rc<str>,
-    /// When it started, if it says so.
+    /// Start time of the incarnation, if the endpoint reports it.
     pub started_at: Option<StartTime>,
-    /// The service it serves.
+    /// Service that the endpoint serves.
     pub service: Rc<str>,
-    /// Where it listens. Used again by other endpoints after this one has ended.
+    /// Address at which the endpoint listens. Other endpoints may reuse it after this incarnation
+    /// has ended.
     pub addr: SocketAddr,
-    /// Where it is.
+    /// Data centre of the endpoint.
     pub data_centre: Rc<str>,
-    /// Requests that it processes at once.
+    /// Number of requests that the endpoint processes concurrently.
     pub slots: u32,
-    /// It has said that it is leaving.
+    /// Whether the endpoint has announced that it is draining.
     pub draining: bool,
-    /// The kind of its accelerator, where it holds layers of a model.
+    /// Kind of its accelerator, if it holds layers of a model.
     pub accelerator: Option<Rc<str>>,
-    /// The layers that it holds.
+    /// Layers of a model that it holds.
     pub layers: Option<LayerRange>,
 }
 
-/// How long an endpoint is avoided after the first of a run of failures.
+/// Time for which an endpoint is avoided after the first of consecutive failures.
 const MIN_AVOIDANCE: Duration = Duration::from_millis(400);
-/// The longest that an endpoint is avoided: the pace of probing one that stays bad.
+/// Maximum time for which an endpoint is avoided; it determines how often an endpoint that keeps
+/// failing is tried again.
 const MAX_AVOIDANCE: Duration = Duration::from_secs(3);
 
-/// How long an endpoint that does not answer at all is avoided: it is asked again several times
-/// meanwhile, so that it gets nothing until it answers or is no longer listed.
+/// Time for which an unresponsive endpoint is avoided. It is probed several times within this time,
+/// so it gets no requests until it responds or is no longer listed.
 const UNRESPONSIVE_AVOIDANCE: Duration = Duration::from_millis(2000);
 
-/// How long what an endpoint said of its pace is taken to hold: it is asked again meanwhile.
+/// Time for which a reported slowdown factor is valid; the endpoint is probed again within this
+/// time.
 const MAX_SLOWDOWN_AGE: Duration = Duration::from_millis(2500);
-/// An endpoint that is slower than this many times counts as slow; the rest is chance.
+/// Slowdown factor from which on an endpoint counts as slow; smaller factors are random variation.
 const MIN_SLOWDOWN_FACTOR: f64 = 1.5;
 
-/// Endpoints that went which are remembered one by one.
+/// Maximum number of removed endpoints that are remembered individually.
 const MAX_REMOVED: usize = 256;
-/// Places in the store's history that are remembered: one a second, for about the time for which the
-/// store keeps its own.
+/// Maximum number of store revisions that are remembered: one per second, for about as long as the
+/// store keeps its own history.
 const MAX_REVISIONS: usize = 64;
 
-/// Errors in a row from which on an endpoint is avoided.
+/// Number of consecutive error responses after which an endpoint is avoided.
 const ERRORS_BEFORE_AVOIDANCE: u32 = 2;
 
-/// What this host has seen of an endpoint itself.
+/// What this host itself has observed of an endpoint.
 #[derive(Debug, Clone, Default)]
 struct Observations {
-    /// Failures in a row.
+    /// Number of consecutive failures.
     consecutive_failures: u32,
-    /// Answers of its own that were errors, in a row.
+    /// Number of consecutive responses that were errors of the endpoint's own.
     consecutive_errors: u32,
-    /// No new work before then, if others can take it.
+    /// Time before which the endpoint gets no new work if other endpoints are usable.
     avoid_until: Duration,
-    /// It does not answer when it is asked.
+    /// Whether the endpoint did not respond to its last probe.
     unresponsive: bool,
-    /// How many times slower than its accelerator should be it said it is, and until when that
-    /// holds.
+    /// Slowdown factor that the endpoint last reported, and the time until which it is valid.
     slowdown: Option<(f64, Duration)>,
-    /// Requests of this host that are at it.
+    /// Number of requests of this host in flight at the endpoint.
     in_flight: u32,
 }
 
-/// An endpoint that gets no new work for a while.
+/// An endpoint that gets no new work for a limited time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AvoidedEndpoint {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub id: Rc<str>,
-    /// For how long still.
+    /// Remaining time for which it is avoided.
     pub remaining: Duration,
 }
 
-/// What an entry has changed.
+/// Effect of an entry on the directory.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PutOutcome {
-    /// Nothing but its place in time.
+    /// The entry equals the known one.
     Unchanged,
-    /// The endpoint is new, or is another than it was.
+    /// The endpoint is new, or its entry has changed.
     Listed,
-    /// The endpoint is new, and these have ended: former starts of it, or what listened where it does.
+    /// The endpoint is new and replaces these endpoints, which have ended: earlier incarnations of
+    /// it, or endpoints that listened at its address.
     Replaced(Vec<Rc<Endpoint>>),
-    /// The endpoint was gone and is listed again. It may have been cut off; or its last entry was on
-    /// its way for long, and it is gone indeed. It counts as lost until it answers.
+    /// The endpoint was removed and is listed again. Either it was cut off, or it has ended and its
+    /// last entry was delayed. It counts as unresponsive until it responds.
     Relisted,
-    /// Nothing: the entry speaks of a start that is over.
+    /// The entry is ignored, because it describes an incarnation that has ended.
     Outdated,
-    /// The entry leaves out the start that this endpoint always says: it is not its own. The endpoint
-    /// is not used any more, until an entry of its own comes.
+    /// The entry lacks the start time that the endpoint always reports, so another process wrote
+    /// it. The endpoint is not used until it writes an entry of its own.
     Foreign,
 }
 
-/// All endpoints that are known.
+/// Directory of all known endpoints.
 #[derive(Debug, Default)]
 pub struct Directory {
     endpoints: FxHashMap<Rc<str>, Rc<Endpoint>>,
     observations: FxHashMap<Rc<str>, Observations>,
-    /// Until when endpoints are avoided because they failed other hosts nearby.
+    /// Times until which endpoints are avoided because they failed other hosts nearby.
     peer_avoided: FxHashMap<Rc<str>, Duration>,
-    /// Grows whenever chains may have changed.
+    /// Incremented whenever chains may have changed.
     generation: u64,
-    /// Grows with each change of the list.
+    /// Version of the list; incremented with each change.
     list_version: u64,
-    /// Places in the store's history up to which the list was known, in order, and its version then.
+    /// Store revisions up to which the list was known, in ascending order, each with the version of
+    /// the list at that time.
     revisions: VecDeque<(u64, u64)>,
-    /// The change with which each endpoint became what it is.
+    /// Version of the list at the last change of each endpoint.
     changed_at: FxHashMap<Rc<str>, u64>,
-    /// The last endpoints that went, with the change of each.
+    /// The endpoints removed last, each with the version of the list at its removal.
     removed: VecDeque<(u64, Rc<Endpoint>)>,
-    /// Starts that are known to have ended, of those.
+    /// Ids among the removed ones whose incarnations are known to have ended.
     superseded: FxHashSet<Rc<str>>,
     incarnations: Incarnations,
-    /// Changes up to this one can't be told one by one.
+    /// Changes up to this version can no longer be listed individually.
     forgotten_version: u64,
 }
 
-/// How many endpoints are in each state.
+/// Number of endpoints in each state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// They may get new work.
+    /// Endpoints that may get new work.
     pub usable: i64,
-    /// They failed, and get none for a moment.
+    /// Endpoints that failed and get no new work for a limited time.
     pub avoided: i64,
-    /// They have said that they are leaving.
+    /// Endpoints that have announced that they are draining.
     pub draining: i64,
 }
 
-/// What has changed in a list of endpoints.
+/// Changes of a list of endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListChanges {
-    /// The newest change.
+    /// Version of the list after these changes.
     pub version: u64,
-    /// These are all there are.
+    /// Whether `changed` is the complete list.
     pub complete: bool,
-    /// New and changed ones.
+    /// New and changed endpoints.
     pub changed: Vec<Rc<Endpoint>>,
-    /// Ids of those that are gone.
+    /// Ids of removed endpoints.
     pub removed: Vec<Rc<str>>,
 }
 
 impl Directory {
-    /// Grows whenever an endpoint comes, goes, changes or begins to be avoided.
+    /// Number that increases whenever an endpoint is added, removed or changed, or starts to be
+    /// avoided.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// All endpoints, in no order.
+    /// Iterates over all endpoints, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Endpoint>> {
         self.endpoints.values()
     }
 
-    /// The endpoint of that id.
+    /// Returns the endpoint with that id.
     pub fn get(&self, id: &str) -> Option<&Rc<Endpoint>> {
         self.endpoints.get(id)
     }
 
-    /// The start that is listed under an endpoint's name.
+    /// Returns the incarnation that is listed under the name of an endpoint.
     pub fn by_name(&self, name: &str) -> Option<&Rc<Endpoint>> {
         self.endpoints.get(self.incarnations.current(name)?)
     }
 
-    /// Whether a start of an endpoint is known to have ended, because another one has taken its place.
-    /// What ran there is lost.
+    /// Whether an incarnation is known to have ended because another one replaced it. The work that
+    /// ran there is lost.
     pub fn has_ended(&self, id: &str) -> bool {
         self.superseded.contains(id)
     }
 
-    /// Takes a new or changed entry.
+    /// Applies a new or changed entry.
     ///
-    /// A start that was leaving stays so. One that was gone must answer before it gets anything:
-    /// entries that a cut link held up come when the endpoint has long ended, and name it for seconds.
+    /// An incarnation that was draining stays draining. An endpoint that was removed must respond
+    /// before it gets any work: entries delayed by a network partition arrive long after the
+    /// endpoint has ended, and would list it for seconds.
     pub fn put(&mut self, mut endpoint: Endpoint, now: Duration) -> PutOutcome {
         let (replaced, relisted) = match self.incarnations.classify(&endpoint) {
             Verdict::Current { replaced, relisted } => (replaced, relisted),
@@ -206,7 +212,7 @@
         let id = endpoint.id.clone();
         self.changed_at.insert(id.clone(), self.list_version);
         self.incarnations.record_listed(&endpoint);
-        // Only engines can be asked without doing anything.
+        // Only engines can be probed without side effects.
         let needs_answer = relisted && endpoint.accelerator.is_some();
         self.endpoints.insert(id.clone(), Rc::new(endpoint));
         if needs_answer {
@@ -219,14 +225,14 @@
         }
     }
 
-    /// A start has ended, as another one has taken its place.
+    /// Removes an incarnation that has ended because another one replaced it.
     fn supersede(&mut self, id: &Rc<str>) -> Option<Rc<Endpoint>> {
         let ended = self.remove(id)?;
         self.superseded.insert(id.clone());
         Some(ended)
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Removes an endpoint that is no longer listed.
     pub fn remove(&mut self, id: &str) -> Option<Rc<Endpoint>> {
         let removed_endpoint = self.endpoints.remove(id)?;
         self.observations.remove(id);
@@ -246,7 +252,7 @@
         Some(removed_endpoint)
     }
 
-    /// All changes of the store up to `mark` are known now.
+    /// Records that all changes of the store up to `revision` are now known.
     pub fn record_revision(&mut self, revision: u64) {
         if self
             .revisions
@@ -261,8 +267,8 @@
         }
     }
 
-    /// The version of the list at a place in the store's history, or before; `None` if that is too long
-    /// ago.
+    /// Returns the version of the list at a store revision or the last known one before it; `None`
+    /// if that is too long ago.
     pub fn version_at_revision(&self, revision: u64) -> Option<u64> {
         let before = self
             .revisions
@@ -272,7 +278,8 @@
         before.map(|(_, version)| *version)
     }
 
-    /// What has changed in the list since `version`; all of it for one that is not known.
+    /// Returns the changes of the list since `version`, or the complete list if that version is
+    /// unknown.
     pub fn changes_since(&self, version: Option<u64>) -> ListChanges {
         let known = version.filter(|v| *v >= self.forgotten_version && *v <= self.list_version);
         let after = known.unwrap_or(0);
@@ -289,14 +296,14 @@
         }
     }
 
-    /// The ids of all endpoints but those of the names given.
+    /// Returns the ids of all endpoints except those with the given names.
     pub fn ids_except<'a>(&self, excluded: impl Iterator<Item = &'a str>) -> Vec<Rc<str>> {
         let excluded: FxHashSet<&str> = excluded.collect();
         let others = self.iter().filter(|e| !excluded.contains(&*e.name));
         others.map(|e| e.id.clone()).collect()
     }
 
-    /// How many endpoints there are in each state.
+    /// Counts the endpoints in each state.
     pub fn counts(&self, now: Duration) -> EndpointCounts {
         let mut counts = EndpointCounts::default();
         for endpoint in self.endpoints.values() {
@@ -317,7 +324,7 @@
         listed && avoided_until.max(peer_until).is_none_or(|t| t <= now)
     }
 
-    /// What is avoided by what this host saw itself, and for how long still.
+    /// Returns the endpoints that are avoided because of what this host itself observed.
     pub fn avoided(&self, now: Duration) -> Vec<AvoidedEndpoint> {
         let listed = self
             .observations
@@ -330,9 +337,10 @@
         avoided.filter(|a| !a.remaining.is_zero()).collect()
     }
 
-    /// Other hosts nearby avoid just these, for so long still: what failed them fails this one too.
+    /// Replaces the endpoints that are avoided because other hosts nearby avoid them: an endpoint
+    /// that fails these hosts is likely to fail this one too.
     ///
-    /// What they no longer tell is no longer avoided on their account.
+    /// Endpoints that are no longer reported are no longer avoided on behalf of those hosts.
     pub fn apply_peer_avoided(&mut self, reported: Vec<AvoidedEndpoint>, now: Duration) {
         let mut before = std::mem::take(&mut self.peer_avoided);
         before.retain(|_, until| *until > now);
@@ -348,12 +356,12 @@
         }
     }
 
-    /// Whether an endpoint is listed and has not said that it is leaving.
+    /// Whether an endpoint is listed and is not draining.
     pub fn is_active(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|e| !e.draining)
     }
 
-    /// An endpoint failed, or refused what it should have taken.
+    /// Records that an endpoint failed, or refused a request that it should have accepted.
     pub fn record_failure(&mut self, id: &str, now: Duration) {
         if !self.endpoints.contains_key(id) {
             return;
@@ -365,7 +373,8 @@
         self.generation += 1;
     }
 
-    /// An endpoint does not answer when it is asked; true if that is new.
+    /// Records that an endpoint did not respond to a probe; returns whether it was responsive
+    /// before.
     pub fn record_unresponsive(&mut self, id: &str, now: Duration) -> bool {
         if !self.endpoints.contains_key(id) {
             return false;
@@ -380,8 +389,8 @@
         new
     }
 
-    /// An endpoint said how many times slower than its accelerator should be it is; true if it is
-    /// slow and was not before.
+    /// Records the slowdown factor that an endpoint reported; returns whether it is slow now and
+    /// was not before.
     pub fn record_slowdown(&mut self, id: &str, factor: f64, now: Duration) -> bool {
         if !self.endpoints.contains_key(id) {
             return false;
@@ -390,27 +399,29 @@
         let seen = self.observations.entry(Rc::from(id)).or_default();
         seen.slowdown = (factor >= MIN_SLOWDOWN_FACTOR).then_some((factor, now + MAX_SLOWDOWN_AGE));
         let after = self.slowdown_factor(id, now);
-        // Small changes are not worth chains that are found anew.
+        // Small changes are not worth a new search for chains.
         let changed =
             after / before >= MIN_SLOWDOWN_FACTOR || before / after >= MIN_SLOWDOWN_FACTOR;
         self.generation += u64::from(changed);
         after > 1.0 && before <= 1.0
     }
 
-    /// How many times slower than its accelerator should be an endpoint is, as far as is known.
+    /// Returns how many times slower the endpoint is than its accelerator is expected to be; 1 if
+    /// nothing is known.
     pub fn slowdown_factor(&self, id: &str, now: Duration) -> f64 {
         let slow = self.observations.get(id).and_then(|s| s.slowdown);
         slow.filter(|(_, until)| *until > now)
             .map_or(1.0, |(factor, _)| factor)
     }
 
-    /// Whether an endpoint did not answer when it was last asked.
+    /// Whether an endpoint did not respond to its last probe.
     pub fn is_unresponsive(&self, id: &str) -> bool {
         self.observations.get(id).is_some_and(|s| s.unresponsive)
     }
 
-    /// An endpoint answered with an error of its own. One may lie in the request; several in a row
-    /// count as a failure, as an endpoint that fails fast draws the more requests for it.
+    /// Records an error response of the endpoint itself. The cause of a single error may be the
+    /// request. Several consecutive errors count as a failure, because an endpoint that fails fast
+    /// attracts more requests.
     pub fn record_error(&mut self, id: &str, now: Duration) {
         if !self.endpoints.contains_key(id) {
             return;
@@ -422,7 +433,7 @@
         }
     }
 
-    /// An endpoint answered well.
+    /// Records a successful response of an endpoint.
     pub fn record_success(&mut self, id: &str) {
         if let Some(seen) = self.observations.get_mut(id) {
             seen.consecutive_errors = 0;
@@ -439,7 +450,7 @@
         }
     }
 
-    /// When the next endpoint stops being avoided, or being taken to be slow.
+    /// Returns the next time at which an endpoint stops being avoided or stops counting as slow.
     pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
         let seen = self.observations.values().map(|s| s.avoid_until);
         let slow = self.observations.values().filter_map(|s| s.slowdown);
@@ -448,26 +459,27 @@
         later.filter(|t| *t > now).min()
     }
 
-    /// A request of this host has gone to an endpoint.
+    /// Records that a request of this host was sent to an endpoint.
     pub fn begin_request(&mut self, id: &str) {
         self.observations.entry(Rc::from(id)).or_default().in_flight += 1;
     }
 
-    /// A request of this host has left an endpoint.
+    /// Records that a request of this host ended at an endpoint.
     pub fn end_request(&mut self, id: &str) {
         if let Some(seen) = self.observations.get_mut(id) {
             seen.in_flight = seen.in_flight.saturating_sub(1);
         }
     }
 
-    /// Requests of this host at an endpoint.
+    /// Number of requests of this host in flight at an endpoint.
     pub fn in_flight(&self, id: &str) -> u32 {
         self.observations.get(id).map_or(0, |s| s.in_flight)
     }
 
-    /// The endpoint of a plain service for one request: the least busy, near ones first.
+    /// Selects the endpoint of a plain service for one request: the least loaded one, preferring
+    /// the own data centre.
     ///
-    /// An endpoint that is avoided is taken only if there is no other.
+    /// An avoided endpoint is selected only if there is no other.
     pub fn pick(
         &self,
         service: &str,
@@ -480,7 +492,8 @@
         };
         let rank = |e: &Rc<Endpoint>| {
             let avoided = !self.usable(&e.id, now);
-            // A whole queue's length of its own is worth a way to another data centre.
+            // An endpoint in another data centre is preferred only if the local one has a full
+            // queue of requests of this host.
             let load = self.in_flight(&e.id) / e.slots.max(1);
             let far = *e.data_centre != *data_centre;
             (avoided, load, far, self.in_flight(&e.id), e.id.clone())
--- a/crates/fleet/src/freshness.rs
+++ b/crates/fleet/src/freshness.rs
@@ -1,26 +1,27 @@
-//! For how long a catalogue may be acted on without news from the store.
+//! Limits how long a catalogue may be used without a freshness proof from the store.
 //!
-//! A key that was taken away must not be honoured any more after a set time. A host can't be told
-//! of that while the store is out of its reach, so it stops by itself: a catalogue is fresh for
-//! that time, less a margin, from the moment at which the newest read was *sent* that found nothing
-//! newer. The clock is the monotonic one.
+//! A revoked key must not be accepted after a configured time. While the store is unreachable, a
+//! host cannot learn of a revocation, so it stops by itself: a catalogue is fresh for that time,
+//! less a margin, counted from the moment at which the latest read that found nothing newer was
+//! *sent*. All times are those of a monotonic clock.
 
 use std::time::Duration;
 
-/// What is kept back for the way from the check to the endpoint and for the clock's rate.
+/// Margin for the time between the check and the arrival of the request at the endpoint, and for
+/// clock drift.
 const SAFETY_MARGIN: Duration = Duration::from_millis(300);
 
-/// The newest proof that the catalogue is the newest.
+/// The latest freshness proof: evidence that the known catalogue is the newest.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
-    /// How long after a change the old version may still be used.
+    /// Time after a change for which the previous version may still be used.
     bound: Duration,
-    /// When the newest read that found nothing newer was sent.
+    /// Time at which the latest read that found nothing newer was sent.
     proven_at: Option<Duration>,
 }
 
 impl Freshness {
-    /// Nothing is proven yet.
+    /// Creates a state without a proof.
     pub fn new(bound: Duration) -> Self {
         Self {
             bound,
@@ -28,22 +29,23 @@
         }
     }
 
-    /// A read sent at `sent_at` has shown the version that is now known to be the newest.
+    /// Records that a read sent at `sent_at` has shown that the known version is the newest.
     pub fn record_proof(&mut self, sent_at: Duration) {
         self.proven_at = self.proven_at.max(Some(sent_at));
     }
 
-    /// How long ago the newest read was sent that found nothing newer.
+    /// Returns the time since the latest read that found nothing newer was sent; `None` without a
+    /// proof.
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.proven_at?))
     }
 
-    /// Whether the catalogue may be acted on.
+    /// Whether the catalogue may be used.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.remaining(now) > Duration::ZERO
     }
 
-    /// For how long the catalogue may still be acted on.
+    /// Remaining time for which the catalogue may be used.
     pub fn remaining(&self, now: Duration) -> Duration {
         let Some(at) = self.proven_at else {
             return Duration::ZERO;
--- a/crates/fleet/src/incarnations.rs
+++ b/crates/fleet/src/incarnations.rs
@@ -1,11 +1,13 @@
-//! Which start of an endpoint an entry speaks of, and which starts are over.
+//! Determines which incarnation of an endpoint an entry describes, and which incarnations have
+//! ended.
 //!
-//! An endpoint may start again under the name that it had, or under another at its address. What was
-//! true of the former process is not true of the new one, so that each start is an endpoint of its
-//! own to every decision: its id is its name and its [`Born`]. News of a former start come late and
-//! by many ways: an entry that a cut link held up, the list of a host that is behind, a report that
-//! was under way. A later start ends an earlier one of its name, and whatever listened at its
-//! address; an earlier one never comes back.
+//! An endpoint may restart under the same name, or under another name at the same address. What was
+//! true of the earlier process does not hold for the new one, so each incarnation is treated as an
+//! endpoint of its own: its id consists of its name and its [`StartTime`]. Information about an
+//! earlier incarnation may arrive late and by several paths: an entry delayed by a network
+//! partition, the list of a host that is behind, or a report in transit. A later incarnation ends
+//! an earlier one with the same name, and any endpoint that listened at its address. An earlier
+//! incarnation is never listed again.
 
 use std::{fmt, net::SocketAddr, rc::Rc};
 
@@ -13,7 +15,8 @@
 
 use crate::endpoints::Endpoint;
 
-/// When an endpoint started, in milliseconds since the Unix epoch, as it says itself.
+/// Start time of an endpoint, in milliseconds since the Unix epoch, as reported by the endpoint
+/// itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StartTime(pub u64);
 
@@ -23,11 +26,11 @@
     }
 }
 
-/// Stands between name and start in an id. Names go into headers and are ASCII, so that no name looks
-/// like the id of another's start.
+/// Separates name and start time in an id. Names are sent in headers and are ASCII, so no name
+/// equals the id of an incarnation of another endpoint.
 const ID_SEPARATOR: char = '·';
 
-/// The id of one start of an endpoint; the name alone where the endpoint does not say its start.
+/// Returns the id of an incarnation; the name alone if the endpoint does not report its start time.
 pub fn id(name: &str, started_at: Option<StartTime>) -> Rc<str> {
     match started_at {
         Some(started_at) => format!("{name}{ID_SEPARATOR}{started_at}").into(),
@@ -35,42 +38,42 @@
     }
 }
 
-/// The name of the endpoint of which an id names a start.
+/// Returns the name of the endpoint from the id of an incarnation.
 pub fn name(id: &str) -> &str {
     id.split_once(ID_SEPARATOR).map_or(id, |(name, _)| name)
 }
 
-/// What an entry means for the starts that are known.
+/// Meaning of an entry for the known incarnations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It speaks of this start or a later one; these have ended by it.
+    /// The entry describes the listed incarnation or a later one.
     Current {
-        /// Their ids.
+        /// Ids of the incarnations that ended because of this one.
         replaced: Vec<Rc<str>>,
-        /// The start was gone.
+        /// Whether the incarnation was removed from the list before.
         relisted: bool,
     },
-    /// It speaks of a start that is over.
+    /// The entry describes an incarnation that has ended.
     Outdated,
-    /// It leaves out the start, which the endpoint says always: somebody else wrote it.
+    /// The entry lacks the start time that the endpoint always reports: another process wrote it.
     Foreign,
 }
 
-/// The start of each endpoint that is listed, and what is remembered of those that were.
+/// The listed incarnation of each endpoint, and what is remembered of those no longer listed.
 #[derive(Debug, Default)]
 pub(crate) struct Incarnations {
-    /// The id of the start that is listed, by name.
+    /// Id of the listed incarnation, by name.
     current: FxHashMap<Rc<str>, Rc<str>>,
-    /// The id of the start that was listed last at an address, and when it was born.
+    /// Id and start time of the incarnation that was last listed at an address.
     by_address: FxHashMap<SocketAddr, (Rc<str>, Option<StartTime>)>,
-    /// The latest start of each name, listed or gone.
+    /// Latest start time of each name, whether it is listed or not.
     latest: FxHashMap<Rc<str>, StartTime>,
-    /// The ids that were listed and are not.
+    /// Ids that were listed and no longer are.
     removed: FxHashSet<Rc<str>>,
 }
 
 impl Incarnations {
-    /// What an entry means. It is taken by [`Self::listed`] if it holds.
+    /// Classifies an entry. If it is current, the caller applies it with [`Self::record_listed`].
     pub(crate) fn classify(&self, endpoint: &Endpoint) -> Verdict {
         match (endpoint.started_at, self.latest.get(&endpoint.name)) {
             (Some(started_at), Some(latest)) if started_at < *latest => return Verdict::Outdated,
@@ -89,7 +92,7 @@
         if let Some((other, started_at)) = self.by_address.get(&endpoint.addr) {
             let outdated = match (endpoint.started_at, started_at) {
                 (Some(own), Some(other)) => own < *other,
-                // Without their starts, the one that was gone is the former one.
+                // Without start times, the incarnation that was removed before is the earlier one.
                 _ => relisted && *other != endpoint.id,
             };
             if outdated {
@@ -102,12 +105,12 @@
         Verdict::Current { replaced, relisted }
     }
 
-    /// The id of the start that is listed under a name.
+    /// Returns the id of the incarnation that is listed under a name.
     pub(crate) fn current(&self, name: &str) -> Option<&Rc<str>> {
         self.current.get(name)
     }
 
-    /// An entry was taken.
+    /// Records an entry that was accepted.
     pub(crate) fn record_listed(&mut self, endpoint: &Endpoint) {
         let Endpoint {
             id,
@@ -116,7 +119,7 @@
             ..
         } = endpoint;
         self.removed.remove(id);
-        // One that moves leaves its address to whoever is listed there.
+        // An endpoint that moves to another address releases its former one.
         self.by_address.retain(|_, (at, _)| at != id);
         self.current.insert(name.clone(), id.clone());
         self.by_address
@@ -126,7 +129,7 @@
         }
     }
 
-    /// An endpoint is no longer listed, and is remembered.
+    /// Records that an endpoint is no longer listed; its id is remembered.
     pub(crate) fn record_removed(&mut self, endpoint: &Endpoint) {
         let Endpoint { id, name, addr, .. } = endpoint;
         self.removed.insert(id.clone());
@@ -138,7 +141,7 @@
         }
     }
 
-    /// An endpoint that is no longer listed is forgotten.
+    /// Discards what is remembered of an endpoint that is no longer listed.
     pub(crate) fn forget(&mut self, endpoint: &Endpoint) {
         self.removed.remove(&endpoint.id);
         if !self.current.contains_key(&endpoint.name) {
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -1,28 +1,32 @@
-//! When the store was last back after trouble in which entries of endpoints can have lapsed.
+//! Determines when the store last recovered from an outage in which entries of endpoints can have
+//! lapsed.
 //!
-//! Entries lapse while endpoints can't reach the store, and come back soon after its return: what is missing
-//! then is not gone yet. What is missing later, or after less time than an entry needs to lapse, was removed:
-//! a host whose reader alone was turned away hears of the list sooner.
+//! Entries lapse while endpoints cannot reach the store, and are written again soon after the store
+//! recovers: an entry that is missing then does not mean that its endpoint has ended. An entry that is
+//! missing later, or after less time than an entry needs to lapse, was removed. The latter is the case
+//! on a host that alone was refused by the store: it receives the list again sooner.
 
 use std::time::Duration;
 
-/// For how many heartbeats of endpoints nobody may hear of the list before entries can have lapsed: after
-/// three without one they do, and the last one may be one old when the store goes away. The rest is kept
-/// back, as they come about as often as that.
+/// Heartbeat intervals without an update of the list after which entries can have lapsed. An entry
+/// lapses after three intervals without a heartbeat, and the last heartbeat may be one interval old
+/// when the store becomes unavailable. The remaining difference is a margin, because the interval
+/// between heartbeats varies.
 const MIN_LAPSE_HEARTBEATS: f64 = 1.75;
 
-/// What a host knows of the last trouble with the store, whoever told it.
+/// What a host knows of the last outage of the store, from its own calls or from other hosts.
 #[derive(Debug)]
 pub struct StoreOutage {
-    /// After a silence of less than that no entry has lapsed.
+    /// Time without an update of the list below which no entry can have lapsed.
     min_lapse: Duration,
-    /// When the store was last found in trouble, if the list was not heard of since.
+    /// Time of the last known failure of the store, if no later state of the list was received.
     last_failure_at: Option<Duration>,
     recovered_at: Option<Duration>,
 }
 
 impl StoreOutage {
-    /// No trouble yet. Endpoints write their entries about that often.
+    /// Creates the state of a host that knows of no outage. `heartbeat` is the interval at which
+    /// endpoints write their entries.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             min_lapse: heartbeat.mul_f64(MIN_LAPSE_HEARTBEATS),
@@ -31,12 +35,13 @@
         }
     }
 
-    /// The store is in trouble, as far as this host knows.
+    /// Records that the store failed.
     pub fn record_failure(&mut self, now: Duration) {
         self.last_failure_at = Some(now);
     }
 
-    /// The list was heard of as it was at that time, and last before that as it was at another one.
+    /// Records that the list was received in its state at `read_at`; the state received before was
+    /// that at `previous_at`.
     pub fn record_list_update(
         &mut self,
         read_at: Duration,
@@ -56,7 +61,7 @@
         }
     }
 
-    /// When the store was last back after trouble in which entries can have lapsed.
+    /// Returns when the store last recovered from an outage in which entries can have lapsed.
     pub fn recovered_at(&self) -> Option<Duration> {
         self.recovered_at
     }
