--- a/crates/fleet/tests/catalogue.rs
+++ b/crates/fleet/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! Routes are found by host and longest prefix, and split by weight.
+//! Tests that routes are found by host and longest prefix, and that requests are split between
+//! services by weight.
 
 use std::{rc::Rc, time::Duration};
 
@@ -54,22 +55,22 @@
     })
 }
 
-fn found(path: &str) -> Option<String> {
+fn route_name(path: &str) -> Option<String> {
     catalogue().route("h", path).map(|r| r.name.to_string())
 }
 
 #[test]
 fn the_longest_prefix_wins() {
-    assert_eq!(found("/a/b/c").as_deref(), Some("long"));
-    assert_eq!(found("/a/bc").as_deref(), Some("short"));
-    assert_eq!(found("/a"), None);
+    assert_eq!(route_name("/a/b/c").as_deref(), Some("long"));
+    assert_eq!(route_name("/a/bc").as_deref(), Some("short"));
+    assert_eq!(route_name("/a"), None);
     assert!(catalogue().route("other", "/a/b/").is_none());
 }
 
 #[test]
 fn requests_are_split_by_weight() {
     let catalogue = catalogue();
-    let route = catalogue.route("h", "/a/b/").expect("there");
+    let route = catalogue.route("h", "/a/b/").expect("the route exists");
     assert_eq!(&*route.pick_service(0.0).name, "app");
     assert_eq!(&*route.pick_service(0.899).name, "app");
     assert_eq!(&*route.pick_service(0.901).name, "new");
--- a/crates/fleet/tests/chains.rs
+++ b/crates/fleet/tests/chains.rs
@@ -1,8 +1,8 @@
-//! Every chain runs each layer once and in order, inside one data centre.
+//! Tests that every chain runs each layer once and in order, inside one data centre.
 
 mod common;
 
-use common::{endpoint, engine, placed, today};
+use common::{candidates_of_33, endpoint, engine, placed};
 use dragonflyrill_fleet::{
     chains::{self, Chain},
     endpoints::Endpoint,
@@ -10,49 +10,59 @@
 };
 use proptest::prelude::*;
 
-fn check(chain: &Chain, endpoints: &[Endpoint]) {
+fn assert_valid_chain(chain: &Chain, endpoints: &[Endpoint]) {
     let mut at = 0;
     let mut ids = Vec::new();
-    for part in &chain.stages {
-        assert_eq!(part.layers.first, at, "no gap and no overlap: {chain:?}");
-        at = part.layers.end;
-        let holder = endpoints.iter().find(|e| e.id == part.id).expect("listed");
-        let holds = holder.layers.expect("it holds layers");
-        assert!(holds.first <= part.layers.first && part.layers.end <= holds.end);
+    for stage in &chain.stages {
+        assert_eq!(stage.layers.first, at, "gap or overlap: {chain:?}");
+        at = stage.layers.end;
+        let holder = endpoints
+            .iter()
+            .find(|e| e.id == stage.id)
+            .expect("the endpoint of the stage is listed");
+        let holds = holder.layers.expect("the endpoint holds layers");
+        assert!(holds.first <= stage.layers.first && stage.layers.end <= holds.end);
         assert_eq!(holder.data_centre, chain.data_centre);
-        assert_eq!(holder.addr, part.addr);
-        ids.push(part.id.clone());
+        assert_eq!(holder.addr, stage.addr);
+        ids.push(stage.id.clone());
     }
     assert_eq!(at, 80);
     ids.sort();
     let all = ids.len();
     ids.dedup();
-    assert_eq!(ids.len(), all, "no endpoint twice: {chain:?}");
+    assert_eq!(ids.len(), all, "an endpoint occurs twice: {chain:?}");
 }
 
-fn of_today() -> Vec<Endpoint> {
-    let candidates = today();
+fn endpoints_of_33() -> Vec<Endpoint> {
+    let candidates = candidates_of_33();
     let find = |id: &str| candidates.iter().find(|c| *c.id == *id);
     placement::plan(&engine(), &candidates, |_| false)
         .iter()
-        .map(|p| placed(find(&p.id).expect("planned"), p.layers))
+        .map(|p| {
+            placed(
+                find(&p.id).expect("the placement names a candidate"),
+                p.layers,
+            )
+        })
         .collect()
 }
 
 #[test]
-fn the_fleet_of_today_has_a_fast_chain_in_each_data_centre() {
-    let endpoints = of_today();
+fn a_fleet_of_33_has_a_fast_chain_in_each_data_centre() {
+    let endpoints = endpoints_of_33();
     let chains = chains::find(&engine(), endpoints.iter().map(|e| (e, 1.0)));
     for centre in ["a", "b", "c"] {
         let local = chains.iter().filter(|c| *c.data_centre == *centre);
         let fastest = local.map(|c| c.token_ms).fold(f64::INFINITY, f64::min);
-        assert!(fastest < 9.0, "{centre}: {fastest} ms a token");
+        assert!(fastest < 9.0, "{centre}: {fastest} ms per token");
     }
-    chains.iter().for_each(|c| check(c, &endpoints));
+    chains
+        .iter()
+        .for_each(|c| assert_valid_chain(c, &endpoints));
 }
 
 #[test]
-fn a_layer_that_nobody_holds_leaves_no_chain() {
+fn a_layer_without_a_holder_leaves_no_chain() {
     let endpoints = [
         endpoint("x", "a", "a100", 0, 40),
         endpoint("y", "a", "a100", 41, 80),
@@ -62,15 +72,16 @@
 }
 
 #[test]
-fn a_faster_endpoint_inside_another_is_not_visited_in_between() {
-    // x, then y, then x again would be fastest, but no endpoint may come twice.
+fn no_endpoint_is_used_both_before_and_after_a_faster_one() {
+    // The stages x, y and x again would be fastest, but an endpoint must not occur twice in a
+    // chain.
     let endpoints = [
         endpoint("x", "a", "l4", 0, 80),
         endpoint("y", "a", "a100", 20, 60),
     ];
     let found = chains::find(&engine(), endpoints.iter().map(|e| (e, 1.0)));
     assert!(!found.is_empty());
-    found.iter().for_each(|c| check(c, &endpoints));
+    found.iter().for_each(|c| assert_valid_chain(c, &endpoints));
 }
 
 proptest! {
@@ -88,23 +99,23 @@
             })
             .collect();
         for chain in chains::find(&engine(), endpoints.iter().map(|e| (e, 1.0))) {
-            check(&chain, &endpoints);
+            assert_valid_chain(&chain, &endpoints);
         }
     }
 }
 
 #[test]
-fn the_first_chain_leaves_out_a_part_that_is_slow_if_another_holds_its_layers() {
+fn the_first_chain_avoids_a_slow_stage_if_another_endpoint_holds_its_layers() {
     let endpoints = [
         endpoint("f", "a", "a100", 0, 40),
         endpoint("g", "a", "a100", 40, 80),
         endpoint("h", "a", "l40s", 40, 80),
     ];
-    let uses = |id: &str, slower: f64| {
-        let paced = endpoints
+    let uses = |id: &str, slowdown_factor: f64| {
+        let with_slowdown = endpoints
             .iter()
-            .map(|e| (e, if *e.id == *"g" { slower } else { 1.0 }));
-        chains::find(&engine(), paced)[0].uses(id)
+            .map(|e| (e, if *e.id == *"g" { slowdown_factor } else { 1.0 }));
+        chains::find(&engine(), with_slowdown)[0].uses(id)
     };
     assert!(uses("g", 1.0) && uses("g", 2.0));
     assert!(uses("h", 12.0));
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -1,4 +1,5 @@
-//! Requests go to the chain that serves them soonest, and spill to another before it is full.
+//! Tests that a request goes to the chain with the shortest estimated time, and to another chain
+//! before that one is full.
 
 mod common;
 
@@ -8,7 +9,7 @@
     choice::{self, Load, Loads, RequestDemand},
 };
 
-const WANT: RequestDemand = RequestDemand {
+const DEMAND: RequestDemand = RequestDemand {
     prompt_tokens: 774.0,
     answer_tokens: 204.0,
     first_event_target_ms: 500.0,
@@ -16,7 +17,7 @@
     tokens_per_event: 3.0,
 };
 
-/// A fast chain that begins with `f` and a slow one that begins with `s`.
+/// Returns a fast chain that starts at endpoint `f` and a slow one that starts at `s`.
 fn two_chains() -> Vec<Chain> {
     let endpoints = [
         endpoint("f", "a", "a100", 0, 32),
@@ -30,9 +31,9 @@
     chains::find(&engine(), endpoints.iter().map(|e| (e, 1.0)))
 }
 
-fn first(chains: &[Chain], loads: &Loads) -> String {
-    let chosen = choice::choose(chains, loads, &WANT, ms(0), 0.0, |_| true);
-    chains[chosen.expect("one is usable").index]
+fn first_endpoint_chosen(chains: &[Chain], loads: &Loads) -> String {
+    let chosen = choice::choose(chains, loads, &DEMAND, ms(0), 0.0, |_| true);
+    chains[chosen.expect("a chain is usable").index]
         .first_stage()
         .id
         .to_string()
@@ -45,8 +46,8 @@
     }
 }
 
-/// Others' loads: the endpoint, requests and tokens times layers.
-fn told(id: &str, requests: f64, token_layers: f64) -> Loads {
+/// Loads with a report of other hosts on one endpoint: number of requests, and tokens times layers.
+fn loads_reported_by_others(id: &str, requests: f64, token_layers: f64) -> Loads {
     let mut loads = Loads::default();
     let others = [(name(id), load(requests, token_layers))];
     loads.apply_update(others.into_iter().collect(), ms(0));
@@ -55,34 +56,35 @@
 
 #[test]
 fn an_idle_fleet_uses_the_fastest_chain() {
-    assert_eq!(first(&two_chains(), &Loads::default()), "f");
+    assert_eq!(first_endpoint_chosen(&two_chains(), &Loads::default()), "f");
 }
 
 #[test]
-fn a_chain_with_a_part_whose_memory_is_taken_is_left_for_another() {
-    // Any part counts, not just the first; 16 layers leave the last one some 83,000 tokens.
-    let loads = told("h", 60.0, 16.0 * 80_000.0);
-    assert_eq!(first(&two_chains(), &loads), "s");
-    let loads = told("h", 20.0, 16.0 * 20_000.0);
-    assert_eq!(first(&two_chains(), &loads), "f");
+fn a_chain_with_a_full_stage_is_avoided() {
+    // The fullest stage counts, not only the first one. With 16 layers, the last stage has memory
+    // for about 83,000 tokens.
+    let loads = loads_reported_by_others("h", 60.0, 16.0 * 80_000.0);
+    assert_eq!(first_endpoint_chosen(&two_chains(), &loads), "s");
+    let loads = loads_reported_by_others("h", 20.0, 16.0 * 20_000.0);
+    assert_eq!(first_endpoint_chosen(&two_chains(), &loads), "f");
 }
 
 #[test]
 fn if_all_chains_are_full_the_least_full_is_chosen() {
-    let mut loads = told("h", 60.0, 1e9);
+    let mut loads = loads_reported_by_others("h", 60.0, 1e9);
     loads.apply_update(
         [(name("h"), load(60.0, 1e9)), (name("s"), load(60.0, 1e8))]
             .into_iter()
             .collect(),
         ms(0),
     );
-    assert_eq!(first(&two_chains(), &loads), "s");
+    assert_eq!(first_endpoint_chosen(&two_chains(), &loads), "s");
 }
 
 #[test]
-fn a_request_counts_on_each_part_of_its_chain_until_it_ends() {
+fn a_request_counts_on_each_stage_of_its_chain_until_it_ends() {
     let chains = two_chains();
-    let mut loads = told("g", 2.0, 100.0);
+    let mut loads = loads_reported_by_others("g", 2.0, 100.0);
     loads.add_request(&chains[0], 10.0);
     assert_eq!(loads.load_at("g", ms(100)), load(3.0, 100.0 + 10.0 * 32.0));
     loads.remove_request(&chains[0], 10.0);
@@ -91,62 +93,65 @@
 }
 
 #[test]
-fn without_recent_word_the_other_hosts_are_taken_to_do_as_this_one() {
+fn without_recent_reports_other_hosts_are_assumed_to_have_the_same_load() {
     let chains = two_chains();
-    let mut loads = told("f", 100.0, 0.0);
+    let mut loads = loads_reported_by_others("f", 100.0, 0.0);
     loads.hosts = 8;
     loads.add_request(&chains[0], 10.0);
     assert_eq!(loads.load_at("f", ms(60_000)), load(8.0, 8.0 * 320.0));
 }
 
 #[test]
-fn no_chain_is_chosen_if_none_may_be_used() {
+fn no_chain_is_chosen_if_none_is_usable() {
     let chains = two_chains();
-    let chosen = choice::choose(&chains, &Loads::default(), &WANT, ms(0), 0.0, |_| false);
+    let chosen = choice::choose(&chains, &Loads::default(), &DEMAND, ms(0), 0.0, |_| false);
     assert_eq!(chosen, None);
 }
 
-/// How long the last of so many prompts waits until its first event, in ms, when each of the hosts
-/// sends that many at once and none has heard of the others' yet.
-fn surge(prompts: usize, hosts: u32) -> f64 {
+/// Returns the time until the last of the prompts is prefilled, in ms, if each host sends `prompts`
+/// requests at once and no host has received reports of the others.
+fn wait_after_burst_ms(prompts: usize, hosts: u32) -> f64 {
     let chains = two_chains();
     let mut sent = vec![0; chains.len()];
     let mut loads = Loads::default();
     loads.hosts = hosts;
     loads.apply_update(Default::default(), ms(0));
     for _ in 0..prompts {
-        let chosen = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
-        let chain = &chains[chosen.expect("one is usable").index];
-        loads.add_request(chain, WANT.prompt_tokens + WANT.answer_tokens);
-        loads.add_prefill(chain, WANT.prompt_tokens);
-        sent[chosen.expect("one is usable").index] += 1;
+        let chosen = choice::choose(&chains, &loads, &DEMAND, ms(0), 0.0, |_| true);
+        let chain = &chains[chosen.expect("a chain is usable").index];
+        loads.add_request(chain, DEMAND.prompt_tokens + DEMAND.answer_tokens);
+        loads.add_prefill(chain, DEMAND.prompt_tokens);
+        sent[chosen.expect("a chain is usable").index] += 1;
     }
-    let read_ms = |(chain, n): (&Chain, &i32)| {
-        f64::from(*n) * f64::from(hosts) * WANT.prompt_tokens * chain.bottleneck_prefill_ms
+    let prefill_ms = |(chain, n): (&Chain, &i32)| {
+        f64::from(*n) * f64::from(hosts) * DEMAND.prompt_tokens * chain.bottleneck_prefill_ms
     };
-    chains.iter().zip(&sent).map(read_ms).fold(0.0, f64::max)
+    chains.iter().zip(&sent).map(prefill_ms).fold(0.0, f64::max)
 }
 
 #[test]
-fn prompts_that_all_hosts_send_at_once_are_read_by_all_chains() {
-    // The streams of a lost chain: 20 on each of 8 hosts. All on the fastest chain would take 1.5 s
-    // to read, and half of them miss their target of 500 ms.
-    let waited = surge(20, 8);
+fn a_burst_of_prompts_from_all_hosts_is_spread_over_the_chains() {
+    // After the loss of a chain, each of 8 hosts moves 20 streams. On the fastest chain alone,
+    // their prefill would take 1.5 s, and half of them would miss their target of 500 ms.
+    let waited = wait_after_burst_ms(20, 8);
     assert!(waited < 1000.0, "{waited} ms");
-    let one = two_chains()[0].bottleneck_prefill_ms * WANT.prompt_tokens * 160.0;
-    assert!(one > 1.5 * waited, "{one} ms on one chain, {waited} ms");
+    let on_one_chain_ms = two_chains()[0].bottleneck_prefill_ms * DEMAND.prompt_tokens * 160.0;
+    assert!(
+        on_one_chain_ms > 1.5 * waited,
+        "{on_one_chain_ms} ms on one chain, {waited} ms"
+    );
 }
 
 #[test]
-fn a_prompt_that_was_read_is_waited_for_no_more() {
+fn a_complete_prefill_no_longer_delays_requests() {
     let chains = two_chains();
     let mut loads = Loads::default();
     loads.hosts = 8;
-    let idle = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
+    let idle = choice::choose(&chains, &loads, &DEMAND, ms(0), 0.0, |_| true);
     loads.add_prefill(&chains[0], 50_000.0);
-    let busy = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
+    let busy = choice::choose(&chains, &loads, &DEMAND, ms(0), 0.0, |_| true);
     assert_ne!(busy.map(|c| c.index), idle.map(|c| c.index));
     loads.remove_prefill(&chains[0], 50_000.0);
-    let read = choice::choose(&chains, &loads, &WANT, ms(0), 0.0, |_| true);
-    assert_eq!(read, idle);
+    let after_prefill = choice::choose(&chains, &loads, &DEMAND, ms(0), 0.0, |_| true);
+    assert_eq!(after_prefill, idle);
 }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Engines and endpoints like those of today's deployments.
+//! Engines and endpoints like those of real deployments.
 #![allow(dead_code, unreachable_pub, reason = "each test file uses a part")]
 
 use std::{rc::Rc, time::Duration};
@@ -58,7 +58,7 @@
     }
 }
 
-/// The engines of three data centres, by kind: a100, l40s, l4.
+/// Engines by data centre, with the number of each kind: a100, l40s, l4.
 pub(crate) fn fleet(counts: &[(&str, [usize; 3])]) -> Vec<Candidate> {
     let mut all = Vec::new();
     for (centre, kinds) in counts {
@@ -71,7 +71,7 @@
     all
 }
 
-pub(crate) fn today() -> Vec<Candidate> {
+pub(crate) fn candidates_of_33() -> Vec<Candidate> {
     fleet(&[("a", [2, 2, 5]), ("b", [1, 3, 8]), ("c", [1, 6, 5])])
 }
 
@@ -113,7 +113,7 @@
     Duration::from_millis(n)
 }
 
-/// What a stream needs.
+/// Demand of a typical stream.
 pub(crate) const STREAM: RequestDemand = RequestDemand {
     prompt_tokens: 774.0,
     answer_tokens: 204.0,
@@ -122,12 +122,12 @@
     tokens_per_event: 3.0,
 };
 
-/// The chains of three data centres with 86 engines, as the planner places them.
+/// Chains of three data centres with 86 engines, as the planner places them.
 pub(crate) fn chains_of_86() -> Vec<Chain> {
     let mut candidates = fleet(&[("a", [4, 6, 14]), ("b", [2, 9, 22]), ("c", [2, 15, 12])]);
     for placement in placement::plan(&engine(), &candidates, |_| false) {
         let found = candidates.iter_mut().find(|c| c.id == placement.id);
-        found.expect("a candidate").holds = Some(placement.layers);
+        found.expect("the placement names a candidate").holds = Some(placement.layers);
     }
     let holders = candidates.iter().filter_map(|c| Some(placed(c, c.holds?)));
     let endpoints: Vec<Endpoint> = holders.collect();
--- a/crates/fleet/tests/delta_sync.rs
+++ b/crates/fleet/tests/delta_sync.rs
@@ -1,4 +1,5 @@
-//! Nothing that a host has to tell another is left out, whatever becomes of calls and processes.
+//! Tests that no change is left out of what a host sends to another, whichever calls fail and
+//! processes restart.
 
 use dragonflyrill_fleet::delta_sync::{Cursor, DeltaSync};
 
@@ -7,7 +8,7 @@
 }
 
 #[test]
-fn what_was_told_and_heard_is_not_told_again() {
+fn acknowledged_changes_are_not_sent_again() {
     let mut sync = DeltaSync::default();
     assert_eq!(
         (sync.acknowledged(), sync.received()),
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn all_is_told_again_to_another_process() {
+fn all_changes_are_sent_again_to_another_process() {
     let mut sync = DeltaSync::default();
     sync.record_response(5, cursor(7, 3));
     sync.record_response(6, cursor(8, 1));
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn all_is_told_again_after_a_call_that_may_not_have_come_over() {
+fn all_changes_are_sent_again_after_a_failed_call() {
     let mut sync = DeltaSync::default();
     sync.record_response(5, cursor(7, 3));
     sync.reset();
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_place_in_the_changes_of_another_process_is_the_beginning() {
+fn a_cursor_of_another_process_counts_as_the_beginning() {
     assert_eq!(cursor(7, 3).known_version(7), 3);
     assert_eq!(cursor(7, 3).known_version(8), 0);
     assert_eq!(Cursor::default().known_version(8), 0);
--- a/crates/fleet/tests/endpoints.rs
+++ b/crates/fleet/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave or fail get no new work while others can take it.
+//! Tests that endpoints that are draining or have failed get no new work while others are usable.
 
 mod common;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_entry_that_did_not_change_changes_nothing() {
+fn an_unchanged_entry_changes_nothing() {
     let mut directory = directory(&[("x", "a")]);
     let before = directory.generation();
     assert_eq!(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_near_endpoint_is_picked_until_a_whole_queue_is_ahead() {
+fn the_local_endpoint_is_picked_until_its_queue_is_full() {
     let mut directory = directory(&[("x", "a"), ("y", "b")]);
     assert_eq!(pick(&directory, 0).as_deref(), Some("x"));
     for _ in 0..6 {
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn a_leaving_endpoint_is_never_picked() {
+fn a_draining_endpoint_is_never_picked() {
     let mut directory = directory(&[("x", "a")]);
-    let leaving = Endpoint {
+    let draining = Endpoint {
         draining: true,
         ..service("x", "a")
     };
-    directory.put(leaving, ms(0));
+    directory.put(draining, ms(0));
     assert_eq!(pick(&directory, 0), None);
     assert!(!directory.usable("x", ms(0)));
 }
 
 #[test]
-fn a_failed_endpoint_is_avoided_longer_each_time_and_forgiven_when_it_answers() {
+fn a_failed_endpoint_is_avoided_longer_each_time_and_used_again_after_a_success() {
     let mut directory = directory(&[("x", "a"), ("y", "b")]);
     directory.record_failure("x", ms(0));
     assert_eq!(pick(&directory, 10).as_deref(), Some("y"));
@@ -80,20 +80,20 @@
 }
 
 #[test]
-fn an_avoided_endpoint_is_better_than_none() {
+fn an_avoided_endpoint_is_picked_if_there_is_no_other() {
     let mut directory = directory(&[("x", "a")]);
     directory.record_failure("x", ms(0));
     assert_eq!(pick(&directory, 10).as_deref(), Some("x"));
 }
 
 #[test]
-fn an_endpoint_that_was_leaving_does_not_come_back_by_an_older_entry() {
+fn a_draining_endpoint_stays_draining_after_an_older_entry() {
     let mut directory = directory(&[("x", "a")]);
-    let leaving = Endpoint {
+    let draining = Endpoint {
         draining: true,
         ..service("x", "a")
     };
-    directory.put(leaving, ms(0));
+    directory.put(draining, ms(0));
     assert_eq!(
         directory.put(service("x", "a"), ms(0)),
         PutOutcome::Unchanged
@@ -102,23 +102,26 @@
 }
 
 #[test]
-fn changes_are_told_one_by_one_and_as_a_whole_to_whoever_knows_nothing() {
+fn changes_are_listed_individually_or_completely_for_an_unknown_version() {
     let mut directory = directory(&[("x", "a"), ("y", "b")]);
-    let whole = directory.changes_since(None);
-    assert!(whole.complete && whole.changed.len() == 2);
+    let full_list = directory.changes_since(None);
+    assert!(full_list.complete && full_list.changed.len() == 2);
     directory.remove("x");
     directory.put(service("z", "b"), ms(0));
-    let news = directory.changes_since(Some(whole.version));
-    let changed: Vec<&str> = news.changed.iter().map(|e| &*e.id).collect();
-    let removed: Vec<&str> = news.removed.iter().map(|id| &**id).collect();
-    assert!(!news.complete);
+    let changes = directory.changes_since(Some(full_list.version));
+    let changed: Vec<&str> = changes.changed.iter().map(|e| &*e.id).collect();
+    let removed: Vec<&str> = changes.removed.iter().map(|id| &**id).collect();
+    assert!(!changes.complete);
     assert_eq!((changed, removed), (vec!["z"], vec!["x"]));
-    let unknown = directory.changes_since(Some(news.version + 1));
-    assert!(unknown.complete, "a version that never was is not known");
+    let unknown = directory.changes_since(Some(changes.version + 1));
+    assert!(
+        unknown.complete,
+        "a version that was never reached is unknown"
+    );
 }
 
 #[test]
-fn what_went_too_long_ago_is_told_as_a_whole() {
+fn the_list_is_complete_if_removals_are_no_longer_remembered() {
     let mut directory = Directory::default();
     directory.put(service("first", "a"), ms(0));
     let version = directory.changes_since(None).version;
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn errors_in_a_row_count_as_a_failure_and_one_alone_does_not() {
+fn consecutive_errors_count_as_a_failure_and_a_single_one_does_not() {
     let mut directory = directory(&[("x", "a"), ("y", "b")]);
     directory.record_error("x", ms(0));
     assert_eq!(pick(&directory, 1).as_deref(), Some("x"));
@@ -143,63 +146,70 @@
 }
 
 #[test]
-fn what_others_avoid_is_avoided_for_as_long_as_they_tell_it() {
+fn endpoints_avoided_by_peers_are_avoided_while_peers_report_them() {
     let mut directory = directory(&[("x", "a"), ("y", "b")]);
-    let told = |ids: &[&str]| -> Vec<AvoidedEndpoint> {
+    let reported = |ids: &[&str]| -> Vec<AvoidedEndpoint> {
         let avoided = |id: &&str| AvoidedEndpoint {
             id: (*id).into(),
             remaining: ms(500),
         };
         ids.iter().map(avoided).collect()
     };
-    directory.apply_peer_avoided(told(&["x"]), ms(0));
+    directory.apply_peer_avoided(reported(&["x"]), ms(0));
     assert_eq!(pick(&directory, 100).as_deref(), Some("y"));
-    assert_eq!(directory.avoided(ms(100)), [], "it is not told on");
+    assert_eq!(
+        directory.avoided(ms(100)),
+        [],
+        "avoidance reported by peers is not reported on"
+    );
     assert_eq!(directory.next_expiry(ms(100)), Some(ms(500)));
     let before = directory.generation();
-    directory.apply_peer_avoided(told(&[]), ms(200));
+    directory.apply_peer_avoided(reported(&[]), ms(200));
     assert_eq!(pick(&directory, 200).as_deref(), Some("x"));
-    assert!(directory.generation() > before, "chains are found anew");
-    directory.apply_peer_avoided(told(&["x"]), ms(300));
+    assert!(directory.generation() > before, "chains are computed again");
+    directory.apply_peer_avoided(reported(&["x"]), ms(300));
     assert_eq!(
         pick(&directory, 800).as_deref(),
         Some("x"),
-        "it has run out"
+        "the report has expired"
     );
     let before = directory.generation();
-    directory.apply_peer_avoided(told(&["x"]), ms(900));
-    assert!(directory.generation() > before, "it is avoided once more");
+    directory.apply_peer_avoided(reported(&["x"]), ms(900));
+    assert!(
+        directory.generation() > before,
+        "the endpoint is avoided again"
+    );
 }
 
 #[test]
-fn an_endpoint_that_does_not_answer_is_lost_until_it_answers_again() {
+fn an_unresponsive_endpoint_is_avoided_until_it_responds() {
     let mut directory = directory(&[("x", "a"), ("y", "a")]);
     assert!(directory.record_unresponsive("x", ms(1000)));
     assert!(
         !directory.record_unresponsive("x", ms(1100)),
-        "it was lost before"
+        "it was unresponsive before"
     );
     assert!(
         !directory.record_unresponsive("z", ms(1100)),
-        "nobody knows it"
+        "the endpoint is unknown"
     );
     assert!(directory.is_unresponsive("x") && !directory.is_unresponsive("y"));
     assert!(!directory.usable("x", ms(3000)));
     assert_eq!(pick(&directory, 3000).as_deref(), Some("y"));
-    let told: Vec<_> = directory
+    let reported: Vec<_> = directory
         .avoided(ms(1200))
         .into_iter()
         .map(|a| a.id)
         .collect();
-    assert_eq!(told, ["x".into()]);
+    assert_eq!(reported, ["x".into()]);
     let before = directory.generation();
     directory.record_success("x");
     assert!(directory.usable("x", ms(1300)) && !directory.is_unresponsive("x"));
-    assert_ne!(directory.generation(), before, "chains are found anew");
+    assert_ne!(directory.generation(), before, "chains are computed again");
 }
 
 #[test]
-fn an_endpoint_that_stays_lost_changes_chains_once() {
+fn an_endpoint_that_stays_unresponsive_changes_chains_once() {
     let mut directory = directory(&[("x", "a")]);
     directory.record_unresponsive("x", ms(1000));
     let before = directory.generation();
@@ -209,12 +219,12 @@
 }
 
 #[test]
-fn an_endpoint_that_says_it_is_slow_is_taken_to_be_for_a_while() {
+fn a_reported_slowdown_is_valid_for_a_limited_time() {
     let mut directory = directory(&[("x", "a")]);
     let before = directory.generation();
     assert!(
         !directory.record_slowdown("x", 1.2, ms(1000)),
-        "that is chance"
+        "small factors are random variation"
     );
     assert_eq!(directory.slowdown_factor("x", ms(1000)), 1.0);
     assert_eq!(directory.generation(), before);
@@ -226,18 +236,18 @@
     assert_eq!(
         directory.generation(),
         before + 1,
-        "chains are found anew, once"
+        "chains are computed again, once"
     );
     assert_eq!(directory.slowdown_factor("x", ms(3900)), 12.5);
     assert_eq!(directory.next_expiry(ms(1500)), Some(ms(4000)));
     assert_eq!(directory.slowdown_factor("x", ms(4000)), 1.0);
 }
 
-/// Engines that were cut off ended behind the cut. Their last entries, which it had held up, came when
-/// they had been gone for half a second, and named them with all their layers for 3.6 s: chains over
-/// them failed 340 requests.
+/// Guards against work for engines that have ended behind a network partition. Their last entries,
+/// delayed by the partition, arrived half a second after the engines had been removed and listed
+/// them with all their layers for 3.6 s: 340 requests on chains through them failed.
 #[test]
-fn an_engine_that_is_listed_again_after_it_was_gone_gets_nothing_before_it_answers() {
+fn a_relisted_engine_gets_no_work_before_it_responds() {
     let mut directory = Directory::default();
     let engine = endpoint("e", "a", "l40s", 0, 40);
     assert_eq!(directory.put(engine.clone(), ms(0)), PutOutcome::Listed);
@@ -252,7 +262,7 @@
 }
 
 #[test]
-fn a_plain_service_that_is_listed_again_is_used_at_once() {
+fn a_relisted_plain_service_is_used_at_once() {
     let mut directory = directory(&[("x", "a")]);
     directory.remove("x");
     assert_eq!(
@@ -262,9 +272,10 @@
     assert!(directory.usable("x", ms(500)));
 }
 
-/// Engines that started again at their address were listed under a new id half a second before their
-/// old ids went, which came back for 3.6 s by entries that were late: what went to these was refused as
-/// meant for another.
+/// Guards against work for the former incarnation of a restarted engine. Engines that restarted at
+/// the same address were listed under a new id half a second before their old ids were removed, and
+/// delayed entries listed the old ids again for 3.6 s: requests sent to these were refused because
+/// they were addressed to another endpoint.
 #[test]
 fn an_endpoint_has_ended_when_another_one_is_listed_at_its_address() {
     let mut directory = Directory::default();
@@ -283,7 +294,7 @@
     assert_eq!(
         directory.put(before, ms(600)),
         PutOutcome::Outdated,
-        "an entry that is late"
+        "a delayed entry"
     );
     assert!(directory.get("e").is_none() && directory.is_active("f"));
     assert_eq!(directory.put(after, ms(700)), PutOutcome::Unchanged);
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! A catalogue is acted on only for a bounded time after the last proof that it is the newest.
+//! Tests that a catalogue is used only for a limited time after the last proof that it is the
+//! newest.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn a_proof_ends_before_the_bound_does() {
+fn a_proof_expires_before_the_bound() {
     let mut freshness = Freshness::new(BOUND);
     freshness.record_proof(s(10.0));
     assert!(freshness.is_fresh(s(14.6)));
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn an_older_proof_does_not_take_a_newer_one_back() {
+fn an_older_proof_does_not_replace_a_newer_one() {
     let mut freshness = Freshness::new(BOUND);
     freshness.record_proof(s(10.0));
     freshness.record_proof(s(2.0));
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn what_is_left_shrinks_to_nothing() {
+fn the_remaining_time_shrinks_to_zero() {
     let mut freshness = Freshness::new(BOUND);
     freshness.record_proof(s(1.0));
     assert!(freshness.remaining(s(1.0)) < BOUND);
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use std::rc::Rc;
 
-use common::{candidate, endpoint, engine, fleet, ms, name, today};
+use common::{candidate, candidates_of_33, endpoint, engine, fleet, ms, name};
 use dragonflyrill_fleet::{
     endpoints::{Directory, Endpoint},
     layers::LayerRange,
@@ -53,7 +53,7 @@
 
 #[test]
 fn each_data_centre_of_today_gets_a_cover_of_its_own() {
-    let mut candidates = today();
+    let mut candidates = candidates_of_33();
     settle(&mut candidates);
     for centre in ["a", "b", "c"] {
         assert!(covers(&candidates, centre) >= 1, "{centre}");
@@ -62,7 +62,7 @@
 
 #[test]
 fn after_the_loss_of_any_endpoint_its_data_centre_gets_a_cover_again() {
-    let mut whole = today();
+    let mut whole = candidates_of_33();
     settle(&mut whole);
     for lost in 0..whole.len() {
         let mut candidates = whole.clone();
@@ -77,7 +77,7 @@
 
 #[test]
 fn what_is_loaded_stays_and_nothing_is_ordered_twice() {
-    let mut candidates = today();
+    let mut candidates = candidates_of_33();
     settle(&mut candidates);
     let before = candidates.clone();
     settle(&mut candidates);
