--- a/crates/fleet/src/delta_sync.rs
+++ b/crates/fleet/src/delta_sync.rs
@@ -55,7 +55,8 @@
         self.received = cursor;
     }
 
-    /// Records a failed call: it is unknown which changes arrived, so all are sent again.
+    /// Resets the state after a failed call: it is unknown which changes arrived, so all are sent
+    /// again.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/fleet/src/endpoints.rs
+++ b/crates/fleet/src/endpoints.rs
@@ -373,8 +373,8 @@
         self.generation += 1;
     }
 
-    /// Records that an endpoint did not respond to a probe; returns whether it was responsive
-    /// before.
+    /// Records that an endpoint did not respond to a probe; returns true if the endpoint is known
+    /// and was responsive before.
     pub fn record_unresponsive(&mut self, id: &str, now: Duration) -> bool {
         if !self.endpoints.contains_key(id) {
             return false;
