--- a/crates/fleet/tests/herd.rs
+++ b/crates/fleet/tests/herd.rs
@@ -84,9 +84,9 @@
 
 /// Guards against hosts that all choose the same chain when they start at the same moment. If each
 /// host takes the chain with the shortest estimated time from the same data, most requests go to
-/// one chain: of 110 requests that 76 hosts sent in 0.2 s after a common restart, 76 went to one of
-/// 14 chains, and only 5 chains were used. The prefill of their prompts took seconds, and requests
-/// failed by timeout or for lack of memory.
+/// one chain: when all hosts lost power at once and were back 0.6 s later, 76 of the 110 requests
+/// that 76 hosts sent in the first 0.2 s went to one of 14 chains, and only 5 chains were used. The
+/// prefill of their prompts took seconds, and requests failed by timeout or for lack of memory.
 ///
 /// Here each host sends four requests at once without reports of the others. A central chooser
 /// serves all of the 304 requests of 76 hosts on time, and hosts that take the minimum serve 0.88
