--- a/crates/fleet/src/placement/cells.rs
+++ b/crates/fleet/src/placement/cells.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{Candidate, value::UnchainedHolders};
-use crate::{catalogue::Engine, chains::Holding};
+use crate::{catalogue::Engine, chains::LayerHolder};
 
 /// The maximum number of engines in a new cell.
 pub const MAX_CELL_ENGINES: usize = 48;
@@ -137,7 +137,7 @@
     let mut groups = Vec::new();
     let holding = |c: &Candidate| {
         let accelerator = engine.accelerator(&c.accelerator)?;
-        Some(Holding::new(accelerator, c.held_layers?))
+        Some(LayerHolder::new(accelerator, c.held_layers?))
     };
     let held = candidates.iter().enumerate();
     let held = held.filter_map(|(index, c)| Some((index, holding(c)?)));
--- a/crates/fleet/src/placement/covers.rs
+++ b/crates/fleet/src/placement/covers.rs
@@ -3,7 +3,7 @@
 use super::{Placement, Slot, max_layers, moves, request_tokens};
 use crate::{
     catalogue::Engine,
-    chains::{Figures, Holding},
+    chains::{ChainEstimate, LayerHolder},
     layers::LayerRange,
 };
 
@@ -147,10 +147,10 @@
 
 /// Requests per second that a cover serves.
 fn rate(engine: &Engine, slots: &[Slot<'_>], members: &[(usize, LayerRange)]) -> f64 {
-    let held = |(i, layers): &(usize, LayerRange)| Holding::new(slots[*i].accelerator, *layers);
-    let holdings: Vec<Holding> = members.iter().map(held).collect();
+    let held = |(i, layers): &(usize, LayerRange)| LayerHolder::new(slots[*i].accelerator, *layers);
+    let holdings: Vec<LayerHolder> = members.iter().map(held).collect();
     let stages = holdings.iter().map(|h| (h, h.layers));
-    Figures::new(engine, stages).rate(engine)
+    ChainEstimate::new(engine, stages).requests_per_s(engine)
 }
 
 /// Selects one cover from the free endpoints: the fastest that fit, and for the remaining layers
--- a/crates/fleet/src/placement/engine_states.rs
+++ b/crates/fleet/src/placement/engine_states.rs
@@ -213,7 +213,7 @@
     /// The state of an engine that plans assume.
     pub fn assumed_state(&self, directory: &Directory, id: &str) -> AssumedState {
         match self.states.get(id) {
-            _ if directory.is_lost(id) => AssumedState::Unresponsive,
+            _ if directory.is_unresponsive(id) => AssumedState::Unresponsive,
             Some(EngineState::Loading(layers, _)) => AssumedState::Loading(*layers),
             Some(EngineState::Unknown(_)) => AssumedState::Unknown,
             Some(EngineState::Polled(_)) | None => AssumedState::Listed,
--- a/crates/fleet/src/placement/moves.rs
+++ b/crates/fleet/src/placement/moves.rs
@@ -175,7 +175,7 @@
             // Moves are made one after the other while there is a chain, otherwise all at once.
             true => loads.sum::<f64>(),
             false => {
-                let load_factor = differing_slots.len() as f64 / self.engine.loads_at_once;
+                let load_factor = differing_slots.len() as f64 / self.engine.concurrent_loads;
                 loads.fold(0.0, f64::max) * load_factor.max(1.0)
             }
         };
@@ -232,7 +232,7 @@
     let engine = data_centre.engine;
     let accelerator = data_centre.slots[slot].accelerator;
     let tokens = TYPICAL_REQUESTS * request_tokens(engine);
-    let max_size = engine.most_layers(accelerator).max(1);
+    let max_size = engine.max_layers(accelerator).max(1);
     let size = max_layers(engine, accelerator, tokens).min(max_size);
     let layer_speeds = layer_speeds(engine, data_centre.slots, &data_centre.held);
     weakest_range(&layer_speeds, size.min(engine.layers))
--- a/crates/fleet/src/placement/replacement.rs
+++ b/crates/fleet/src/placement/replacement.rs
@@ -192,7 +192,7 @@
             .iter()
             .filter(|(e, _)| e.data_centre == endpoint.data_centre);
         let may_go = near.clone().any(|(e, _)| same_kind(e, endpoint));
-        let complete = layers::hold_all(layers, near.map(|(_, layers)| *layers));
+        let complete = layers::cover_all_layers(layers, near.map(|(_, layers)| *layers));
         until.is_some_and(|until| now < *until) && may_go && complete
     }
 }
--- a/crates/fleet/src/placement/settling.rs
+++ b/crates/fleet/src/placement/settling.rs
@@ -72,7 +72,7 @@
         self.holders = holders;
         self.joined_at.retain(|_, at| *at + SETTLE > now);
         let unresponsive = engines.staying.iter();
-        let unresponsive = unresponsive.filter(|e| engines.directory.is_lost(&e.id));
+        let unresponsive = unresponsive.filter(|e| engines.directory.is_unresponsive(&e.id));
         let unresponsive = unresponsive.map(|e| e.data_centre.clone());
         let mut unsettled: Vec<Rc<str>> =
             self.joined_at.keys().cloned().chain(unresponsive).collect();
--- a/crates/fleet/src/placement/value.rs
+++ b/crates/fleet/src/placement/value.rs
@@ -3,7 +3,7 @@
 use super::Slot;
 use crate::{
     catalogue::Engine,
-    chains::{self, Figures, Holding},
+    chains::{self, ChainEstimate, LayerHolder},
     layers::LayerRange,
 };
 
@@ -17,7 +17,7 @@
 pub(super) struct ChainStage {
     /// Identifies the holder.
     pub(super) index: usize,
-    pub(super) holding: Holding,
+    pub(super) holding: LayerHolder,
     /// The layers that it runs.
     pub(super) layers: LayerRange,
 }
@@ -25,11 +25,11 @@
 /// The holders that are in no chain yet; no two chains share a holder.
 pub(super) struct UnchainedHolders {
     indices: Vec<usize>,
-    holdings: Vec<Holding>,
+    holdings: Vec<LayerHolder>,
 }
 
 impl UnchainedHolders {
-    pub(super) fn new(holders: impl Iterator<Item = (usize, Holding)>) -> Self {
+    pub(super) fn new(holders: impl Iterator<Item = (usize, LayerHolder)>) -> Self {
         let (indices, holdings) = holders.unzip();
         Self { indices, holdings }
     }
@@ -37,7 +37,7 @@
     /// Removes the holders of the fastest remaining chain and returns it; `None` if there is no
     /// chain left.
     pub(super) fn remove_fastest_chain(&mut self, engine: &Engine) -> Option<Vec<ChainStage>> {
-        let path = chains::cheapest(engine, &self.holdings)?;
+        let path = chains::cheapest_cover(engine, &self.holdings)?;
         let stage = |(i, layers): &(usize, LayerRange)| ChainStage {
             index: self.indices[*i],
             holding: self.holdings[*i],
@@ -68,7 +68,7 @@
     let mut layer_speeds = vec![0.0; engine.layers as usize];
     for (slot, range) in slots.iter().zip(held) {
         for layer in range.iter().flat_map(|r| r.first..r.end.min(engine.layers)) {
-            layer_speeds[layer as usize] += 1.0 / slot.accelerator.pace;
+            layer_speeds[layer as usize] += 1.0 / slot.accelerator.step_factor;
         }
     }
     layer_speeds
@@ -79,14 +79,14 @@
 /// rises the nearer the data centre is to having one.
 pub(super) fn value(engine: &Engine, slots: &[Slot<'_>], held: &[Option<LayerRange>]) -> f64 {
     let holding = |(index, (slot, range)): (usize, (&Slot<'_>, &Option<LayerRange>))| {
-        Some((index, Holding::new(slot.accelerator, (*range)?)))
+        Some((index, LayerHolder::new(slot.accelerator, (*range)?)))
     };
     let holdings = slots.iter().zip(held).enumerate().filter_map(holding);
     let mut remaining = UnchainedHolders::new(holdings);
     let mut rate = 0.0;
     while let Some(chain) = remaining.remove_fastest_chain(engine) {
         let stages = chain.iter().map(|stage| (&stage.holding, stage.layers));
-        rate += Figures::new(engine, stages).rate(engine);
+        rate += ChainEstimate::new(engine, stages).requests_per_s(engine);
     }
     let covered = layer_speeds(engine, slots, held)
         .iter()
--- a/crates/fleet/src/probing.rs
+++ b/crates/fleet/src/probing.rs
@@ -107,7 +107,7 @@
             self.running
                 .retain(|_, r| r.last_event_at + RUNNING_WINDOW > now);
         }
-        let stages = chain.parts.iter().map(|p| p.id.clone()).collect();
+        let stages = chain.stages.iter().map(|p| p.id.clone()).collect();
         self.running.insert(
             chain.key,
             RunningChain {
@@ -153,7 +153,7 @@
                 earlier_probes,
             },
         );
-        let ids = chain.parts.iter().map(|p| &p.id);
+        let ids = chain.stages.iter().map(|p| &p.id);
         Decision::Probe(
             ids.filter(|id| !self.is_known_healthy(id, suspicion))
                 .cloned()
--- a/crates/fleet/tests/catalogue.rs
+++ b/crates/fleet/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! Routes are found by host and longest prefix, and split by weight.
+//! Tests that routes are found by host and longest prefix, and that requests are split between
+//! services by weight.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,7 +21,7 @@
         prefix: prefix.into(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
+        latency_target: Duration::from_millis(100),
         gap_target: Duration::ZERO,
         priority: 1,
         max_attempts: 2,
@@ -54,35 +55,35 @@
     })
 }
 
-fn found(path: &str) -> Option<String> {
+fn route_name(path: &str) -> Option<String> {
     catalogue().route("h", path).map(|r| r.name.to_string())
 }
 
 #[test]
 fn the_longest_prefix_wins() {
-    assert_eq!(found("/a/b/c").as_deref(), Some("long"));
-    assert_eq!(found("/a/bc").as_deref(), Some("short"));
-    assert_eq!(found("/a"), None);
+    assert_eq!(route_name("/a/b/c").as_deref(), Some("long"));
+    assert_eq!(route_name("/a/bc").as_deref(), Some("short"));
+    assert_eq!(route_name("/a"), None);
     assert!(catalogue().route("other", "/a/b/").is_none());
 }
 
 #[test]
 fn requests_are_split_by_weight() {
     let catalogue = catalogue();
-    let route = catalogue.route("h", "/a/b/").expect("there");
-    assert_eq!(&*route.service(0.0).name, "app");
-    assert_eq!(&*route.service(0.899).name, "app");
-    assert_eq!(&*route.service(0.901).name, "new");
+    let route = catalogue.route("h", "/a/b/").expect("the route exists");
+    assert_eq!(&*route.pick_service(0.0).name, "app");
+    assert_eq!(&*route.pick_service(0.899).name, "app");
+    assert_eq!(&*route.pick_service(0.901).name, "new");
 }
 
 #[test]
 fn a_key_belongs_to_one_workspace() {
     assert_eq!(
         catalogue()
-            .workspace("key")
+            .workspace_by_key("key")
             .map(|w| w.name.to_string())
             .as_deref(),
         Some("w")
     );
-    assert!(catalogue().workspace("other").is_none());
+    assert!(catalogue().workspace_by_key("other").is_none());
 }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use common::{candidate, endpoint, engine, fleet, ms, name, today};
+use common::{candidate, candidates_of_33, endpoint, engine, fleet, ms, name};
 use dragonflyrill_fleet::{
     endpoints::{Directory, Endpoint},
     layers::LayerRange,
@@ -54,7 +54,7 @@
 
 #[test]
 fn each_data_centre_gets_a_cover_of_its_own() {
-    let mut candidates = today();
+    let mut candidates = candidates_of_33();
     settle(&mut candidates);
     for centre in ["a", "b", "c"] {
         assert!(covers(&candidates, centre) >= 1, "{centre}");
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_data_centre_regains_a_cover_after_the_loss_of_any_endpoint() {
-    let mut whole = today();
+    let mut whole = candidates_of_33();
     settle(&mut whole);
     for lost in 0..whole.len() {
         let mut candidates = whole.clone();
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_settled_layout_needs_no_further_orders() {
-    let mut candidates = today();
+    let mut candidates = candidates_of_33();
     settle(&mut candidates);
     let before = candidates.clone();
     settle(&mut candidates);
@@ -157,12 +157,12 @@
     states.record_outcome(&order, OrderOutcome::Accepted, ms(10));
     let loading = AssumedState::Loading(order.layers);
     assert_eq!(states.assumed_state(&directory, "e"), loading);
-    directory.lost("e", ms(20));
+    directory.record_unresponsive("e", ms(20));
     assert_eq!(
         states.assumed_state(&directory, "e"),
         AssumedState::Unresponsive
     );
-    directory.succeeded("e");
+    directory.record_success("e");
     assert_eq!(
         states.assumed_state(&directory, "e"),
         loading,
@@ -190,7 +190,7 @@
         for placement in plan(&candidates) {
             let found = candidates.iter().find(|c| c.id == placement.id).expect("a candidate");
             let accelerator = engine.accelerator(&found.accelerator).expect("known");
-            prop_assert!(placement.layers.count() <= engine.most_layers(accelerator));
+            prop_assert!(placement.layers.count() <= engine.max_layers(accelerator));
             prop_assert!(placement.layers.first < placement.layers.end);
             prop_assert!(placement.layers.end <= engine.layers);
         }
--- a/crates/fleet/tests/placing_orders.rs
+++ b/crates/fleet/tests/placing_orders.rs
@@ -14,7 +14,7 @@
 use common::{endpoint, engine, ms};
 use dragonflyrill_fleet::{
     endpoints::{Directory, Endpoint},
-    incarnations::{self, Born},
+    incarnations::{self, StartTime},
     layers::LayerRange,
     placement::{
         engine_states::{EngineStates, LoadReport, Order, OrderOutcome},
@@ -118,17 +118,17 @@
     /// The entry that an engine would write now.
     fn entry(&self, at: usize) -> Endpoint {
         let engine = &self.engines[at];
-        let (name, born) = match self.reports_start {
-            true => (format!("e{at}"), Some(Born(engine.incarnation))),
+        let (name, started_at) = match self.reports_start {
+            true => (format!("e{at}"), Some(StartTime(engine.incarnation))),
             false => (format!("e{at}-{}", engine.incarnation), None),
         };
         Endpoint {
-            id: incarnations::id(&name, born),
+            id: incarnations::id(&name, started_at),
             name: name.as_str().into(),
-            born,
+            started_at,
             addr: ([127, 0, 0, 1], 1000 + engine.index as u16).into(),
             layers: engine.layers,
-            leaving: engine.is_draining(self.now),
+            draining: engine.is_draining(self.now),
             ..endpoint(&name, "a", engine.kind, 0, 1)
         }
     }
@@ -248,11 +248,11 @@
     /// Polls unresponsive engines until they answer and hold the layers that they are listed with.
     fn poll_unresponsive(&mut self, fault_rate: f64) {
         let unresponsive = self.directory.iter();
-        let unresponsive = unresponsive.filter(|e| self.directory.is_lost(&e.id));
+        let unresponsive = unresponsive.filter(|e| self.directory.is_unresponsive(&e.id));
         for endpoint in unresponsive.cloned().collect::<Vec<_>>() {
             let report = self.poll(&endpoint, fault_rate);
             if report.is_some_and(|report| report.layers == endpoint.layers) {
-                self.directory.succeeded(&endpoint.id);
+                self.directory.record_success(&endpoint.id);
             }
         }
     }
@@ -275,7 +275,7 @@
             return false;
         }
         let accelerator = model.accelerator(engine.kind).expect("a kind");
-        assert!(order.layers.count() <= model.most_layers(accelerator));
+        assert!(order.layers.count() <= model.max_layers(accelerator));
         engine.orders += 1;
         engine.layers = None;
         let load = Duration::from_secs_f64(14.0 * f64::from(order.layers.count()) / 80.0);
@@ -299,7 +299,7 @@
             busy: engine.loads.is_some(),
             orders: engine.orders,
         };
-        if entry.born > endpoint.born {
+        if entry.started_at > endpoint.started_at {
             self.directory.put(entry, self.now);
         }
         Some(report)
@@ -309,7 +309,7 @@
     fn listed(&self) -> (Vec<Rc<Endpoint>>, Vec<Rc<Endpoint>>) {
         let mut listed: Vec<Rc<Endpoint>> = self.directory.iter().cloned().collect();
         listed.sort_by(|a, b| a.id.cmp(&b.id));
-        listed.into_iter().partition(|e| !e.leaving)
+        listed.into_iter().partition(|e| !e.draining)
     }
 
     fn is_listed(&self, id: &str) -> bool {
