--- a/crates/entry/src/control/engines.rs
+++ b/crates/entry/src/control/engines.rs
@@ -14,9 +14,9 @@
 use dragonflyrill_catalogue::{Catalogue, EndpointId, Entry, entry::EndpointIntent};
 use dragonflyrill_engines::wire;
 use dragonflyrill_membership::{
-    endpoints::{self, Endpoints},
+    endpoints::{self, DrainingEndpoints},
     members::Member,
-    reports::{self, Load, Reports},
+    reports::{self, Load, LoadReports},
 };
 use dragonflyrill_protocol::{
     HostId,
@@ -84,8 +84,8 @@
     me: Identity,
     http: awc::Client,
     tx: mpsc::UnboundedSender<Event>,
-    signs: Endpoints,
-    reports: Reports,
+    signs: DrainingEndpoints,
+    reports: LoadReports,
     /// The list last known, of all data centres; `None` before the first.
     list: Option<Vec<routing::Endpoint>>,
     /// Endpoints that operators want to leave.
@@ -105,13 +105,13 @@
 impl Engines {
     /// A host that knows no endpoints. To be made on the arbiter that asks; answers go to `tx`.
     pub fn new(me: Identity, tx: mpsc::UnboundedSender<Event>) -> Self {
-        let signs = Endpoints::new(me.host.id.clone(), me.data_centre.clone());
+        let signs = DrainingEndpoints::new(me.host.id.clone(), me.data_centre.clone());
         Self {
             me,
             http: awc::Client::default(),
             tx,
             signs,
-            reports: Reports::default(),
+            reports: LoadReports::default(),
             list: None,
             intents: Vec::new(),
             known: BTreeMap::new(),
@@ -169,7 +169,7 @@
         self.near = others.map(|m| (m.host.id.clone(), m.addr)).collect();
         let mut did = Vec::new();
         let heard = view.into_iter().filter(|m| m.host.incarnation > 0);
-        self.signs.peers(now, heard, &mut did);
+        self.signs.update_view(now, heard, &mut did);
         self.signs_did(did, actions);
     }
 
@@ -214,7 +214,7 @@
             waiting: u16::try_from(answer.load.waiting).unwrap_or(u16::MAX),
             at: now.saturating_sub(age),
         };
-        self.reports.asked(id, load);
+        self.reports.record_polled(id, load);
         let report = wire::LoadReport {
             endpoint: id.to_string(),
             incarnation: self.known.get(id).map_or(0, Known::life_name),
@@ -281,7 +281,8 @@
         let list = self.list.iter().flatten();
         let near = list.filter(|e| e.role == routing::Role::Engine);
         let near = near.filter(|e| e.data_centre == me.data_centre);
-        let mine = near.filter(|e| reports::asker(&e.id, self.live.iter()) == Some(&me.host.id));
+        let mine =
+            near.filter(|e| reports::polling_host(&e.id, self.live.iter()) == Some(&me.host.id));
         let questions = mine.map(|e| Question {
             endpoint: e.id.clone(),
             addr: e.addr,
@@ -308,10 +309,10 @@
             false => 0,
         };
         known.life = life;
-        let of_earlier = self.signs.is_leaving(id, 0) && !self.signs.is_leaving(id, life);
+        let of_earlier = self.signs.is_draining(id, 0) && !self.signs.is_draining(id, life);
         if of_earlier {
             let mut did = Vec::new();
-            self.signs.serves(id, life, &mut did);
+            self.signs.mark_serving(id, life, &mut did);
             self.signs_did(did, actions);
         }
     }
@@ -363,7 +364,7 @@
 
     fn note(&mut self, now: Duration, sign: Sign, actions: &mut Vec<Action>) {
         let mut did = Vec::new();
-        self.signs.noted(now, &sign, &mut did);
+        self.signs.observe_sign(now, &sign, &mut did);
         self.signs_did(did, actions);
         self.tell_leaving(&sign.endpoint, actions);
     }
@@ -381,7 +382,7 @@
 
     /// Tells the request arbiter whether an endpoint leaves, if that changed.
     fn tell_leaving(&mut self, endpoint: &EndpointId, actions: &mut Vec<Action>) {
-        let leaving = self.signs.is_leaving(endpoint, self.life(endpoint));
+        let leaving = self.signs.is_draining(endpoint, self.life(endpoint));
         let changed = match leaving {
             true => self.told.insert(endpoint.clone()),
             false => self.told.remove(endpoint),
--- a/crates/entry/tests/reports.rs
+++ b/crates/entry/tests/reports.rs
@@ -158,7 +158,7 @@
     let hosts = ["h0", "lone"].map(|n| HostId(n.try_into().expect("a valid name")));
     let asked_by_h0 = (0..)
         .map(|n| format!("asked-{n}"))
-        .find(|n| reports::asker(&id(n), hosts.iter()) == Some(&hosts[0]))
+        .find(|n| reports::polling_host(&id(n), hosts.iter()) == Some(&hosts[0]))
         .expect("one of many");
     fleet.add_engine(&asked_by_h0, 0, 4, 0).await;
     let mut news = lone_control(&hosts[1], fleet.platform.addr);
--- a/crates/membership/benches/tables/endpoints.rs
+++ b/crates/membership/benches/tables/endpoints.rs
@@ -4,8 +4,8 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_membership::{
-    endpoints::{Action, Endpoints},
-    reports::{self, Load, Reports},
+    endpoints::{Action, DrainingEndpoints},
+    reports::{self, Load, LoadReports},
 };
 use dragonflyrill_protocol::{
     Envelope, HostId, Message, membership,
@@ -45,10 +45,10 @@
     let me = host_id(0);
     let mine: Vec<&EndpointId> = here
         .iter()
-        .filter(|e| reports::asker(e, live.iter()) == Some(&me))
+        .filter(|e| reports::polling_host(e, live.iter()) == Some(&me))
         .collect();
     let mut rng = Pcg32::seed_from_u64(1);
-    let mut known = Reports::default();
+    let mut known = LoadReports::default();
     let (mut bytes, mut cpu) = (0, Duration::ZERO);
     for round in 0..SHARES {
         let now = reports::SHARE_INTERVAL * round;
@@ -59,7 +59,7 @@
                 waiting: rng.random_range(0..64),
                 at: now,
             };
-            known.asked(e, load);
+            known.record_polled(e, load);
         }
         let news = known.share(now + ms(1));
         // The others send as much as this host.
@@ -92,8 +92,8 @@
 
 fn signs() {
     let hosts = 14;
-    let mut endpoints = Endpoints::new(HostId::clone(&host_id(0)), data_centre(0));
-    endpoints.peers(ms(0), (0..hosts).map(tables::member), &mut Vec::new());
+    let mut endpoints = DrainingEndpoints::new(HostId::clone(&host_id(0)), data_centre(0));
+    endpoints.update_view(ms(0), (0..hosts).map(tables::member), &mut Vec::new());
     let sign = Sign {
         endpoint: endpoint(1),
         incarnation: 3,
@@ -101,7 +101,7 @@
         ttl_ms: 30_000,
     };
     let mut actions = Vec::new();
-    endpoints.noted(ms(0), &sign, &mut actions);
+    endpoints.observe_sign(ms(0), &sign, &mut actions);
     endpoints.tick(ms(400), &mut actions);
     endpoints.tick(ms(1_000), &mut actions);
     let bytes: usize = actions
--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -15,9 +15,9 @@
 use crate::members::Member;
 
 /// When a sign is told again, after it was first told.
-const REPEATS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(1000)];
+const RESEND_DELAYS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(1000)];
 /// The longest that a sign may hold without being seen again.
-pub const MAX_TTL: Duration = Duration::from_secs(300);
+pub const MAX_SIGN_TTL: Duration = Duration::from_secs(300);
 /// The most signs kept; the fleet has fewer endpoints in one data centre.
 const MAX_SIGNS: usize = 4096;
 
@@ -39,7 +39,7 @@
 
 /// A sign as it is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Kept {
+struct SignRecord {
     incarnation: u64,
     kind: SignKind,
     until: Duration,
@@ -47,56 +47,64 @@
 
 /// Repeats of signs seen here that are still to come.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Repeat {
+struct Resend {
     at: Duration,
     endpoint: EndpointId,
 }
 
 /// The endpoints that leave, as one host knows them.
 #[derive(Debug, Clone)]
-pub struct Endpoints {
+pub struct DrainingEndpoints {
     me: HostId,
     data_centre: DataCentre,
-    signs: BTreeMap<EndpointId, Kept>,
-    repeats: Vec<Repeat>,
-    near: BTreeMap<HostId, SocketAddr>,
+    signs: BTreeMap<EndpointId, SignRecord>,
+    resends: Vec<Resend>,
+    local_peers: BTreeMap<HostId, SocketAddr>,
 }
 
-impl Endpoints {
+impl DrainingEndpoints {
     /// A host of `data_centre` that knows of no signs.
     pub fn new(me: HostId, data_centre: DataCentre) -> Self {
         Self {
             me,
             data_centre,
             signs: BTreeMap::new(),
-            repeats: Vec::new(),
-            near: BTreeMap::new(),
+            resends: Vec::new(),
+            local_peers: BTreeMap::new(),
         }
     }
 
     /// Whether this life of an endpoint is known to leave. Incarnation 0 stands for any life.
-    pub fn is_leaving(&self, endpoint: &EndpointId, incarnation: u64) -> bool {
-        let later = |kept: &Kept| incarnation > kept.incarnation && kept.incarnation > 0;
-        self.signs.get(endpoint).is_some_and(|kept| !later(kept))
+    pub fn is_draining(&self, endpoint: &EndpointId, incarnation: u64) -> bool {
+        let later =
+            |record: &SignRecord| incarnation > record.incarnation && record.incarnation > 0;
+        self.signs
+            .get(endpoint)
+            .is_some_and(|record| !later(record))
     }
 
     /// Takes in a sign that this host saw itself, and tells the others unless they know.
-    pub fn noted(&mut self, now: Duration, sign: &Sign, actions: &mut Vec<Action>) {
-        if !self.keep(now, sign, actions) {
+    pub fn observe_sign(&mut self, now: Duration, sign: &Sign, actions: &mut Vec<Action>) {
+        if !self.merge_sign(now, sign, actions) {
             return;
         }
-        self.tell_all(std::slice::from_ref(sign), actions);
+        self.send_to_all(std::slice::from_ref(sign), actions);
         let endpoint = &sign.endpoint;
-        let repeats = REPEATS.into_iter().map(|after| Repeat {
+        let resends = RESEND_DELAYS.into_iter().map(|after| Resend {
             at: now + after,
             endpoint: endpoint.clone(),
         });
-        self.repeats.extend(repeats);
+        self.resends.extend(resends);
     }
 
     /// Takes in that a life of an endpoint serves: signs of earlier lives end.
-    pub fn serves(&mut self, endpoint: &EndpointId, incarnation: u64, actions: &mut Vec<Action>) {
-        let earlier = |kept: &Kept| kept.incarnation < incarnation;
+    pub fn mark_serving(
+        &mut self,
+        endpoint: &EndpointId,
+        incarnation: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        let earlier = |record: &SignRecord| record.incarnation < incarnation;
         if self.signs.get(endpoint).is_some_and(earlier) {
             self.signs.remove(endpoint);
             actions.push(Action::Changed(endpoint.clone()));
@@ -106,65 +114,69 @@
     /// Takes in signs of another host.
     pub fn receive(&mut self, now: Duration, signs: &[Sign], actions: &mut Vec<Action>) {
         for sign in signs {
-            self.keep(now, sign, actions);
+            self.merge_sign(now, sign, actions);
         }
     }
 
     /// Takes in the view of the members. Hosts that are new here get all signs.
-    pub fn peers(
+    pub fn update_view(
         &mut self,
         now: Duration,
         view: impl Iterator<Item = Member>,
         actions: &mut Vec<Action>,
     ) {
-        let near = view.filter(|m| m.data_centre == self.data_centre && m.host.id != self.me);
-        let near: BTreeMap<HostId, SocketAddr> = near.map(|m| (m.host.id, m.addr)).collect();
+        let local_peers =
+            view.filter(|m| m.data_centre == self.data_centre && m.host.id != self.me);
+        let local_peers: BTreeMap<HostId, SocketAddr> =
+            local_peers.map(|m| (m.host.id, m.addr)).collect();
         let signs: Vec<Sign> = self
             .signs
             .keys()
             .filter_map(|e| self.sign(now, e))
             .collect();
-        let joined = near.iter().filter(|(id, _)| !self.near.contains_key(*id));
+        let joined = local_peers
+            .iter()
+            .filter(|(id, _)| !self.local_peers.contains_key(*id));
         for (to, addr) in joined.filter(|_| !signs.is_empty()) {
             actions.push(send(to, *addr, &signs));
         }
-        self.near = near;
+        self.local_peers = local_peers;
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let (due, later) = self.repeats.drain(..).partition(|r| r.at <= now);
-        self.repeats = later;
-        let due: Vec<Repeat> = due;
+        let (due, later) = self.resends.drain(..).partition(|r| r.at <= now);
+        self.resends = later;
+        let due: Vec<Resend> = due;
         let signs: Vec<Sign> = due
             .iter()
             .filter_map(|r| self.sign(now, &r.endpoint))
             .collect();
         if !signs.is_empty() {
-            self.tell_all(&signs, actions);
+            self.send_to_all(&signs, actions);
         }
-        self.signs.retain(|endpoint, kept| {
-            let holds = kept.until > now;
-            if !holds {
+        self.signs.retain(|endpoint, record| {
+            let active = record.until > now;
+            if !active {
                 actions.push(Action::Changed(endpoint.clone()));
             }
-            holds
+            active
         });
     }
 
     /// When [`Self::tick`] is to be called next, at the latest.
     pub fn next_tick(&self) -> Option<Duration> {
-        let repeats = self.repeats.iter().map(|r| r.at);
-        repeats.chain(self.signs.values().map(|k| k.until)).min()
+        let resends = self.resends.iter().map(|r| r.at);
+        resends.chain(self.signs.values().map(|k| k.until)).min()
     }
 
     /// Keeps a sign; answers whether it says more than was known.
-    fn keep(&mut self, now: Duration, sign: &Sign, actions: &mut Vec<Action>) -> bool {
-        let ttl = Duration::from_millis(sign.ttl_ms.into()).min(MAX_TTL);
+    fn merge_sign(&mut self, now: Duration, sign: &Sign, actions: &mut Vec<Action>) -> bool {
+        let ttl = Duration::from_millis(sign.ttl_ms.into()).min(MAX_SIGN_TTL);
         if ttl.is_zero() || self.signs.len() >= MAX_SIGNS {
             return false;
         }
-        let new = Kept {
+        let new = SignRecord {
             incarnation: sign.incarnation,
             kind: sign.kind,
             until: now + ttl,
@@ -179,28 +191,28 @@
         }
         // A sign that only lasts a little longer is not worth telling.
         let longer = new.until > old.until + ttl / 2;
-        let says_more = new.incarnation > old.incarnation || new.kind > old.kind || longer;
-        if says_more {
+        let is_update = new.incarnation > old.incarnation || new.kind > old.kind || longer;
+        if is_update {
             let until = new.until.max(old.until);
-            *old = Kept { until, ..new };
+            *old = SignRecord { until, ..new };
         }
-        says_more
+        is_update
     }
 
     /// A sign as it is told now.
     fn sign(&self, now: Duration, endpoint: &EndpointId) -> Option<Sign> {
-        let kept = self.signs.get(endpoint)?;
-        let left = kept.until.checked_sub(now)?;
+        let record = self.signs.get(endpoint)?;
+        let remaining = record.until.checked_sub(now)?;
         Some(Sign {
             endpoint: endpoint.clone(),
-            incarnation: kept.incarnation,
-            kind: kept.kind,
-            ttl_ms: left.as_millis() as u32,
+            incarnation: record.incarnation,
+            kind: record.kind,
+            ttl_ms: remaining.as_millis() as u32,
         })
     }
 
-    fn tell_all(&self, signs: &[Sign], actions: &mut Vec<Action>) {
-        for (to, addr) in &self.near {
+    fn send_to_all(&self, signs: &[Sign], actions: &mut Vec<Action>) {
+        for (to, addr) in &self.local_peers {
             actions.push(send(to, *addr, signs));
         }
     }
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -4,18 +4,14 @@
 use xxhash_rust::xxh3;
 
 /// The weight of `id` for `what`. The greatest weights are chosen.
-pub fn weight(what: &str, id: &str) -> u64 {
-    let seed = xxh3::xxh3_64(what.as_bytes());
+pub fn weight(key: &str, id: &str) -> u64 {
+    let seed = xxh3::xxh3_64(key.as_bytes());
     xxh3::xxh3_64_with_seed(id.as_bytes(), seed)
 }
 
 /// The `n` hosts of `hosts` chosen for `what`, the first choice first.
-pub fn choose<'a>(
-    what: &str,
-    hosts: impl Iterator<Item = &'a HostId>,
-    n: usize,
-) -> Vec<&'a HostId> {
-    let mut ranked: Vec<_> = hosts.map(|h| (weight(what, h.0.as_str()), h)).collect();
+pub fn choose<'a>(key: &str, hosts: impl Iterator<Item = &'a HostId>, n: usize) -> Vec<&'a HostId> {
+    let mut ranked: Vec<_> = hosts.map(|h| (weight(key, h.0.as_str()), h)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.into_iter().take(n).map(|(_, h)| h).collect()
 }
--- a/crates/membership/src/reports.rs
+++ b/crates/membership/src/reports.rs
@@ -18,12 +18,12 @@
 /// Between two shares of this host's reports, and between two questions to one endpoint.
 pub const SHARE_INTERVAL: Duration = Duration::from_secs(2);
 /// Each so many shares hold all reports and not only the changed ones.
-const FULL_SHARES: u64 = 5;
+const FULL_SHARE_PERIOD: u64 = 5;
 /// Ages are told in steps of this.
 const AGE_STEP: Duration = Duration::from_millis(100);
 
 /// The host among `live` that asks `endpoint`.
-pub fn asker<'a>(
+pub fn polling_host<'a>(
     endpoint: &EndpointId,
     live: impl Iterator<Item = &'a HostId>,
 ) -> Option<&'a HostId> {
@@ -49,25 +49,25 @@
 
 /// The loads of the endpoints of a data centre, as one host knows them.
 #[derive(Debug, Clone, Default)]
-pub struct Reports {
+pub struct LoadReports {
     loads: BTreeMap<EndpointKey, Load>,
     /// The loads that this host asked for, as they were last shared.
-    own: BTreeMap<EndpointKey, Option<Load>>,
-    shares: u64,
+    polled: BTreeMap<EndpointKey, Option<Load>>,
+    share_count: u64,
     next_share: Duration,
 }
 
-impl Reports {
+impl LoadReports {
     /// The newest known load of an endpoint.
     pub fn load(&self, endpoint: &EndpointId) -> Option<Load> {
         self.loads.get(&key(endpoint)).copied()
     }
 
     /// Takes in a load that this host asked for, or that came with an answer.
-    pub fn asked(&mut self, endpoint: &EndpointId, load: Load) {
+    pub fn record_polled(&mut self, endpoint: &EndpointId, load: Load) {
         let key = key(endpoint);
-        self.own.entry(key).or_default();
-        self.take(key, load);
+        self.polled.entry(key).or_default();
+        self.merge(key, load);
     }
 
     /// Takes in the reports of another host.
@@ -79,13 +79,18 @@
                 waiting: report.waiting,
                 at: now.saturating_sub(age),
             };
-            self.take(report.key, load);
+            self.merge(report.key, load);
         }
     }
 
     /// Forgets the endpoints that this host no longer asks, and loads older than `max_age`.
-    pub fn retain(&mut self, now: Duration, max_age: Duration, mine: impl Fn(EndpointKey) -> bool) {
-        self.own.retain(|key, _| mine(*key));
+    pub fn retain(
+        &mut self,
+        now: Duration,
+        max_age: Duration,
+        is_polled: impl Fn(EndpointKey) -> bool,
+    ) {
+        self.polled.retain(|key, _| is_polled(*key));
         self.loads
             .retain(|_, load| now.saturating_sub(load.at) < max_age);
     }
@@ -101,24 +106,24 @@
             return None;
         }
         self.next_share = now + SHARE_INTERVAL;
-        self.shares += 1;
-        let full = self.shares.is_multiple_of(FULL_SHARES);
+        self.share_count += 1;
+        let full = self.share_count.is_multiple_of(FULL_SHARE_PERIOD);
         let mut reports = Vec::new();
-        for (key, shared) in &mut self.own {
+        for (key, shared) in &mut self.polled {
             let Some(load) = self.loads.get(key) else {
                 continue;
             };
-            let same = |s: &Load| s.running == load.running && s.waiting == load.waiting;
-            if !full && shared.as_ref().is_some_and(same) {
+            let unchanged = |s: &Load| s.running == load.running && s.waiting == load.waiting;
+            if !full && shared.as_ref().is_some_and(unchanged) {
                 continue;
             }
             *shared = Some(*load);
-            reports.push(report(now, *key, load));
+            reports.push(to_report(now, *key, load));
         }
         (!reports.is_empty()).then_some(EndpointNews::Reports(reports))
     }
 
-    fn take(&mut self, key: EndpointKey, load: Load) {
+    fn merge(&mut self, key: EndpointKey, load: Load) {
         let known = self.loads.entry(key).or_insert(load);
         if load.at >= known.at {
             *known = load;
@@ -126,7 +131,7 @@
     }
 }
 
-fn report(now: Duration, key: EndpointKey, load: &Load) -> Report {
+fn to_report(now: Duration, key: EndpointKey, load: &Load) -> Report {
     let age = now.saturating_sub(load.at).as_millis() / AGE_STEP.as_millis();
     Report {
         key,
--- a/crates/membership/tests/endpoints.rs
+++ b/crates/membership/tests/endpoints.rs
@@ -6,9 +6,9 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_membership::{
-    endpoints::{Action, Endpoints},
+    endpoints::{Action, DrainingEndpoints},
     members::Member,
-    reports::{self, Load, Reports},
+    reports::{self, Load, LoadReports},
 };
 use dragonflyrill_protocol::{
     HostId,
@@ -29,10 +29,10 @@
     }
 }
 
-fn hosts(n: usize) -> Vec<Endpoints> {
+fn hosts(n: usize) -> Vec<DrainingEndpoints> {
     let hosts = (0..n).map(|me| {
-        let mut endpoints = Endpoints::new(host_id(me), data_centre(0));
-        endpoints.peers(ms(0), (0..n).map(member), &mut Vec::new());
+        let mut endpoints = DrainingEndpoints::new(host_id(me), data_centre(0));
+        endpoints.update_view(ms(0), (0..n).map(member), &mut Vec::new());
         endpoints
     });
     hosts.collect()
@@ -63,7 +63,7 @@
 fn a_refusal_seen_by_one_host_is_told_to_all_others_at_once_and_twice_more() {
     let mut host = hosts(4).remove(0);
     let mut actions = Vec::new();
-    host.noted(ms(0), &sign(3, 30_000), &mut actions);
+    host.observe_sign(ms(0), &sign(3, 30_000), &mut actions);
     assert_eq!(sent(&actions).len(), 3);
     for at in [400, 1000] {
         actions.clear();
@@ -72,7 +72,7 @@
         assert_eq!(sent(&actions).len(), 3, "at {at}");
     }
     actions.clear();
-    host.noted(ms(1100), &sign(3, 30_000), &mut actions);
+    host.observe_sign(ms(1100), &sign(3, 30_000), &mut actions);
     assert_eq!(actions, [], "nothing new to tell");
 }
 
@@ -80,7 +80,7 @@
 fn all_hosts_know_within_two_seconds_though_two_of_three_messages_are_lost() {
     let mut hosts = hosts(4);
     let mut actions = Vec::new();
-    hosts[0].noted(ms(0), &sign(3, 30_000), &mut actions);
+    hosts[0].observe_sign(ms(0), &sign(3, 30_000), &mut actions);
     // The first two rounds are lost to all.
     hosts[0].tick(ms(400), &mut actions);
     actions.clear();
@@ -89,35 +89,35 @@
         let n = (0..4).find(|n| host_id(*n) == to).unwrap();
         hosts[n].receive(ms(1005), &signs, &mut Vec::new());
     }
-    assert!(hosts.iter().all(|h| h.is_leaving(&endpoint(1), 3)));
+    assert!(hosts.iter().all(|h| h.is_draining(&endpoint(1), 3)));
 }
 
 #[test]
 fn a_later_life_of_an_endpoint_serves_and_a_late_sign_does_not_end_it() {
     let mut host = hosts(2).remove(0);
     let mut actions = Vec::new();
-    host.noted(ms(0), &sign(3, 30_000), &mut actions);
-    assert!(host.is_leaving(&endpoint(1), 3));
-    assert!(!host.is_leaving(&endpoint(1), 4));
-    host.serves(&endpoint(1), 4, &mut actions);
+    host.observe_sign(ms(0), &sign(3, 30_000), &mut actions);
+    assert!(host.is_draining(&endpoint(1), 3));
+    assert!(!host.is_draining(&endpoint(1), 4));
+    host.mark_serving(&endpoint(1), 4, &mut actions);
     host.receive(ms(10), &[sign(3, 30_000)], &mut actions);
-    assert!(!host.is_leaving(&endpoint(1), 4));
+    assert!(!host.is_draining(&endpoint(1), 4));
 }
 
 #[test]
 fn a_sign_ends_by_time_also_where_it_was_learned_late() {
     let mut hosts = hosts(2);
     let mut actions = Vec::new();
-    hosts[0].noted(ms(0), &sign(0, 2_000), &mut actions);
+    hosts[0].observe_sign(ms(0), &sign(0, 2_000), &mut actions);
     actions.clear();
     hosts[0].tick(ms(1000), &mut actions);
     let (_, signs) = sent(&actions).remove(0);
     hosts[1].receive(ms(1000), &signs, &mut actions);
     for host in &mut hosts {
         host.tick(ms(1_999), &mut actions);
-        assert!(host.is_leaving(&endpoint(1), 0));
+        assert!(host.is_draining(&endpoint(1), 0));
         host.tick(ms(2_000), &mut actions);
-        assert!(!host.is_leaving(&endpoint(1), 0));
+        assert!(!host.is_draining(&endpoint(1), 0));
     }
 }
 
@@ -125,62 +125,62 @@
 fn a_host_that_joins_gets_the_signs() {
     let mut host = hosts(2).remove(0);
     let mut actions = Vec::new();
-    host.noted(ms(0), &sign(3, 30_000), &mut actions);
+    host.observe_sign(ms(0), &sign(3, 30_000), &mut actions);
     actions.clear();
-    host.peers(ms(100), (0..3).map(member), &mut actions);
-    let told = sent(&actions);
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].0, host_id(2));
-    assert_eq!(told[0].1[0].ttl_ms, 29_900);
+    host.update_view(ms(100), (0..3).map(member), &mut actions);
+    let received = sent(&actions);
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].0, host_id(2));
+    assert_eq!(received[0].1[0].ttl_ms, 29_900);
 }
 
 #[test]
 fn each_endpoint_is_asked_by_one_host_and_the_parts_are_even() {
     let live: Vec<HostId> = (0..14).map(host_id).collect();
-    let mut parts: BTreeMap<&HostId, usize> = BTreeMap::new();
+    let mut polled: BTreeMap<&HostId, usize> = BTreeMap::new();
     for n in 0..480 {
-        let asker = reports::asker(&endpoint(n), live.iter()).unwrap();
-        *parts.entry(asker).or_default() += 1;
+        let polling_host = reports::polling_host(&endpoint(n), live.iter()).unwrap();
+        *polled.entry(polling_host).or_default() += 1;
     }
-    assert_eq!(parts.len(), 14);
-    let most = parts.values().max().unwrap();
-    assert!(*most <= 60, "one host asks {most}");
+    assert_eq!(polled.len(), 14);
+    let max_polled = polled.values().max().unwrap();
+    assert!(*max_polled <= 60, "one host asks {max_polled}");
 }
 
 #[test]
 fn when_a_host_dies_only_its_endpoints_are_asked_by_others() {
     let live: Vec<HostId> = (0..14).map(host_id).collect();
     for n in 0..480 {
-        let before = reports::asker(&endpoint(n), live.iter()).unwrap();
-        let after = reports::asker(&endpoint(n), live[1..].iter()).unwrap();
+        let before = reports::polling_host(&endpoint(n), live.iter()).unwrap();
+        let after = reports::polling_host(&endpoint(n), live[1..].iter()).unwrap();
         assert!(before == after || *before == live[0]);
     }
 }
 
 #[test]
 fn shared_loads_carry_their_age_and_older_ones_do_not_replace_newer() {
-    let mut asking = Reports::default();
-    let mut other = Reports::default();
+    let mut polling = LoadReports::default();
+    let mut other = LoadReports::default();
     let load = |running, at| Load {
         running,
         waiting: 0,
         at,
     };
-    asking.asked(&endpoint(1), load(5, ms(1_000)));
-    let Some(EndpointNews::Reports(news)) = asking.share(ms(1_500)) else {
+    polling.record_polled(&endpoint(1), load(5, ms(1_000)));
+    let Some(EndpointNews::Reports(message)) = polling.share(ms(1_500)) else {
         panic!("news is due");
     };
-    other.asked(&endpoint(1), load(9, ms(1_200)));
-    other.receive(ms(1_500), &news);
+    other.record_polled(&endpoint(1), load(9, ms(1_200)));
+    other.receive(ms(1_500), &message);
     assert_eq!(other.load(&endpoint(1)), Some(load(9, ms(1_200))));
-    let mut third = Reports::default();
-    third.receive(ms(1_500), &news);
+    let mut third = LoadReports::default();
+    third.receive(ms(1_500), &message);
     assert_eq!(third.load(&endpoint(1)), Some(load(5, ms(1_000))));
 }
 
 #[test]
 fn an_unchanged_load_is_shared_only_now_and_then() {
-    let mut reports = Reports::default();
+    let mut reports = LoadReports::default();
     let mut shared = 0;
     for round in 0..10 {
         let now = reports::SHARE_INTERVAL * round;
@@ -189,7 +189,7 @@
             waiting: 0,
             at: now,
         };
-        reports.asked(&endpoint(1), load);
+        reports.record_polled(&endpoint(1), load);
         shared += usize::from(reports.share(now + Duration::from_millis(1)).is_some());
     }
     assert_eq!(shared, 3);
