--- a/crates/entry/src/control/actor.rs
+++ b/crates/entry/src/control/actor.rs
@@ -181,7 +181,8 @@
             Event::Leave => {
                 self.leaving.set();
                 let mut actions = Vec::new();
-                self.members.leave(self.clock.now(), &mut actions);
+                self.members
+                    .announce_shutdown(self.clock.now(), &mut actions);
                 self.members_did(actions);
             }
         }
@@ -194,7 +195,7 @@
 
     fn envelope(&mut self, envelope: Envelope) {
         let now = self.clock.now();
-        self.members.heard(now, &envelope.from);
+        self.members.record_contact(now, &envelope.from);
         for message in envelope.messages {
             match message {
                 Message::Membership(membership::Message::Endpoints(news)) => {
@@ -235,16 +236,16 @@
         let now = self.clock.now();
         let mut actions = Vec::new();
         match reading {
-            Reading::New(read) => self.spread.known(now, read, &mut actions),
-            Reading::Head(head) => self.spread.store_head(now, &head, &mut actions),
-            Reading::Away => self.spread.store_away(now),
+            Reading::New(read) => self.spread.receive_store_read(now, read, &mut actions),
+            Reading::Head(head) => self.spread.receive_store_head(now, &head, &mut actions),
+            Reading::Away => self.spread.receive_store_failure(now),
         }
         self.spread_did(actions);
     }
 
     fn listed(&mut self, listing: Listing) {
         let now = self.clock.now();
-        self.members.listed(now, &listing.hosts);
+        self.members.update_list(now, &listing.hosts);
         self.view_changed();
         self.orders.endpoints(&listing.endpoints);
         self.with_engines(|engines, now, did| engines.listed(now, listing.endpoints, did));
@@ -265,7 +266,7 @@
             return;
         };
         let (now, listing) = (self.clock.now(), Listing::from(lent));
-        self.members.listed(now, &listing.hosts);
+        self.members.update_list(now, &listing.hosts);
         self.view_changed();
         if !listing.endpoints.is_empty() {
             log::info!("hosts: The list was lent by a peer.");
@@ -274,7 +275,7 @@
     }
 
     fn lend(&self) -> protocol::Listing {
-        let alive = self.members.alive().filter(|m| m.host.incarnation > 0);
+        let alive = self.members.view().filter(|m| m.host.incarnation > 0);
         let hosts = alive.map(|m| protocol::ListedHost {
             id: m.host.id,
             addr: m.addr,
@@ -317,8 +318,9 @@
     }
 
     fn view_changed(&mut self) {
-        self.spread.peers(self.clock.now(), self.members.alive());
-        let view = self.members.alive().collect();
+        self.spread
+            .update_view(self.clock.now(), self.members.view());
+        let view = self.members.view().collect();
         self.with_engines(|engines, now, did| engines.peers(now, view, did));
         let others: Vec<PeerInfo> = self.others().collect();
         let seen: Vec<HostRef> = others.iter().map(|p| p.host.clone()).collect();
@@ -332,7 +334,7 @@
     /// The other hosts that were heard.
     fn others(&self) -> impl Iterator<Item = PeerInfo> {
         let me = &self.me.host.id;
-        let alive = self.members.alive();
+        let alive = self.members.view();
         let others = alive.filter(move |m| m.host.id != *me && m.host.incarnation > 0);
         others.map(|m| PeerInfo {
             host: m.host,
@@ -361,7 +363,7 @@
 
     /// Sends a message of the request arbiter to a host of the view, if that life of it is alive.
     fn send(&mut self, to: HostRef, message: Message) {
-        let addr = self.members.alive().find(|m| m.host == to).map(|m| m.addr);
+        let addr = self.members.view().find(|m| m.host == to).map(|m| m.addr);
         match addr {
             Some(addr) => self.gather(to.id, addr, message),
             None => log::debug!(
--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/hosts.rs
@@ -6,7 +6,7 @@
 use dragonflyrill_catalogue::{DataCentre, EndpointId, TargetName, name::NameError};
 use dragonflyrill_engines::wire;
 use dragonflyrill_fleet::endpoints::Endpoint;
-use dragonflyrill_membership::members::Listed;
+use dragonflyrill_membership::members::ListedPeer;
 use dragonflyrill_protocol::{self as protocol, EndpointRole, HostId, ListedEndpoint, ListedHost};
 use dragonflyrill_routing as routing;
 use dragonflyrill_store::{
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Listing {
     /// The entry hosts.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedPeer>,
     /// The endpoints.
     pub endpoints: Vec<routing::Endpoint>,
 }
@@ -147,12 +147,12 @@
     }
 }
 
-fn lent_host(host: ListedHost) -> Listed {
-    Listed {
+fn lent_host(host: ListedHost) -> ListedPeer {
+    ListedPeer {
         id: host.id,
         addr: host.addr,
         data_centre: host.data_centre,
-        leaving: false,
+        shutting_down: false,
     }
 }
 
@@ -207,12 +207,12 @@
 }
 
 /// A listed entry host as the membership knows it.
-fn listed(host: EntryHost) -> Listed {
-    Listed {
+fn listed(host: EntryHost) -> ListedPeer {
+    ListedPeer {
         id: HostId(host.id.0),
         addr: host.peers,
         data_centre: host.data_centre,
-        leaving: host.leaving,
+        shutting_down: host.leaving,
     }
 }
 
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -91,8 +91,8 @@
 ) {
     let store = store::Store::new(start.platform, tx.clone());
     let budget = spread::Budget {
-        poll: start.poll,
-        compare: start.compare,
+        poll_interval: start.poll,
+        startup_wait: start.compare,
         ..spread::Budget::default()
     };
     let borrower = hosts::Borrower::new(start.seeds, tx.clone());
--- a/crates/entry/src/control/store.rs
+++ b/crates/entry/src/control/store.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_adapter::store::{Objects, Table};
 use dragonflyrill_catalogue::Revision;
-use dragonflyrill_membership::spread::FromStore;
+use dragonflyrill_membership::spread::StoreRead;
 use dragonflyrill_store::{
     catalogue_store::{CatalogueStore, Head, StoreError},
     table::retry::{Retry, RetryPolicy},
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub enum Reading {
     /// Newer changes, or a snapshot.
-    New(FromStore),
+    New(StoreRead),
     /// The head, which is not newer, or older than what is in force.
     Head(Head),
     /// The platform did not answer in time.
@@ -80,10 +80,10 @@
         return Ok(Reading::Head(head));
     }
     match store.read_changes(after).await {
-        Ok(changes) => Ok(Reading::New(FromStore::Changes(changes))),
+        Ok(changes) => Ok(Reading::New(StoreRead::Changes(changes))),
         Err(StoreError::Missing { .. }) => {
             let loaded = store.load(objects).await?;
-            Ok(Reading::New(FromStore::Loaded(loaded)))
+            Ok(Reading::New(StoreRead::Loaded(loaded)))
         }
         Err(e) => Err(e),
     }
--- a/crates/membership/benches/tables/latency.rs
+++ b/crates/membership/benches/tables/latency.rs
@@ -125,7 +125,7 @@
 fn poller(fleet: &Fleet, n: usize) -> usize {
     let dcs = fleet.nodes.iter().map(|n| n.data_centre).max().unwrap_or(0) + 1;
     let polls = |(_, node): &(usize, &crate::fleet::Node)| {
-        node.up && node.data_centre == n % dcs && node.spread.am_poller()
+        node.up && node.data_centre == n % dcs && node.spread.is_poller()
     };
     let mut nodes = fleet.nodes.iter().enumerate();
     nodes.find(polls).map_or(0, |(i, _)| i)
--- a/crates/membership/src/members/config.rs
+++ b/crates/membership/src/members/config.rs
@@ -35,7 +35,7 @@
     /// All hosts of another data centre are suspected after this silence of it.
     pub silent_after: Duration,
     /// Dead hosts, and hosts of a silent data centre, are forgotten after this time unless listed.
-    pub forget_after: Duration,
+    pub remove_after: Duration,
     /// Between repairs of differing records.
     pub repair: Duration,
 }
@@ -48,7 +48,7 @@
             suspect_after: Duration::from_millis(1200),
             dead_after: Duration::from_secs(2),
             silent_after: Duration::from_secs(3),
-            forget_after: Duration::from_secs(600),
+            remove_after: Duration::from_secs(600),
             repair: Duration::from_secs(1),
         }
     }
@@ -56,7 +56,7 @@
 
 /// An entry host on the platform's list, or one named in the settings to start from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Listed {
+pub struct ListedPeer {
     /// The host.
     pub id: HostId,
     /// Its address for other hosts.
@@ -64,5 +64,5 @@
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Whether it is listed as leaving. While the host itself is heard, its own word counts.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
--- a/crates/membership/src/members/mod.rs
+++ b/crates/membership/src/members/mod.rs
@@ -29,7 +29,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-pub use config::{Config, Intervals, Listed};
+pub use config::{Config, Intervals, ListedPeer};
 pub use view::Member;
 
 /// What is to be done.
@@ -53,9 +53,9 @@
 struct Peer {
     record: Record,
     /// When it was last heard; for a host never heard, when its record came.
-    heard: Duration,
+    last_contact: Duration,
     /// Since when the record has its state.
-    since: Duration,
+    state_since: Duration,
     /// The digest in its last heartbeat.
     digest: Option<u64>,
 }
@@ -66,27 +66,27 @@
     cfg: Config,
     rng: Pcg32,
     refutations: u32,
-    leaving: bool,
+    shutting_down: bool,
     /// Invariant: never contains this host.
     peers: BTreeMap<HostId, Peer>,
     /// The platform's list, without this host.
-    hints: BTreeMap<HostId, Listed>,
+    listed_hosts: BTreeMap<HostId, ListedPeer>,
     /// When each other data centre was last heard by any host of this one.
-    reached: BTreeMap<DataCentreKey, Duration>,
+    data_centre_contacts: BTreeMap<DataCentreKey, Duration>,
     /// The data centres that this host heard itself since its last heartbeat.
-    reached_here: BTreeSet<DataCentreKey>,
+    direct_contacts: BTreeSet<DataCentreKey>,
     /// The digest of all records, up to date.
     digest: u64,
     /// Whether the view may have changed since it was last told.
-    touched: bool,
+    view_dirty: bool,
     /// Of the view last told by [`Action::Changed`].
-    told: u64,
-    rounds: u64,
+    reported_view_hash: u64,
+    heartbeat_rounds: u64,
     next_heartbeat: Duration,
     next_link: Duration,
     next_repair: Duration,
     /// When this host last ran.
-    ran: Option<Duration>,
+    last_run: Option<Duration>,
 }
 
 impl Members {
@@ -97,46 +97,46 @@
             cfg,
             rng,
             refutations: 0,
-            leaving: false,
+            shutting_down: false,
             peers: BTreeMap::new(),
-            hints: BTreeMap::new(),
-            reached: BTreeMap::new(),
-            reached_here: BTreeSet::new(),
+            listed_hosts: BTreeMap::new(),
+            data_centre_contacts: BTreeMap::new(),
+            direct_contacts: BTreeSet::new(),
             digest: 0,
-            touched: true,
-            told: 0,
-            rounds: 0,
+            view_dirty: true,
+            reported_view_hash: 0,
+            heartbeat_rounds: 0,
             next_heartbeat: Duration::ZERO,
             next_link: Duration::ZERO,
             next_repair: Duration::ZERO,
-            ran: None,
+            last_run: None,
         };
         members.digest = members.digest_of(None);
         members
     }
 
     /// Takes in the platform's list, or before it can be read the hosts named in the settings.
-    pub fn listed(&mut self, now: Duration, list: &[Listed]) {
-        self.resume(now);
+    pub fn update_list(&mut self, now: Duration, list: &[ListedPeer]) {
+        self.compensate_pause(now);
         let others = list.iter().filter(|l| l.id != self.cfg.me.id);
-        self.hints = others.map(|l| (l.id.clone(), l.clone())).collect();
-        self.touched = true;
+        self.listed_hosts = others.map(|l| (l.id.clone(), l.clone())).collect();
+        self.view_dirty = true;
     }
 
     /// Takes in that any message came from `from`.
-    pub fn heard(&mut self, now: Duration, from: &HostRef) {
-        self.resume(now);
+    pub fn record_contact(&mut self, now: Duration, from: &HostRef) {
+        self.compensate_pause(now);
         let Some(peer) = self.peers.get_mut(&from.id) else {
             return;
         };
         if peer.record.life.incarnation != from.incarnation {
             return;
         }
-        peer.heard = now;
+        peer.last_contact = now;
         if peer.record.data_centre != self.cfg.data_centre {
             let key = view::key(&peer.record.data_centre);
-            self.reached_here.insert(key);
-            self.reach(now, key);
+            self.direct_contacts.insert(key);
+            self.record_data_centre_contact(now, key);
         }
     }
 
@@ -153,36 +153,36 @@
         }
         match message {
             Message::Heartbeat(heartbeat) => {
-                self.heartbeat(now, from, heartbeat, actions);
+                self.receive_heartbeat(now, from, heartbeat, actions);
             }
             Message::Digests(digests) => {
-                self.heard(now, from);
+                self.record_contact(now, from);
                 self.answer_digests(&from.id, &digests, actions);
             }
             Message::Records(records) => {
-                self.heard(now, from);
+                self.record_contact(now, from);
                 self.answer_records(now, &from.id, records, actions);
             }
-            Message::Endpoints(_) => self.heard(now, from),
+            Message::Endpoints(_) => self.record_contact(now, from),
         }
-        self.tell(now, actions);
+        self.report_view_change(now, actions);
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.resume(now);
-        self.judge(now, actions);
+        self.compensate_pause(now);
+        self.detect_failures(now, actions);
         // A data centre may have been silent for too long.
-        self.touched = true;
+        self.view_dirty = true;
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + self.jittered(self.cfg.intervals.heartbeat);
             self.send_heartbeats(actions);
         }
         if now >= self.next_link {
             self.next_link = now + self.jittered(self.cfg.intervals.link);
-            self.send_links(now, actions);
+            self.send_link_heartbeats(now, actions);
         }
-        self.tell(now, actions);
+        self.report_view_change(now, actions);
     }
 
     /// When [`Self::tick`] is to be called next, at the latest.
@@ -191,18 +191,18 @@
     }
 
     /// Tells all hosts that this one leaves. It goes on sending heartbeats.
-    pub fn leave(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.resume(now);
-        self.leaving = true;
+    pub fn announce_shutdown(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.compensate_pause(now);
+        self.shutting_down = true;
         self.records_changed();
-        let own = self.own();
+        let own = self.own_record();
         self.broadcast(now, vec![own], None, actions);
-        self.tell(now, actions);
+        self.report_view_change(now, actions);
     }
 
     /// This host's own record.
-    fn own(&self) -> Record {
-        let state = if self.leaving {
+    fn own_record(&self) -> Record {
+        let state = if self.shutting_down {
             State::Left
         } else {
             State::Alive
@@ -221,24 +221,24 @@
 
     /// Shifts what was heard by the time this host did not run itself, so that a paused host does
     /// not take its own silence for that of the others.
-    fn resume(&mut self, now: Duration) {
-        let ran = self.ran.replace(now).unwrap_or(now);
-        let pause = now.saturating_sub(ran);
+    fn compensate_pause(&mut self, now: Duration) {
+        let last_run = self.last_run.replace(now).unwrap_or(now);
+        let pause = now.saturating_sub(last_run);
         let expected = self.cfg.intervals.heartbeat * 2;
-        let Some(late) = pause.checked_sub(expected) else {
+        let Some(excess) = pause.checked_sub(expected) else {
             return;
         };
         log::warn!("members: Paused for {} ms.", pause.as_millis());
         for peer in self.peers.values_mut() {
-            peer.heard += late;
-            peer.since += late;
+            peer.last_contact += excess;
+            peer.state_since += excess;
         }
-        for reached in self.reached.values_mut() {
-            *reached += late;
+        for reached in self.data_centre_contacts.values_mut() {
+            *reached += excess;
         }
     }
 
-    fn heartbeat(
+    fn receive_heartbeat(
         &mut self,
         now: Duration,
         from: &HostRef,
@@ -250,7 +250,7 @@
             refutations: heartbeat.refutations,
         };
         let known = self.peers.get(&from.id).map(|p| p.record.clone());
-        let own_word = match (heartbeat.record, known) {
+        let sender_record = match (heartbeat.record, known) {
             (Some(record), _) if record.id == from.id => Some(record),
             // The address holds within one life only.
             (_, Some(known)) if known.life.incarnation == life.incarnation => Some(Record {
@@ -260,10 +260,10 @@
             }),
             _ => None,
         };
-        if let Some(own_word) = own_word {
-            self.take(now, vec![own_word], Some(&from.id), actions);
+        if let Some(sender_record) = sender_record {
+            self.merge_records(now, vec![sender_record], Some(&from.id), actions);
         }
-        self.heard(now, from);
+        self.record_contact(now, from);
         let Some(peer) = self.peers.get_mut(&from.id) else {
             return;
         };
@@ -271,17 +271,17 @@
         let record = peer.record.clone();
         if record.data_centre == self.cfg.data_centre {
             for key in heartbeat.reached {
-                self.reach(now, key);
+                self.record_data_centre_contact(now, key);
             }
         }
-        let doubted = matches!(record.state, State::Suspected | State::Dead);
-        if doubted && record.life >= life {
+        let reported_failed = matches!(record.state, State::Suspected | State::Dead);
+        if reported_failed && record.life >= life {
             // It lives, so it shall refute.
-            let doubt = Records {
+            let suspicion = Records {
                 records: vec![record],
                 wanted: Vec::new(),
             };
-            self.send(&from.id, Message::Records(doubt), actions);
+            self.send(&from.id, Message::Records(suspicion), actions);
         }
         if heartbeat.digest != self.digest && now >= self.next_repair {
             self.next_repair = now + self.jittered(self.cfg.intervals.repair);
@@ -290,15 +290,15 @@
     }
 
     /// Suspects hosts of this data centre that are silent, and forgets old records.
-    fn judge(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn detect_failures(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let intervals = &self.cfg.intervals;
-        let mut found = Vec::new();
+        let mut failures = Vec::new();
         for peer in self.peers.values() {
             if peer.record.data_centre != self.cfg.data_centre {
                 continue;
             }
-            let silent = now.saturating_sub(peer.heard);
-            let since = now.saturating_sub(peer.since);
+            let silent = now.saturating_sub(peer.last_contact);
+            let since = now.saturating_sub(peer.state_since);
             let state = match peer.record.state {
                 State::Alive if silent >= intervals.suspect_after => State::Suspected,
                 State::Suspected
@@ -309,12 +309,12 @@
                 _ => continue,
             };
             log::info!("members: {} is {state:?}.", peer.record.id);
-            found.push(Record {
+            failures.push(Record {
                 state,
                 ..peer.record.clone()
             });
         }
-        self.take(now, found, None, actions);
-        self.forget(now);
+        self.merge_records(now, failures, None, actions);
+        self.remove_expired(now);
     }
 }
--- a/crates/membership/src/members/records.rs
+++ b/crates/membership/src/members/records.rs
@@ -15,11 +15,11 @@
 use super::{Action, Members, Peer, view};
 
 /// More records at once are not passed on: the digests of heartbeats bring them to the others.
-const MAX_PASSED_ON: usize = 16;
+const MAX_FORWARDED_RECORDS: usize = 16;
 
 impl Members {
     /// Merges `records` from `from` (`None`: from this host itself), and passes on what is new.
-    pub(super) fn take(
+    pub(super) fn merge_records(
         &mut self,
         now: Duration,
         records: Vec<Record>,
@@ -29,15 +29,15 @@
         let mut fresh = Vec::new();
         for record in records {
             if record.id == self.cfg.me.id {
-                self.defend(now, &record, actions);
-            } else if self.contradicted(now, &record, from) {
+                self.refute(now, &record, actions);
+            } else if self.contradicts_contact(now, &record, from) {
                 let id = record.id.clone();
-                let doubt = Records {
+                let suspicion = Records {
                     records: vec![record],
                     wanted: Vec::new(),
                 };
-                self.send(&id, Message::Records(doubt), actions);
-            } else if self.merge(now, &record) {
+                self.send(&id, Message::Records(suspicion), actions);
+            } else if self.merge_record(now, &record) {
                 fresh.push(record);
             }
         }
@@ -49,36 +49,36 @@
     }
 
     /// Refutes a doubt about this host.
-    fn defend(&mut self, now: Duration, record: &Record, actions: &mut Vec<Action>) {
-        let own = self.own();
+    fn refute(&mut self, now: Duration, record: &Record, actions: &mut Vec<Action>) {
+        let own = self.own_record();
         if record.life.incarnation > own.life.incarnation {
             log::error!("members: Another host runs under the name {}.", own.id);
             return;
         }
-        if self.leaving || record.state == State::Alive || record.life < own.life {
+        if self.shutting_down || record.state == State::Alive || record.life < own.life {
             return;
         }
         self.refutations = record.life.refutations + 1;
         self.records_changed();
-        let own = self.own();
+        let own = self.own_record();
         self.broadcast(now, vec![own], None, actions);
     }
 
     /// Whether another's doubt about a host contradicts what this host heard itself.
-    fn contradicted(&self, now: Duration, record: &Record, from: Option<&HostId>) -> bool {
-        let doubt = matches!(record.state, State::Suspected | State::Dead);
+    fn contradicts_contact(&self, now: Duration, record: &Record, from: Option<&HostId>) -> bool {
+        let suspicion = matches!(record.state, State::Suspected | State::Dead);
         let Some(peer) = self.peers.get(&record.id) else {
             return false;
         };
-        let near = peer.record.data_centre == self.cfg.data_centre;
-        let heard = now.saturating_sub(peer.heard) < self.cfg.intervals.suspect_after;
+        let is_local = peer.record.data_centre == self.cfg.data_centre;
+        let in_contact = now.saturating_sub(peer.last_contact) < self.cfg.intervals.suspect_after;
         let same_life = peer.record.life.incarnation == record.life.incarnation;
-        let serves = peer.record.state == State::Alive;
-        from.is_some() && doubt && near && heard && same_life && serves
+        let seen_alive = peer.record.state == State::Alive;
+        from.is_some() && suspicion && is_local && in_contact && same_life && seen_alive
     }
 
     /// Merges one record; answers whether it was new.
-    fn merge(&mut self, now: Duration, record: &Record) -> bool {
+    fn merge_record(&mut self, now: Duration, record: &Record) -> bool {
         let gone = |r: &Record| matches!(r.state, State::Dead | State::Left);
         let Some(peer) = self.peers.get_mut(&record.id) else {
             // A record of a dead host that was forgotten must not go round for ever.
@@ -87,8 +87,8 @@
             }
             let peer = Peer {
                 record: record.clone(),
-                heard: now,
-                since: now,
+                last_contact: now,
+                state_since: now,
                 digest: None,
             };
             self.peers.insert(record.id.clone(), peer);
@@ -100,11 +100,11 @@
         }
         if record.life > peer.record.life {
             // Someone heard it in this life.
-            peer.heard = now;
+            peer.last_contact = now;
             peer.digest = None;
         }
         peer.record = record.clone();
-        peer.since = now;
+        peer.state_since = now;
         true
     }
 
@@ -117,27 +117,27 @@
         from: Option<&HostId>,
         actions: &mut Vec<Action>,
     ) {
-        if records.len() > MAX_PASSED_ON {
+        if records.len() > MAX_FORWARDED_RECORDS {
             return;
         }
-        let from_near = from.is_some_and(|id| self.is_near(id));
-        if !from_near {
-            for to in self.near() {
+        let from_local = from.is_some_and(|id| self.is_local_peer(id));
+        if !from_local {
+            for to in self.local_peers() {
                 if Some(&to) != from {
                     let message = records_message(records.clone());
                     self.send(&to, message, actions);
                 }
             }
         }
-        let ours = records
+        let local_records = records
             .into_iter()
             .filter(|r| r.data_centre == self.cfg.data_centre);
-        let ours: Vec<Record> = ours.collect();
-        if ours.is_empty() {
+        let local_records: Vec<Record> = local_records.collect();
+        if local_records.is_empty() {
             return;
         }
         for target in self.link_targets(now) {
-            let message = records_message(ours.clone());
+            let message = records_message(local_records.clone());
             self.send_to(&target, message, actions);
         }
     }
@@ -184,25 +184,25 @@
                 records.map(|r| (r.id.clone(), r.clone())).collect()
             }
         };
-        self.take(now, message.records, Some(from), actions);
-        let mut lacking = self.records_of(&message.wanted);
-        lacking.retain(|r| theirs.get(&r.id) != Some(r));
-        if !lacking.is_empty() {
-            self.send(from, records_message(lacking), actions);
+        self.merge_records(now, message.records, Some(from), actions);
+        let mut missing = self.records_of(&message.wanted);
+        missing.retain(|r| theirs.get(&r.id) != Some(r));
+        if !missing.is_empty() {
+            self.send(from, records_message(missing), actions);
         }
     }
 
     /// Brings what is derived from the records up to date.
     pub(super) fn records_changed(&mut self) {
         self.digest = self.digest_of(None);
-        self.touched = true;
+        self.view_dirty = true;
     }
 
     /// The digest of the records of each data centre.
     pub(super) fn digests(&self) -> Vec<DataCentreDigest> {
         let keys: BTreeSet<DataCentreKey> = self
-            .all()
-            .filter(counts)
+            .all_records()
+            .filter(in_digest)
             .map(|r| view::key(&r.data_centre))
             .collect();
         let digests = keys.into_iter().map(|key| DataCentreDigest {
@@ -216,35 +216,42 @@
     ///
     /// Records of dead hosts don't count, so that they can be forgotten at different times.
     pub(super) fn digest_of(&self, key: Option<DataCentreKey>) -> u64 {
-        let own = self.own();
+        let own = self.own_record();
         let own = Some(&own).into_iter();
         let all = own.chain(self.peers.values().map(|p| &p.record));
         let counted =
-            all.filter(|r| counts(r) && key.is_none_or(|k| view::key(&r.data_centre) == k));
+            all.filter(|r| in_digest(r) && key.is_none_or(|k| view::key(&r.data_centre) == k));
         counted.map(hash).fold(0, |sum, h| sum ^ h)
     }
 
     fn records_of(&self, keys: &[DataCentreKey]) -> Vec<Record> {
-        let all = self.all();
+        let all = self.all_records();
         all.filter(|r| keys.contains(&view::key(&r.data_centre)))
             .collect()
     }
 
-    fn all(&self) -> impl Iterator<Item = Record> {
+    fn all_records(&self) -> impl Iterator<Item = Record> {
         let others = self.peers.values().map(|p| p.record.clone());
-        std::iter::once(self.own()).chain(others)
+        std::iter::once(self.own_record()).chain(others)
     }
 
     /// Forgets hosts that are dead for long, or whose data centre is silent for long.
-    pub(super) fn forget(&mut self, now: Duration) {
-        let after = self.cfg.intervals.forget_after;
-        let long = |since: Duration| now.saturating_sub(since) >= after;
+    pub(super) fn remove_expired(&mut self, now: Duration) {
+        let after = self.cfg.intervals.remove_after;
+        let expired = |since: Duration| now.saturating_sub(since) >= after;
         let forgotten = self.peers.values().filter(|p| {
             let key = view::key(&p.record.data_centre);
-            let gone = matches!(p.record.state, State::Dead | State::Left) && long(p.since);
-            let far = p.record.data_centre != self.cfg.data_centre;
-            let silent = far && long(self.reached.get(&key).copied().unwrap_or(p.heard));
-            gone || (silent && !self.hints.contains_key(&p.record.id))
+            let gone =
+                matches!(p.record.state, State::Dead | State::Left) && expired(p.state_since);
+            let remote = p.record.data_centre != self.cfg.data_centre;
+            let silent = remote
+                && expired(
+                    self.data_centre_contacts
+                        .get(&key)
+                        .copied()
+                        .unwrap_or(p.last_contact),
+                );
+            gone || (silent && !self.listed_hosts.contains_key(&p.record.id))
         });
         let forgotten: Vec<HostId> = forgotten.map(|p| p.record.id.clone()).collect();
         if forgotten.is_empty() {
@@ -265,7 +272,7 @@
     })
 }
 
-fn counts(record: &Record) -> bool {
+fn in_digest(record: &Record) -> bool {
     matches!(record.state, State::Alive | State::Suspected)
 }
 
--- a/crates/membership/src/members/sending.rs
+++ b/crates/membership/src/members/sending.rs
@@ -15,7 +15,7 @@
 /// How many hosts of a data centre hold links to each other one.
 pub(crate) const LINK_HOLDERS: usize = 2;
 /// A dead host that may be back is tried at each so many heartbeats.
-const DEAD_ROUNDS: u64 = 8;
+const DEAD_RETRY_ROUNDS: u64 = 8;
 
 /// A host at its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,8 +27,10 @@
 impl Members {
     /// Sends a heartbeat to each host of the data centre.
     pub(super) fn send_heartbeats(&mut self, actions: &mut Vec<Action>) {
-        self.rounds += 1;
-        let reached: Vec<_> = std::mem::take(&mut self.reached_here).into_iter().collect();
+        self.heartbeat_rounds += 1;
+        let reached: Vec<_> = std::mem::take(&mut self.direct_contacts)
+            .into_iter()
+            .collect();
         for target in self.heartbeat_targets() {
             let mut heartbeat = self.heartbeat_for(&target.id);
             heartbeat.reached.clone_from(&reached);
@@ -37,7 +39,7 @@
     }
 
     /// Sends a heartbeat over the links that this host holds.
-    pub(super) fn send_links(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn send_link_heartbeats(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for target in self.link_targets(now) {
             let heartbeat = self.heartbeat_for(&target.id);
             self.send_to(&target, Message::Heartbeat(heartbeat), actions);
@@ -47,39 +49,39 @@
     fn heartbeat_for(&self, to: &HostId) -> Heartbeat {
         let their_digest = self.peers.get(to).and_then(|p| p.digest);
         // Equal digests mean that the receiver has this host's record.
-        let known = their_digest == Some(self.digest) && !self.leaving;
+        let known = their_digest == Some(self.digest) && !self.shutting_down;
         Heartbeat {
             refutations: self.refutations,
             digest: self.digest,
             reached: Vec::new(),
-            record: (!known).then(|| self.own()),
+            record: (!known).then(|| self.own_record()),
         }
     }
 
     fn heartbeat_targets(&self) -> Vec<Target> {
-        let try_dead = self.rounds.is_multiple_of(DEAD_ROUNDS);
-        let near = |dc: &DataCentre| *dc == self.cfg.data_centre;
+        let retry_dead = self.heartbeat_rounds.is_multiple_of(DEAD_RETRY_ROUNDS);
+        let local = |dc: &DataCentre| *dc == self.cfg.data_centre;
         let mut targets = Vec::new();
-        for peer in self.peers.values().filter(|p| near(&p.record.data_centre)) {
+        for peer in self.peers.values().filter(|p| local(&p.record.data_centre)) {
             let gone = matches!(peer.record.state, State::Dead | State::Left);
-            if !gone || try_dead {
+            if !gone || retry_dead {
                 targets.push(Target {
                     id: peer.record.id.clone(),
                     addr: peer.record.addr,
                 });
             }
             // A replaced host may have another address than the life that is known.
-            let listed = self.hints.get(&peer.record.id);
-            if let Some(hint) = listed.filter(|h| gone && h.addr != peer.record.addr) {
+            let listed = self.listed_hosts.get(&peer.record.id);
+            if let Some(entry) = listed.filter(|h| gone && h.addr != peer.record.addr) {
                 targets.push(Target {
-                    id: hint.id.clone(),
-                    addr: hint.addr,
+                    id: entry.id.clone(),
+                    addr: entry.addr,
                 });
             }
         }
-        let unheard = self.hints.values().filter(|h| near(&h.data_centre));
-        let unheard = unheard.filter(|h| !self.peers.contains_key(&h.id));
-        targets.extend(unheard.map(|h| Target {
+        let listed_only = self.listed_hosts.values().filter(|h| local(&h.data_centre));
+        let listed_only = listed_only.filter(|h| !self.peers.contains_key(&h.id));
+        targets.extend(listed_only.map(|h| Target {
             id: h.id.clone(),
             addr: h.addr,
         }));
@@ -89,9 +91,9 @@
     /// Two hosts of each data centre to which this host holds a link: one by rendezvous among
     /// those alive, one at random among all.
     pub(super) fn link_targets(&mut self, now: Duration) -> Vec<Target> {
-        let live = self.live_near(now);
+        let live = self.live_local_hosts(now);
         let mut targets = Vec::new();
-        for (data_centre, hosts) in self.far() {
+        for (data_centre, hosts) in self.remote_hosts() {
             let holders = rendezvous::choose(data_centre.as_str(), live.iter(), LINK_HOLDERS);
             if !holders.contains(&&self.cfg.me.id) {
                 continue;
@@ -110,8 +112,8 @@
     }
 
     /// The hosts of each other data centre, and whether they are gone. No list is empty.
-    fn far(&self) -> BTreeMap<DataCentre, Vec<(Target, bool)>> {
-        let mut far: BTreeMap<DataCentre, Vec<(Target, bool)>> = BTreeMap::new();
+    fn remote_hosts(&self) -> BTreeMap<DataCentre, Vec<(Target, bool)>> {
+        let mut remote: BTreeMap<DataCentre, Vec<(Target, bool)>> = BTreeMap::new();
         let own = &self.cfg.data_centre;
         for peer in self.peers.values().filter(|p| p.record.data_centre != *own) {
             let target = Target {
@@ -119,44 +121,44 @@
                 addr: peer.record.addr,
             };
             let gone = matches!(peer.record.state, State::Dead | State::Left);
-            let hosts = far.entry(peer.record.data_centre.clone()).or_default();
+            let hosts = remote.entry(peer.record.data_centre.clone()).or_default();
             hosts.push((target, gone));
         }
-        for hint in self.hints.values().filter(|h| h.data_centre != *own) {
-            let known = self.peers.get(&hint.id).map(|p| p.record.addr);
-            if known == Some(hint.addr) {
+        for entry in self.listed_hosts.values().filter(|h| h.data_centre != *own) {
+            let known = self.peers.get(&entry.id).map(|p| p.record.addr);
+            if known == Some(entry.addr) {
                 continue;
             }
             let target = Target {
-                id: hint.id.clone(),
-                addr: hint.addr,
+                id: entry.id.clone(),
+                addr: entry.addr,
             };
-            let hosts = far.entry(hint.data_centre.clone()).or_default();
+            let hosts = remote.entry(entry.data_centre.clone()).or_default();
             hosts.push((target, known.is_some()));
         }
-        far
+        remote
     }
 
     /// The hosts of this data centre that are not gone, without this one.
-    pub(super) fn near(&self) -> Vec<HostId> {
-        let near = self.peers.values().filter(|p| {
+    pub(super) fn local_peers(&self) -> Vec<HostId> {
+        let local = self.peers.values().filter(|p| {
             let here = p.record.data_centre == self.cfg.data_centre;
             here && matches!(p.record.state, State::Alive | State::Suspected)
         });
-        near.map(|p| p.record.id.clone()).collect()
+        local.map(|p| p.record.id.clone()).collect()
     }
 
     /// The hosts of this data centre that serve, with this one.
-    fn live_near(&self, now: Duration) -> Vec<HostId> {
-        let near = self.peers.values().filter(|p| {
+    fn live_local_hosts(&self, now: Duration) -> Vec<HostId> {
+        let local = self.peers.values().filter(|p| {
             let here = p.record.data_centre == self.cfg.data_centre;
-            here && self.state_of(now, p) == State::Alive
+            here && self.effective_state(now, p) == State::Alive
         });
         let own = std::iter::once(self.cfg.me.id.clone());
-        own.chain(near.map(|p| p.record.id.clone())).collect()
+        own.chain(local.map(|p| p.record.id.clone())).collect()
     }
 
-    pub(super) fn is_near(&self, id: &HostId) -> bool {
+    pub(super) fn is_local_peer(&self, id: &HostId) -> bool {
         let peer = self.peers.get(id);
         peer.is_some_and(|p| p.record.data_centre == self.cfg.data_centre)
     }
--- a/crates/membership/src/members/view.rs
+++ b/crates/membership/src/members/view.rs
@@ -28,16 +28,16 @@
     /// All hosts that are not known to be gone, this one among them unless it leaves.
     ///
     /// The view is as of the last call with a time.
-    pub fn alive(&self) -> impl Iterator<Item = Member> {
-        let now = self.ran.unwrap_or_default();
-        let own = (!self.leaving).then(|| Member {
+    pub fn view(&self) -> impl Iterator<Item = Member> {
+        let now = self.last_run.unwrap_or_default();
+        let own = (!self.shutting_down).then(|| Member {
             host: self.cfg.me.clone(),
             addr: self.cfg.addr,
             data_centre: self.cfg.data_centre.clone(),
             state: State::Alive,
         });
         let peers = self.peers.values().filter_map(move |p| {
-            let state = self.state_of(now, p);
+            let state = self.effective_state(now, p);
             matches!(state, State::Alive | State::Suspected).then(|| Member {
                 host: HostRef {
                     id: p.record.id.clone(),
@@ -48,9 +48,10 @@
                 state,
             })
         });
-        let unheard = self.hints.values();
-        let unheard = unheard.filter(|h| !h.leaving && !self.peers.contains_key(&h.id));
-        let unheard = unheard.map(|h| Member {
+        let listed_only = self.listed_hosts.values();
+        let listed_only =
+            listed_only.filter(|h| !h.shutting_down && !self.peers.contains_key(&h.id));
+        let listed_only = listed_only.map(|h| Member {
             host: HostRef {
                 id: h.id.clone(),
                 incarnation: 0,
@@ -59,23 +60,23 @@
             data_centre: h.data_centre.clone(),
             state: State::Suspected,
         });
-        own.into_iter().chain(peers).chain(unheard)
+        own.into_iter().chain(peers).chain(listed_only)
     }
 
     /// Notes that another data centre was heard.
-    pub(super) fn reach(&mut self, now: Duration, key: DataCentreKey) {
-        let before = self.reached.insert(key, now);
+    pub(super) fn record_data_centre_contact(&mut self, now: Duration, key: DataCentreKey) {
+        let previous = self.data_centre_contacts.insert(key, now);
         let silent = |at| now.saturating_sub(at) >= self.cfg.intervals.silent_after;
-        self.touched |= before.is_none_or(silent);
+        self.view_dirty |= previous.is_none_or(silent);
     }
 
     /// The state of a host as it seems from here.
-    pub(super) fn state_of(&self, now: Duration, peer: &Peer) -> State {
+    pub(super) fn effective_state(&self, now: Duration, peer: &Peer) -> State {
         let record = &peer.record;
         if record.state != State::Alive || record.data_centre == self.cfg.data_centre {
             return record.state;
         }
-        let reached = self.reached.get(&key(&record.data_centre));
+        let reached = self.data_centre_contacts.get(&key(&record.data_centre));
         let silent = now.saturating_sub(*reached.unwrap_or(&Duration::ZERO));
         if reached.is_none() || silent >= self.cfg.intervals.silent_after {
             return State::Suspected;
@@ -84,18 +85,18 @@
     }
 
     /// Says so if the view changed.
-    pub(super) fn tell(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.ran = Some(now);
-        if !std::mem::take(&mut self.touched) {
+    pub(super) fn report_view_change(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.last_run = Some(now);
+        if !std::mem::take(&mut self.view_dirty) {
             return;
         }
         let mut hasher = xxh3::Xxh3::new();
-        for member in self.alive() {
+        for member in self.view() {
             member.hash(&mut hasher);
         }
-        let view = hasher.digest();
-        if view != self.told {
-            self.told = view;
+        let view_hash = hasher.digest();
+        if view_hash != self.reported_view_hash {
+            self.reported_view_hash = view_hash;
             actions.push(Action::Changed);
         }
     }
--- a/crates/membership/src/spread/change_log.rs
+++ b/crates/membership/src/spread/change_log.rs
@@ -11,20 +11,20 @@
 pub(super) struct ChangeLog {
     /// The digest before the first change kept.
     base: Digest,
-    changes: VecDeque<Kept>,
+    changes: VecDeque<LoggedChange>,
     /// The sum of the kept sizes.
     bytes: usize,
 }
 
 #[derive(Debug, Clone)]
-struct Kept {
+struct LoggedChange {
     change: Change,
     bytes: usize,
 }
 
 /// Why the log can't answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NotKept {
+pub(super) enum PullError {
     /// The changes were dropped, or one is too large for a message.
     Unavailable,
     /// The other side has another change under one revision.
@@ -44,7 +44,7 @@
 
 impl ChangeLog {
     /// A log that starts after `base`.
-    pub(super) fn after(base: Digest) -> Self {
+    pub(super) fn starting_after(base: Digest) -> Self {
         Self {
             base,
             ..Self::default()
@@ -55,7 +55,7 @@
     pub(super) fn push(&mut self, change: Change, max_changes: usize, max_bytes: usize) {
         let bytes = spread::encoded_len(&change);
         self.bytes += bytes;
-        self.changes.push_back(Kept { change, bytes });
+        self.changes.push_back(LoggedChange { change, bytes });
         while self.changes.len() > max_changes || self.bytes > max_bytes {
             let Some(dropped) = self.changes.pop_front() else {
                 return;
@@ -66,7 +66,7 @@
     }
 
     /// Whether the catalogue `other` is, or may be, an earlier state of this one.
-    pub(super) fn agrees(&self, other: Digest) -> bool {
+    pub(super) fn is_consistent_with(&self, other: Digest) -> bool {
         self.digest_at(other.revision)
             .is_none_or(|known| known == other)
     }
@@ -76,30 +76,30 @@
         &self,
         from: Digest,
         max: usize,
-    ) -> Result<Vec<Vec<Change>>, NotKept> {
-        if !self.agrees(from) {
-            return Err(NotKept::Forked);
+    ) -> Result<Vec<Vec<Change>>, PullError> {
+        if !self.is_consistent_with(from) {
+            return Err(PullError::Forked);
         }
         if from.revision < self.base.revision {
-            return Err(NotKept::Unavailable);
+            return Err(PullError::Unavailable);
         }
         let skipped = from.revision.0.saturating_sub(self.base.revision.0) as usize;
-        let mut parts: Vec<Vec<Change>> = Vec::new();
-        let mut room = 0;
-        for kept in self.changes.iter().skip(skipped) {
-            if kept.bytes > max {
-                return Err(NotKept::Unavailable);
+        let mut messages: Vec<Vec<Change>> = Vec::new();
+        let mut free_bytes = 0;
+        for logged in self.changes.iter().skip(skipped) {
+            if logged.bytes > max {
+                return Err(PullError::Unavailable);
             }
-            match parts.last_mut().filter(|_| kept.bytes <= room) {
-                Some(part) => part.push(kept.change.clone()),
+            match messages.last_mut().filter(|_| logged.bytes <= free_bytes) {
+                Some(message) => message.push(logged.change.clone()),
                 None => {
-                    room = max;
-                    parts.push(vec![kept.change.clone()]);
+                    free_bytes = max;
+                    messages.push(vec![logged.change.clone()]);
                 }
             }
-            room -= kept.bytes;
+            free_bytes -= logged.bytes;
         }
-        Ok(parts)
+        Ok(messages)
     }
 
     /// The digest of the catalogue at `revision`, where it is known.
@@ -108,7 +108,7 @@
             return Some(self.base);
         }
         let i = revision.0.checked_sub(self.base.revision.0 + 1)? as usize;
-        let kept = self.changes.get(i)?;
-        Some(digest(revision, &kept.change.change_id))
+        let logged = self.changes.get(i)?;
+        Some(digest(revision, &logged.change.change_id))
     }
 }
--- a/crates/membership/src/spread/config.rs
+++ b/crates/membership/src/spread/config.rs
@@ -25,47 +25,47 @@
     /// 25 x 2 x 2 = 100 times a second.
     pub pollers: usize,
     /// Between two polls of one host.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// The most polls waiting for an answer. More than one, so that a platform that takes seconds
     /// to answer delays a change once and not twice.
-    pub polls_waiting: usize,
+    pub max_pending_polls: usize,
     /// A poll without an answer is given up after this time.
-    pub poll_limit: Duration,
+    pub poll_timeout: Duration,
     /// A host that starts asks the platform only when another host has told its revision, or after
     /// this time.
-    pub compare: Duration,
+    pub startup_wait: Duration,
     /// Between digests to some hosts of the data centre and over the links.
-    pub digest: Duration,
+    pub digest_interval: Duration,
     /// To how many hosts of the data centre.
-    pub digest_hosts: usize,
+    pub digest_fanout: usize,
     /// A pull without an answer may be repeated after this time. No host is served a whole
     /// catalogue twice within it.
-    pub pull: Duration,
+    pub pull_interval: Duration,
     /// The most changes kept to answer pulls.
-    pub log_changes: usize,
+    pub max_log_changes: usize,
     /// The most bytes of changes kept to answer pulls.
-    pub log_bytes: usize,
+    pub max_log_bytes: usize,
     /// Larger changes are only announced to the hosts of the data centre.
-    pub push_bytes: usize,
+    pub max_push_bytes: usize,
     /// The aim for the size of one message. Far below [`dragonflyrill_protocol::MAX_FRAME`].
-    pub part_bytes: usize,
+    pub target_part_bytes: usize,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
             pollers: 2,
-            poll: Duration::from_millis(500),
-            polls_waiting: 8,
-            poll_limit: Duration::from_secs(5),
-            compare: Duration::from_secs(2),
-            digest: Duration::from_millis(500),
-            digest_hosts: 2,
-            pull: Duration::from_millis(400),
-            log_changes: 1000,
-            log_bytes: 1 << 20,
-            push_bytes: 16 << 10,
-            part_bytes: 256 << 10,
+            poll_interval: Duration::from_millis(500),
+            max_pending_polls: 8,
+            poll_timeout: Duration::from_secs(5),
+            startup_wait: Duration::from_secs(2),
+            digest_interval: Duration::from_millis(500),
+            digest_fanout: 2,
+            pull_interval: Duration::from_millis(400),
+            max_log_changes: 1000,
+            max_log_bytes: 1 << 20,
+            max_push_bytes: 16 << 10,
+            target_part_bytes: 256 << 10,
         }
     }
 }
--- a/crates/membership/src/spread/incoming.rs
+++ b/crates/membership/src/spread/incoming.rs
@@ -10,31 +10,36 @@
 use dragonflyrill_store::catalogue_store::{Head, Loaded};
 
 use super::{
-    Action, Alarm, FromStore, Source, Spread,
-    change_log::{self, ChangeLog, NotKept},
+    Action, Alarm, Source, Spread, StoreRead,
+    change_log::{self, ChangeLog, PullError},
     snapshot,
 };
 
 impl Spread {
     /// Takes in what a poll read from the store.
-    pub fn known(&mut self, now: Duration, read: FromStore, actions: &mut Vec<Action>) {
-        self.polls.pop_front();
+    pub fn receive_store_read(
+        &mut self,
+        now: Duration,
+        read: StoreRead,
+        actions: &mut Vec<Action>,
+    ) {
+        self.pending_polls.pop_front();
         match read {
-            FromStore::Changes(changes) => self.store_changes(now, changes, actions),
-            FromStore::Loaded(loaded) => self.store_loaded(now, loaded, actions),
+            StoreRead::Changes(changes) => self.apply_store_changes(now, changes, actions),
+            StoreRead::Loaded(loaded) => self.apply_store_catalogue(now, loaded, actions),
         }
     }
 
     /// Takes in the head that a poll found where it read no changes.
-    pub fn store_head(&mut self, _now: Duration, head: &Head, actions: &mut Vec<Action>) {
-        self.polls.pop_front();
+    pub fn receive_store_head(&mut self, _now: Duration, head: &Head, actions: &mut Vec<Action>) {
+        self.pending_polls.pop_front();
         let found = change_log::digest(head.revision, &head.change_id);
-        self.check_store(found, actions);
+        self.verify_store(found, actions);
     }
 
     /// Takes in that a poll failed.
-    pub fn store_away(&mut self, _now: Duration) {
-        self.polls.pop_front();
+    pub fn receive_store_failure(&mut self, _now: Duration) {
+        self.pending_polls.pop_front();
     }
 
     /// Takes in a message.
@@ -48,28 +53,28 @@
         if from.id == self.cfg.me.id {
             return;
         }
-        self.compared |= !matches!(message, Message::Pull(_));
+        self.peer_revision_received |= !matches!(message, Message::Pull(_));
         match message {
-            Message::Digest(theirs) => self.compare(now, &from.id, theirs, actions),
-            Message::Pull(theirs) => self.serve(now, &from.id, theirs, actions),
-            Message::Changes(changes) => self.peer_changes(now, &from.id, changes, actions),
-            Message::Part(part) => self.part(now, &from.id, part, actions),
+            Message::Digest(theirs) => self.receive_digest(now, &from.id, theirs, actions),
+            Message::Pull(theirs) => self.answer_pull(now, &from.id, theirs, actions),
+            Message::Changes(changes) => self.receive_peer_changes(now, &from.id, changes, actions),
+            Message::Part(part) => self.receive_part(now, &from.id, part, actions),
         }
     }
 
     /// Whether the store, whose catalogue is or was `found`, can be followed.
-    fn check_store(&mut self, found: Digest, actions: &mut Vec<Action>) -> bool {
+    fn verify_store(&mut self, found: Digest, actions: &mut Vec<Action>) -> bool {
         let in_force = self.catalogue.revision();
-        if !self.log.agrees(found) {
-            self.doubt_store = true;
+        if !self.log.is_consistent_with(found) {
+            self.store_suspected = true;
             actions.push(Action::Alarm(Alarm::StoreForked { in_force }));
             return false;
         }
         if found == self.digest() {
-            self.doubt_store = false;
+            self.store_suspected = false;
         }
         if found.revision < in_force {
-            self.doubt_store = true;
+            self.store_suspected = true;
             let found = found.revision;
             actions.push(Action::Alarm(Alarm::StoreOlder { in_force, found }));
             return false;
@@ -77,40 +82,45 @@
         true
     }
 
-    fn store_changes(&mut self, now: Duration, changes: Vec<Change>, actions: &mut Vec<Action>) {
+    fn apply_store_changes(
+        &mut self,
+        now: Duration,
+        changes: Vec<Change>,
+        actions: &mut Vec<Action>,
+    ) {
         let known = changes
             .iter()
             .take_while(|c| c.revision <= self.catalogue.revision());
         let forked = known
             .map(|c| change_log::digest(c.revision, &c.change_id))
-            .find(|d| !self.log.agrees(*d));
+            .find(|d| !self.log.is_consistent_with(*d));
         if let Some(found) = forked {
-            self.check_store(found, actions);
+            self.verify_store(found, actions);
             return;
         }
         let own = self.digest();
-        let proves = |c: &Change| change_log::digest(c.revision, &c.change_id) == own;
-        if changes.iter().any(proves) {
-            self.doubt_store = false;
+        let is_own = |c: &Change| change_log::digest(c.revision, &c.change_id) == own;
+        if changes.iter().any(is_own) {
+            self.store_suspected = false;
         }
-        if self.doubt_store {
+        if self.store_suspected {
             return;
         }
-        self.apply(now, changes, Source::Store, actions);
+        self.apply_changes(now, changes, Source::Store, actions);
     }
 
-    fn store_loaded(&mut self, now: Duration, loaded: Loaded, actions: &mut Vec<Action>) {
+    fn apply_store_catalogue(&mut self, now: Duration, loaded: Loaded, actions: &mut Vec<Action>) {
         let found = change_log::digest(loaded.catalogue.revision(), &loaded.change_id);
-        if !self.check_store(found, actions) {
+        if !self.verify_store(found, actions) {
             return;
         }
         // A snapshot is loaded only where the changes that follow on this host's are missing: a
         // restoration leaves such a gap, so its newer catalogue ends any doubt about the store.
-        if found.revision <= self.catalogue.revision() && self.doubt_store {
+        if found.revision <= self.catalogue.revision() && self.store_suspected {
             return;
         }
-        self.doubt_store = false;
-        self.replace(
+        self.store_suspected = false;
+        self.replace_catalogue(
             now,
             loaded.catalogue,
             loaded.change_id,
@@ -120,7 +130,7 @@
     }
 
     /// Brings changes in force, those that are next.
-    fn apply(
+    fn apply_changes(
         &mut self,
         now: Duration,
         changes: Vec<Change>,
@@ -135,7 +145,7 @@
                 Folded::Applied => {
                     self.change_id.clone_from(&change.change_id);
                     let budget = &self.cfg.budget;
-                    let (max_changes, max_bytes) = (budget.log_changes, budget.log_bytes);
+                    let (max_changes, max_bytes) = (budget.max_log_changes, budget.max_log_bytes);
                     self.log.push(change.clone(), max_changes, max_bytes);
                     applied.push(change);
                 }
@@ -144,12 +154,12 @@
         if applied.is_empty() {
             return;
         }
-        self.in_force(now, actions);
+        self.record_in_force(now, actions);
         self.push(applied, source, actions);
     }
 
     /// Brings a whole catalogue in force, if it is newer.
-    fn replace(
+    fn replace_catalogue(
         &mut self,
         now: Duration,
         catalogue: Catalogue,
@@ -162,70 +172,82 @@
         }
         self.catalogue = catalogue;
         self.change_id = change_id;
-        self.log = ChangeLog::after(self.digest());
-        self.in_force(now, actions);
+        self.log = ChangeLog::starting_after(self.digest());
+        self.record_in_force(now, actions);
         self.push(Vec::new(), source, actions);
     }
 
-    fn in_force(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn record_in_force(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let revision = self.catalogue.revision();
-        self.since = now;
-        self.pulled = None;
+        self.in_force_since = now;
+        self.pull_sent = None;
         self.assembly = None;
         log::info!("catalogue: Revision {} is in force.", revision.0);
         actions.push(Action::InForce(revision));
     }
 
-    fn compare(&mut self, now: Duration, from: &HostId, theirs: Digest, actions: &mut Vec<Action>) {
+    fn receive_digest(
+        &mut self,
+        now: Duration,
+        from: &HostId,
+        theirs: Digest,
+        actions: &mut Vec<Action>,
+    ) {
         let own = self.digest();
-        if !self.log.agrees(theirs) {
-            self.peer_forked(from, actions);
+        if !self.log.is_consistent_with(theirs) {
+            self.raise_peer_forked(from, actions);
         } else if theirs.revision > own.revision {
-            self.pull(now, from, actions);
+            self.send_pull(now, from, actions);
         } else if theirs.revision < own.revision {
             self.send_to(from, Message::Digest(own), actions);
         }
     }
 
-    fn pull(&mut self, now: Duration, from: &HostId, actions: &mut Vec<Action>) {
-        let recent = |sent: Duration| now.saturating_sub(sent) < self.cfg.budget.pull;
-        if self.pulled.is_some_and(recent) {
+    fn send_pull(&mut self, now: Duration, from: &HostId, actions: &mut Vec<Action>) {
+        let recent = |sent: Duration| now.saturating_sub(sent) < self.cfg.budget.pull_interval;
+        if self.pull_sent.is_some_and(recent) {
             return;
         }
-        self.pulled = Some(now);
+        self.pull_sent = Some(now);
         self.send_to(from, Message::Pull(self.digest()), actions);
     }
 
     /// Answers a pull.
-    fn serve(&mut self, now: Duration, to: &HostId, theirs: Digest, actions: &mut Vec<Action>) {
+    fn answer_pull(
+        &mut self,
+        now: Duration,
+        to: &HostId,
+        theirs: Digest,
+        actions: &mut Vec<Action>,
+    ) {
         if theirs.revision >= self.catalogue.revision() {
             return;
         }
-        let max = self.cfg.budget.part_bytes;
+        let max = self.cfg.budget.target_part_bytes;
         match self.log.changes_after(theirs, max) {
             Ok(parts) => {
                 for changes in parts {
                     self.send_to(to, Message::Changes(changes), actions);
                 }
             }
-            Err(NotKept::Forked) => self.peer_forked(to, actions),
-            Err(NotKept::Unavailable) => self.serve_whole(now, to, actions),
+            Err(PullError::Forked) => self.raise_peer_forked(to, actions),
+            Err(PullError::Unavailable) => self.send_snapshot(now, to, actions),
         }
     }
 
-    fn serve_whole(&mut self, now: Duration, to: &HostId, actions: &mut Vec<Action>) {
-        let recent = |sent: &Duration| now.saturating_sub(*sent) < self.cfg.budget.pull;
-        if self.served.get(to).is_some_and(recent) {
+    fn send_snapshot(&mut self, now: Duration, to: &HostId, actions: &mut Vec<Action>) {
+        let recent = |sent: &Duration| now.saturating_sub(*sent) < self.cfg.budget.pull_interval;
+        if self.snapshots_sent.get(to).is_some_and(recent) {
             return;
         }
-        self.served.insert(to.clone(), now);
-        let max = self.cfg.budget.part_bytes;
-        for part in snapshot::divide(&self.catalogue, &self.change_id, max) {
+        self.snapshots_sent.insert(to.clone(), now);
+        let max = self.cfg.budget.target_part_bytes;
+        for part in snapshot::split(&self.catalogue, &self.change_id, max) {
             self.send_to(to, Message::Part(part), actions);
         }
     }
 
-    fn peer_changes(
+    fn receive_peer_changes(
         &mut self,
         now: Duration,
         from: &HostId,
@@ -235,41 +257,47 @@
         let forked = changes.iter().any(|c| {
             !self
                 .log
-                .agrees(change_log::digest(c.revision, &c.change_id))
+                .is_consistent_with(change_log::digest(c.revision, &c.change_id))
         });
         if forked {
-            self.peer_forked(from, actions);
+            self.raise_peer_forked(from, actions);
             return;
         }
         let gap = changes
             .first()
             .is_some_and(|c| c.revision > self.catalogue.revision().next());
         if gap {
-            self.pull(now, from, actions);
+            self.send_pull(now, from, actions);
             return;
         }
-        self.apply(now, changes, Source::Host(from), actions);
+        self.apply_changes(now, changes, Source::Host(from), actions);
     }
 
-    fn part(&mut self, now: Duration, from: &HostId, part: Part, actions: &mut Vec<Action>) {
+    fn receive_part(
+        &mut self,
+        now: Duration,
+        from: &HostId,
+        part: Part,
+        actions: &mut Vec<Action>,
+    ) {
         if part.revision <= self.catalogue.revision() {
             return;
         }
         // More parts are on the way.
-        self.pulled = Some(now);
-        match self.assembly.as_mut().filter(|a| a.fits(from, &part)) {
+        self.pull_sent = Some(now);
+        match self.assembly.as_mut().filter(|a| a.accepts(from, &part)) {
             Some(assembly) => assembly.add(part),
-            None => self.assembly = snapshot::Assembly::begin(from, part),
+            None => self.assembly = snapshot::Assembly::start(from, part),
         }
         if self.assembly.as_ref().is_some_and(|a| a.is_complete())
             && let Some(assembly) = self.assembly.take()
         {
             let (catalogue, change_id) = assembly.finish();
-            self.replace(now, catalogue, change_id, Source::Host(from), actions);
+            self.replace_catalogue(now, catalogue, change_id, Source::Host(from), actions);
         }
     }
 
-    fn peer_forked(&self, peer: &HostId, actions: &mut Vec<Action>) {
+    fn raise_peer_forked(&self, peer: &HostId, actions: &mut Vec<Action>) {
         actions.push(Action::Alarm(Alarm::PeerForked {
             peer: peer.clone(),
             in_force: self.catalogue.revision(),
--- a/crates/membership/src/spread/mod.rs
+++ b/crates/membership/src/spread/mod.rs
@@ -85,7 +85,7 @@
 
 /// What was read from the store.
 #[derive(Debug, Clone, PartialEq)]
-pub enum FromStore {
+pub enum StoreRead {
     /// Changes in order and without gaps.
     Changes(Vec<Change>),
     /// A snapshot and the changes after it.
@@ -106,24 +106,24 @@
     rng: Pcg32,
     catalogue: Catalogue,
     change_id: String,
-    since: Duration,
+    in_force_since: Duration,
     log: change_log::ChangeLog,
     /// All other hosts that are not known to be gone.
     peers: BTreeMap<HostId, Member>,
     /// Whether this host counts among the live ones.
-    leaving: bool,
+    shutting_down: bool,
     /// When the polls that wait for an answer were sent.
-    polls: VecDeque<Duration>,
+    pending_polls: VecDeque<Duration>,
     /// The store was seen to be older: nothing of it is taken that doesn't prove to follow on
     /// what is in force.
-    doubt_store: bool,
+    store_suspected: bool,
     /// When a pull was last sent, unless it has been answered.
-    pulled: Option<Duration>,
+    pull_sent: Option<Duration>,
     assembly: Option<snapshot::Assembly>,
     /// When hosts were last sent a whole catalogue.
-    served: BTreeMap<HostId, Duration>,
+    snapshots_sent: BTreeMap<HostId, Duration>,
     /// Whether any other host told its revision.
-    compared: bool,
+    peer_revision_received: bool,
     /// When this host first ran.
     started: Option<Duration>,
     next_digest: Duration,
@@ -139,16 +139,16 @@
             rng,
             catalogue: Catalogue::default(),
             change_id: String::new(),
-            since: Duration::ZERO,
+            in_force_since: Duration::ZERO,
             log: change_log::ChangeLog::default(),
             peers: BTreeMap::new(),
-            leaving: false,
-            polls: VecDeque::new(),
-            doubt_store: false,
-            pulled: None,
+            shutting_down: false,
+            pending_polls: VecDeque::new(),
+            store_suspected: false,
+            pull_sent: None,
             assembly: None,
-            served: BTreeMap::new(),
-            compared: false,
+            snapshots_sent: BTreeMap::new(),
+            peer_revision_received: false,
             started: None,
             next_digest: Duration::ZERO,
             next_poll: Duration::ZERO,
@@ -170,21 +170,21 @@
 
     /// Since when the catalogue is in force here.
     pub fn in_force_since(&self) -> Duration {
-        self.since
+        self.in_force_since
     }
 
     /// Takes in the view of [`crate::members::Members::alive`].
-    pub fn peers(&mut self, _now: Duration, view: impl Iterator<Item = Member>) {
+    pub fn update_view(&mut self, _now: Duration, view: impl Iterator<Item = Member>) {
         let me = self.cfg.me.id.clone();
         self.peers = view.map(|m| (m.host.id.clone(), m)).collect();
-        self.leaving = self.peers.remove(&me).is_none();
+        self.shutting_down = self.peers.remove(&me).is_none();
         let peers = &self.peers;
-        self.served.retain(|id, _| peers.contains_key(id));
+        self.snapshots_sent.retain(|id, _| peers.contains_key(id));
     }
 
     /// Whether this host is to ask the platform for its data centre.
-    pub fn am_poller(&self) -> bool {
-        let live = self.live_near();
+    pub fn is_poller(&self) -> bool {
+        let live = self.live_local_hosts();
         let n = self.cfg.budget.pollers;
         rendezvous::choose("catalogue pollers", live.into_iter(), n).contains(&&self.cfg.me.id)
     }
@@ -193,11 +193,11 @@
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.started.get_or_insert(now);
         if now >= self.next_digest {
-            self.next_digest = now + self.jittered(self.cfg.budget.digest);
+            self.next_digest = now + self.jittered(self.cfg.budget.digest_interval);
             self.send_digests(actions);
         }
         if now >= self.next_poll {
-            self.next_poll = now + self.jittered(self.cfg.budget.poll);
+            self.next_poll = now + self.jittered(self.cfg.budget.poll_interval);
             self.poll(now, actions);
         }
     }
@@ -208,23 +208,24 @@
     }
 
     fn poll(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let limit = self.cfg.budget.poll_limit;
-        self.polls.retain(|sent| now.saturating_sub(*sent) < limit);
-        let busy = self.polls.len() >= self.cfg.budget.polls_waiting;
-        if busy || !self.has_compared(now) || !self.am_poller() {
+        let limit = self.cfg.budget.poll_timeout;
+        self.pending_polls
+            .retain(|sent| now.saturating_sub(*sent) < limit);
+        let busy = self.pending_polls.len() >= self.cfg.budget.max_pending_polls;
+        if busy || !self.startup_wait_over(now) || !self.is_poller() {
             return;
         }
-        self.polls.push_back(now);
+        self.pending_polls.push_back(now);
         let after = Revision(self.catalogue.revision().0.saturating_sub(1));
         actions.push(Action::Poll { after });
     }
 
     /// Whether the other hosts were heard, or given time to be heard. A store that was wound back
     /// and changed anew must not be the first that a new host follows.
-    pub fn has_compared(&self, now: Duration) -> bool {
-        let wait = self.cfg.budget.compare;
+    pub fn startup_wait_over(&self, now: Duration) -> bool {
+        let wait = self.cfg.budget.startup_wait;
         let waited = self.started.is_some_and(|s| now.saturating_sub(s) >= wait);
-        self.compared || waited
+        self.peer_revision_received || waited
     }
 
     fn digest(&self) -> Digest {
@@ -232,13 +233,13 @@
     }
 
     /// The hosts of this data centre that serve, with this one.
-    fn live_near(&self) -> Vec<&HostId> {
-        let near = self
+    fn live_local_hosts(&self) -> Vec<&HostId> {
+        let local = self
             .peers
             .values()
             .filter(|m| m.data_centre == self.cfg.data_centre && m.state == State::Alive);
-        let own = (!self.leaving).then_some(&self.cfg.me.id);
-        own.into_iter().chain(near.map(|m| &m.host.id)).collect()
+        let own = (!self.shutting_down).then_some(&self.cfg.me.id);
+        own.into_iter().chain(local.map(|m| &m.host.id)).collect()
     }
 
     /// `interval`, up to a tenth shorter or longer.
--- a/crates/membership/src/spread/outgoing.rs
+++ b/crates/membership/src/spread/outgoing.rs
@@ -33,7 +33,7 @@
             .map(|m| &m.data_centre);
         // The first host of this data centre that had it has told all hosts here.
         if from_data_centre != Some(&self.cfg.data_centre) {
-            self.push_near(changes, actions);
+            self.push_to_local_peers(changes, actions);
         }
         let mut rng = self.rng.clone();
         for (data_centre, hosts) in self.links() {
@@ -47,14 +47,14 @@
         self.rng = rng;
     }
 
-    fn push_near(&self, changes: Vec<Change>, actions: &mut Vec<Action>) {
+    fn push_to_local_peers(&self, changes: Vec<Change>, actions: &mut Vec<Action>) {
         let bytes: usize = changes.iter().map(spread::encoded_len).sum();
-        let message = if changes.is_empty() || bytes > self.cfg.budget.push_bytes {
+        let message = if changes.is_empty() || bytes > self.cfg.budget.max_push_bytes {
             Message::Digest(self.digest())
         } else {
             Message::Changes(changes)
         };
-        for member in self.near() {
+        for member in self.local_peers() {
             self.send(member, message.clone(), actions);
         }
     }
@@ -63,8 +63,8 @@
     pub(super) fn send_digests(&mut self, actions: &mut Vec<Action>) {
         let mut rng = self.rng.clone();
         let message = Message::Digest(self.digest());
-        let n = self.cfg.budget.digest_hosts;
-        for to in self.near().choose_multiple(&mut rng, n) {
+        let n = self.cfg.budget.digest_fanout;
+        for to in self.local_peers().choose_multiple(&mut rng, n) {
             self.send(to, message.clone(), actions);
         }
         for hosts in self.links().values() {
@@ -77,22 +77,22 @@
 
     /// The hosts of the other data centres to which this host holds a link.
     fn links(&self) -> BTreeMap<&DataCentre, Vec<&Member>> {
-        let mut far: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
+        let mut remote: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
         for member in self.peers.values() {
             if member.data_centre != self.cfg.data_centre {
-                far.entry(&member.data_centre).or_default().push(member);
+                remote.entry(&member.data_centre).or_default().push(member);
             }
         }
-        let live = self.live_near();
-        far.retain(|data_centre, _| {
+        let live = self.live_local_hosts();
+        remote.retain(|data_centre, _| {
             let hosts = live.iter().copied();
             let holders = rendezvous::choose(data_centre.as_str(), hosts, LINK_HOLDERS);
             holders.contains(&&self.cfg.me.id)
         });
-        far
+        remote
     }
 
-    fn near(&self) -> impl Iterator<Item = &Member> {
+    fn local_peers(&self) -> impl Iterator<Item = &Member> {
         let own = &self.cfg.data_centre;
         self.peers.values().filter(move |m| m.data_centre == *own)
     }
--- a/crates/membership/src/spread/snapshot.rs
+++ b/crates/membership/src/spread/snapshot.rs
@@ -10,29 +10,29 @@
 const MAX_PARTS: u32 = 256;
 
 /// Divides `catalogue` into parts of about `max` bytes, at least one.
-pub(super) fn divide(catalogue: &Catalogue, change_id: &str, max: usize) -> Vec<Part> {
+pub(super) fn split(catalogue: &Catalogue, change_id: &str, max: usize) -> Vec<Part> {
     let mut groups: Vec<Vec<Entry>> = vec![Vec::new()];
-    let mut room = max;
+    let mut free_bytes = max;
     for entry in catalogue.entries() {
         let bytes = spread::encoded_len(entry);
-        if bytes > room && groups.last().is_some_and(|g| !g.is_empty()) {
+        if bytes > free_bytes && groups.last().is_some_and(|g| !g.is_empty()) {
             groups.push(Vec::new());
-            room = max;
+            free_bytes = max;
         }
-        room = room.saturating_sub(bytes);
+        free_bytes = free_bytes.saturating_sub(bytes);
         if let Some(group) = groups.last_mut() {
             group.push(entry.clone());
         }
     }
     let parts = groups.len() as u32;
-    let divided = (0..).zip(groups).map(|(index, entries)| Part {
+    let split_parts = (0..).zip(groups).map(|(index, entries)| Part {
         revision: catalogue.revision(),
         change_id: change_id.to_owned(),
         index,
         parts,
         entries,
     });
-    divided.collect()
+    split_parts.collect()
 }
 
 /// A catalogue of which some parts have come, all from one host.
@@ -45,7 +45,7 @@
 
 impl Assembly {
     /// An assembly begun with `part`; `None` if the part is impossible.
-    pub(super) fn begin(from: &HostId, part: Part) -> Option<Self> {
+    pub(super) fn start(from: &HostId, part: Part) -> Option<Self> {
         if part.parts == 0 || part.parts > MAX_PARTS || part.index >= part.parts {
             return None;
         }
@@ -62,16 +62,16 @@
     }
 
     /// Whether `part` belongs to this assembly.
-    pub(super) fn fits(&self, from: &HostId, part: &Part) -> bool {
+    pub(super) fn accepts(&self, from: &HostId, part: &Part) -> bool {
         let first = &self.first;
-        let whole = first.revision == part.revision && first.change_id == part.change_id;
-        *from == self.from && whole && first.parts == part.parts && part.index < part.parts
+        let same_snapshot = first.revision == part.revision && first.change_id == part.change_id;
+        *from == self.from && same_snapshot && first.parts == part.parts && part.index < part.parts
     }
 
     /// Adds a part that fits.
     pub(super) fn add(&mut self, part: Part) {
-        if let Some(place) = self.parts.get_mut(part.index as usize) {
-            *place = Some(part.entries);
+        if let Some(slot) = self.parts.get_mut(part.index as usize) {
+            *slot = Some(part.entries);
         }
     }
 
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -11,8 +11,8 @@
 
 use dragonflyrill_catalogue::{DataCentre, Revision};
 use dragonflyrill_membership::{
-    members::{self, Listed, Members},
-    spread::{self, Alarm, FromStore, Spread},
+    members::{self, ListedPeer, Members},
+    spread::{self, Alarm, Spread, StoreRead},
 };
 use dragonflyrill_protocol::{Envelope, HostId, HostRef, Message, membership::State};
 use rand::{Rng, SeedableRng};
@@ -125,19 +125,19 @@
         }
         let list = fleet.list();
         for n in 0..hosts {
-            fleet.nodes[n].members.listed(ms(0), &list);
+            fleet.nodes[n].members.update_list(ms(0), &list);
             let start = fleet.rng.random_range(0..500);
             fleet.push(ms(start), Event::Tick(n));
         }
         fleet
     }
 
-    pub fn list(&self) -> Vec<Listed> {
-        let listed = self.nodes.iter().enumerate().map(|(n, node)| Listed {
+    pub fn list(&self) -> Vec<ListedPeer> {
+        let listed = self.nodes.iter().enumerate().map(|(n, node)| ListedPeer {
             id: host_id(n),
             addr: addr(n),
             data_centre: data_centre(node.data_centre),
-            leaving: false,
+            shutting_down: false,
         });
         listed.collect()
     }
@@ -178,7 +178,7 @@
         let (dc, incarnation, was_up) = (old.data_centre, old.incarnation + 1, old.up);
         let (sent, received) = (old.sent, old.received);
         let mut node = self.node(n, dc, incarnation);
-        node.members.listed(self.now, &self.list());
+        node.members.update_list(self.now, &self.list());
         (node.sent, node.received) = (sent, received);
         self.nodes[n] = node;
         if !was_up {
@@ -188,7 +188,9 @@
 
     pub fn leave(&mut self, n: usize) {
         let mut actions = Vec::new();
-        self.nodes[n].members.leave(self.now, &mut actions);
+        self.nodes[n]
+            .members
+            .announce_shutdown(self.now, &mut actions);
         self.act(n, actions, Vec::new());
     }
 
@@ -224,7 +226,7 @@
     pub fn doubts(&self) -> Vec<(usize, usize)> {
         let mut doubts = Vec::new();
         for (a, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
-            let alive = node.members.alive().filter(|m| m.state == State::Alive);
+            let alive = node.members.view().filter(|m| m.state == State::Alive);
             let alive: BTreeSet<HostRef> = alive.map(|m| m.host).collect();
             for (b, other) in self.nodes.iter().enumerate() {
                 if other.up != alive.contains(&host(b, other.incarnation)) {
@@ -273,7 +275,7 @@
         let (mut from_members, mut from_spread) = (Vec::new(), Vec::new());
         node.members.tick(now, &mut from_members);
         if from_members.contains(&members::Action::Changed) {
-            node.spread.peers(now, node.members.alive());
+            node.spread.update_view(now, node.members.view());
         }
         node.spread.tick(now, &mut from_spread);
         let next = node.members.next_tick().min(node.spread.next_tick());
@@ -292,7 +294,7 @@
                     members.receive(now, &envelope.from, m, &mut from_members);
                 }
                 Message::Spread(m) => {
-                    node.members.heard(now, &envelope.from);
+                    node.members.record_contact(now, &envelope.from);
                     let spread = &mut node.spread;
                     spread.receive(now, &envelope.from, m, &mut from_spread);
                 }
@@ -300,7 +302,7 @@
             }
         }
         if from_members.contains(&members::Action::Changed) {
-            node.spread.peers(now, node.members.alive());
+            node.spread.update_view(now, node.members.view());
         }
         self.act(n, from_members, from_spread);
     }
@@ -310,11 +312,11 @@
         let cut = self.platform_cut.contains(&self.nodes[n].data_centre);
         let spread = &mut self.nodes[n].spread;
         match answer {
-            _ if cut => spread.store_away(now),
-            Answer::Away => spread.store_away(now),
-            Answer::Head(head) => spread.store_head(now, &head, &mut actions),
+            _ if cut => spread.receive_store_failure(now),
+            Answer::Away => spread.receive_store_failure(now),
+            Answer::Head(head) => spread.receive_store_head(now, &head, &mut actions),
             Answer::Changes(changes) => {
-                spread.known(now, FromStore::Changes(changes), &mut actions);
+                spread.receive_store_read(now, StoreRead::Changes(changes), &mut actions);
             }
         }
         self.act(n, Vec::new(), actions);
--- a/crates/membership/tests/fleet_behaviour.rs
+++ b/crates/membership/tests/fleet_behaviour.rs
@@ -32,7 +32,7 @@
     fleet.kill(4);
     fleet.run_for(ms(2_000));
     let sees = |fleet: &Fleet, n: usize| {
-        let mut alive = fleet.nodes[n].members.alive();
+        let mut alive = fleet.nodes[n].members.view();
         alive.find(|m| m.host.id == host_id(4)).map(|m| m.state)
     };
     for n in [1, 7, 10] {
@@ -86,7 +86,7 @@
     fleet.leave(3);
     fleet.run_for(ms(200));
     for n in (0..12).filter(|n| *n != 3) {
-        let mut alive = fleet.nodes[n].members.alive();
+        let mut alive = fleet.nodes[n].members.view();
         assert!(alive.all(|m| m.host.id != host_id(3)), "seen by {n}");
     }
 }
@@ -95,7 +95,7 @@
 fn a_host_missing_from_the_list_is_alive_when_it_is_heard() {
     let mut fleet = settled(12);
     for n in 0..12 {
-        fleet.nodes[n].members.listed(fleet.now, &[]);
+        fleet.nodes[n].members.update_list(fleet.now, &[]);
     }
     fleet.run_for(ms(10_000));
     assert_eq!(fleet.doubts(), []);
--- a/crates/membership/tests/restoration.rs
+++ b/crates/membership/tests/restoration.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dragonflyrill_catalogue::{Catalogue, Change, DataCentre, Name, Revision};
-use dragonflyrill_membership::spread::{Action, Alarm, Budget, Config, FromStore, Spread};
+use dragonflyrill_membership::spread::{Action, Alarm, Budget, Config, Spread, StoreRead};
 use dragonflyrill_protocol::{HostId, HostRef};
 use dragonflyrill_store::catalogue_store::{Head, Loaded};
 
@@ -18,7 +18,7 @@
         budget: Budget::default(),
     });
     let changes = (1..=5).map(|r| change(r, &format!("c{r}"))).collect();
-    spread.known(NOW, FromStore::Changes(changes), &mut Vec::new());
+    spread.receive_store_read(NOW, StoreRead::Changes(changes), &mut Vec::new());
     assert_eq!(spread.catalogue().revision(), Revision(5));
     spread
 }
@@ -43,8 +43,8 @@
     head
 }
 
-fn restored(revision: u64) -> FromStore {
-    FromStore::Loaded(Loaded {
+fn restored(revision: u64) -> StoreRead {
+    StoreRead::Loaded(Loaded {
         catalogue: Catalogue::from_entries(Revision(revision), []),
         change_id: "restored".into(),
     })
@@ -61,9 +61,9 @@
 fn host_that_saw_an_older_store_takes_the_restoration() {
     let mut spread = host_at_revision_5();
     let mut actions = Vec::new();
-    spread.store_head(NOW, &head(3, "c3"), &mut actions);
+    spread.receive_store_head(NOW, &head(3, "c3"), &mut actions);
     assert_eq!(alarms(&actions), 1);
-    spread.known(NOW, restored(7), &mut Vec::new());
+    spread.receive_store_read(NOW, restored(7), &mut Vec::new());
     assert_eq!(spread.catalogue().revision(), Revision(7));
 }
 
@@ -71,17 +71,17 @@
 fn host_that_saw_a_forked_store_takes_the_restoration() {
     let mut spread = host_at_revision_5();
     let mut actions = Vec::new();
-    spread.store_head(NOW, &head(5, "other"), &mut actions);
+    spread.receive_store_head(NOW, &head(5, "other"), &mut actions);
     let forked = |a: &Action| matches!(a, Action::Alarm(Alarm::StoreForked { .. }));
     assert!(actions.iter().any(forked), "{actions:?}");
-    spread.known(NOW, restored(8), &mut Vec::new());
+    spread.receive_store_read(NOW, restored(8), &mut Vec::new());
     assert_eq!(spread.catalogue().revision(), Revision(8));
 }
 
 #[test]
 fn older_restoration_is_not_taken() {
     let mut spread = host_at_revision_5();
-    spread.store_head(NOW, &head(3, "c3"), &mut Vec::new());
-    spread.known(NOW, restored(4), &mut Vec::new());
+    spread.receive_store_head(NOW, &head(3, "c3"), &mut Vec::new());
+    spread.receive_store_read(NOW, restored(4), &mut Vec::new());
     assert_eq!(spread.catalogue().revision(), Revision(5));
 }
--- a/crates/membership/tests/search_members.rs
+++ b/crates/membership/tests/search_members.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use dragonflyrill_membership::members::{Action, Config, Intervals, Listed, Members};
+use dragonflyrill_membership::members::{Action, Config, Intervals, ListedPeer, Members};
 use dragonflyrill_protocol::{
     HostRef,
     membership::{Message, State},
@@ -93,15 +93,15 @@
         seed: n as u64,
         intervals: Intervals::default(),
     });
-    let list: Vec<Listed> = (0..HOSTS)
-        .map(|n| Listed {
+    let list: Vec<ListedPeer> = (0..HOSTS)
+        .map(|n| ListedPeer {
             id: host_id(n),
             addr: addr(n),
             data_centre: data_centre(places[n]),
-            leaving: false,
+            shutting_down: false,
         })
         .collect();
-    members.listed(ms(0), &list);
+    members.update_list(ms(0), &list);
     members
 }
 
@@ -243,7 +243,7 @@
     /// A life must not be replaced by an earlier one.
     fn check(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        for member in node.members.alive() {
+        for member in node.members.view() {
             let other = (0..HOSTS).find(|b| host_id(*b) == member.host.id);
             let Some(known) = other.map(|b| &mut node.lives[b]) else {
                 continue;
@@ -272,7 +272,7 @@
     /// Two hosts of which the first does not see the other, in its present life, alive.
     fn doubts(&self) -> Option<(usize, usize)> {
         for (a, node) in self.nodes.iter().enumerate() {
-            let alive = node.members.alive().filter(|m| m.state == State::Alive);
+            let alive = node.members.view().filter(|m| m.state == State::Alive);
             let alive: BTreeSet<HostRef> = alive.map(|m| m.host).collect();
             let doubted =
                 (0..HOSTS).find(|b| !alive.contains(&host(*b, self.nodes[*b].incarnation)));
--- a/crates/membership/tests/search_spread/main.rs
+++ b/crates/membership/tests/search_spread/main.rs
@@ -79,9 +79,9 @@
 fn in_parts(places: [usize; HOSTS]) -> Setting {
     Setting {
         budget: Budget {
-            push_bytes: 0,
-            log_changes: 1,
-            part_bytes: 6,
+            max_push_bytes: 0,
+            max_log_changes: 1,
+            target_part_bytes: 6,
             ..Budget::default()
         },
         ..whole_rounds(places)
--- a/crates/membership/tests/search_spread/world.rs
+++ b/crates/membership/tests/search_spread/world.rs
@@ -11,7 +11,7 @@
 use dragonflyrill_catalogue::{Catalogue, Revision};
 use dragonflyrill_membership::{
     members::Member,
-    spread::{Action, Budget, Config, FromStore, Spread},
+    spread::{Action, Budget, Config, Spread, StoreRead},
 };
 use dragonflyrill_protocol::{HostRef, membership::State, spread::Message};
 
@@ -113,7 +113,7 @@
         data_centre: data_centre(places[n]),
         state: State::Alive,
     });
-    spread.peers(ms(0), members);
+    spread.update_view(ms(0), members);
     spread
 }
 
@@ -240,10 +240,12 @@
         let cut = self.platform_cut.contains(&n);
         let spread = &mut self.nodes[n].spread;
         match answer {
-            _ if cut => spread.store_away(now),
-            Answer::Away => spread.store_away(now),
-            Answer::Head(head) => spread.store_head(now, &head, &mut actions),
-            Answer::Changes(c) => spread.known(now, FromStore::Changes(c), &mut actions),
+            _ if cut => spread.receive_store_failure(now),
+            Answer::Away => spread.receive_store_failure(now),
+            Answer::Head(head) => spread.receive_store_head(now, &head, &mut actions),
+            Answer::Changes(c) => {
+                spread.receive_store_read(now, StoreRead::Changes(c), &mut actions)
+            }
         }
         self.act(n, actions);
     }
