--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -1,8 +1,9 @@
-//! Signs that an endpoint leaves, shared by the hosts of a data centre.
+//! Signs that an endpoint is draining, shared by the hosts of a data centre.
 //!
-//! The host that sees a sign tells all hosts of its data centre at once, and twice more, so that
-//! none sends new work within 2 s though messages get lost. A sign ends by time, so that a host
-//! that refused work for a passing cause is tried again, and by a later life of the endpoint.
+//! The host that observes a sign sends it to all hosts of its data centre at once, and twice more,
+//! so that none dispatches new work to the endpoint after 2 s even if messages are lost. A sign
+//! expires after its time to live, so that an endpoint that refused work for a transient cause is
+//! tried again. It also ends when a later incarnation of the endpoint serves.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -14,14 +15,14 @@
 
 use crate::members::Member;
 
-/// When a sign is told again, after it was first told.
+/// Delays after which a sign is sent again, counted from the first time it was sent.
 const RESEND_DELAYS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(1000)];
-/// The longest that a sign may hold without being seen again.
+/// Maximum time for which a sign holds without being observed again.
 pub const MAX_SIGN_TTL: Duration = Duration::from_secs(300);
-/// The most signs kept; the fleet has fewer endpoints in one data centre.
+/// Maximum number of signs stored; a data centre has fewer endpoints.
 const MAX_SIGNS: usize = 4096;
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a message. It may get lost.
@@ -33,11 +34,11 @@
         /// The message.
         message: EndpointNews,
     },
-    /// [`Endpoints::is_leaving`] changed for this endpoint.
+    /// [`DrainingEndpoints::is_draining`] changed for this endpoint.
     Changed(EndpointId),
 }
 
-/// A sign as it is kept.
+/// A stored sign.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SignRecord {
     incarnation: u64,
@@ -45,14 +46,14 @@
     until: Duration,
 }
 
-/// Repeats of signs seen here that are still to come.
+/// A sign observed by this host that is due to be sent again.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Resend {
     at: Duration,
     endpoint: EndpointId,
 }
 
-/// The endpoints that leave, as one host knows them.
+/// The draining endpoints, as one host knows them.
 #[derive(Debug, Clone)]
 pub struct DrainingEndpoints {
     me: HostId,
@@ -63,7 +64,7 @@
 }
 
 impl DrainingEndpoints {
-    /// A host of `data_centre` that knows of no signs.
+    /// The state of a host of `data_centre` that knows no signs.
     pub fn new(me: HostId, data_centre: DataCentre) -> Self {
         Self {
             me,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Whether this life of an endpoint is known to leave. Incarnation 0 stands for any life.
+    /// Whether this incarnation of an endpoint is known to be draining. Incarnation 0 stands for
+    /// any.
     pub fn is_draining(&self, endpoint: &EndpointId, incarnation: u64) -> bool {
         let later =
             |record: &SignRecord| incarnation > record.incarnation && record.incarnation > 0;
@@ -83,7 +85,7 @@
             .is_some_and(|record| !later(record))
     }
 
-    /// Takes in a sign that this host saw itself, and tells the others unless they know.
+    /// Merges a sign that this host observed itself, and sends it to the others if it is an update.
     pub fn observe_sign(&mut self, now: Duration, sign: &Sign, actions: &mut Vec<Action>) {
         if !self.merge_sign(now, sign, actions) {
             return;
@@ -97,7 +99,7 @@
         self.resends.extend(resends);
     }
 
-    /// Takes in that a life of an endpoint serves: signs of earlier lives end.
+    /// Records that an incarnation of an endpoint serves. This ends the signs of earlier ones.
     pub fn mark_serving(
         &mut self,
         endpoint: &EndpointId,
@@ -111,14 +113,14 @@
         }
     }
 
-    /// Takes in signs of another host.
+    /// Merges signs received from another host.
     pub fn receive(&mut self, now: Duration, signs: &[Sign], actions: &mut Vec<Action>) {
         for sign in signs {
             self.merge_sign(now, sign, actions);
         }
     }
 
-    /// Takes in the view of the members. Hosts that are new here get all signs.
+    /// Updates the view of the members. Hosts that join this data centre are sent all signs.
     pub fn update_view(
         &mut self,
         now: Duration,
@@ -143,7 +145,7 @@
         self.local_peers = local_peers;
     }
 
-    /// Does what is due.
+    /// Sends the signs that are due again, and removes expired ones.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let (due, later) = self.resends.drain(..).partition(|r| r.at <= now);
         self.resends = later;
@@ -164,13 +166,13 @@
         });
     }
 
-    /// When [`Self::tick`] is to be called next, at the latest.
+    /// The latest time at which [`Self::tick`] must be called next; `None` if nothing is pending.
     pub fn next_tick(&self) -> Option<Duration> {
         let resends = self.resends.iter().map(|r| r.at);
         resends.chain(self.signs.values().map(|k| k.until)).min()
     }
 
-    /// Keeps a sign; answers whether it says more than was known.
+    /// Merges a sign; returns whether it is an update of what was known.
     fn merge_sign(&mut self, now: Duration, sign: &Sign, actions: &mut Vec<Action>) -> bool {
         let ttl = Duration::from_millis(sign.ttl_ms.into()).min(MAX_SIGN_TTL);
         if ttl.is_zero() || self.signs.len() >= MAX_SIGNS {
@@ -189,7 +191,8 @@
         if new.incarnation < old.incarnation {
             return false;
         }
-        // A sign that only lasts a little longer is not worth telling.
+        // An extension by at most half the time to live is no update: it is neither stored nor
+        // sent.
         let longer = new.until > old.until + ttl / 2;
         let is_update = new.incarnation > old.incarnation || new.kind > old.kind || longer;
         if is_update {
@@ -199,7 +202,7 @@
         is_update
     }
 
-    /// A sign as it is told now.
+    /// The stored sign of an endpoint as a message sent at `now`; `None` if it has expired.
     fn sign(&self, now: Duration, endpoint: &EndpointId) -> Option<Sign> {
         let record = self.signs.get(endpoint)?;
         let remaining = record.until.checked_sub(now)?;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,17 @@
-//! Who is alive, and how the catalogue and news of endpoints reach every host.
+//! Membership of the entry hosts, and distribution of the catalogue and of endpoint state to them.
 //!
-//! All state machines here are sans-IO: they take the time (since an arbitrary origin, on a clock
-//! that never goes back), messages and answers of the platform, and hand out actions. Lost,
-//! doubled, late and reordered messages are their normal case.
+//! All state machines here are sans-IO: they are given the time (since an arbitrary origin, on a
+//! monotonic clock), messages and answers of the platform, and emit actions. They are built for
+//! messages that are lost, duplicated, delayed or reordered.
 //!
-//! - [`members`]: which entry hosts live. Heartbeats among all hosts of a data centre, a few links
-//!   to each other data centre.
-//! - [`spread`]: the catalogue's way to every host, only ever forward.
-//! - [`endpoints`]: signs that an endpoint leaves, shared within a data centre.
-//! - [`reports`]: who asks which endpoint for its load, and the sharing of the answers.
-//! - [`rendezvous`]: how hosts choose some among them without asking.
+//! - [`members`]: which entry hosts are alive. Heartbeats go among all hosts of a data centre and
+//!   over a few links to each other data centre.
+//! - [`spread`]: distributes the catalogue to every host; its revision never decreases.
+//! - [`endpoints`]: signs that an endpoint is draining, shared within a data centre.
+//! - [`reports`]: which host polls which endpoint for its load, and how hosts share the reports.
+//! - [`rendezvous`]: how hosts choose the same few hosts without communication.
 //!
-//! Start with [`members::Members`]: its view feeds all others.
+//! Start with [`members::Members`]: its view is the input of all others.
 
 pub mod endpoints;
 pub mod members;
--- a/crates/membership/src/members/config.rs
+++ b/crates/membership/src/members/config.rs
@@ -5,10 +5,10 @@
 use dragonflyrill_catalogue::DataCentre;
 use dragonflyrill_protocol::{HostId, HostRef};
 
-/// What a host knows of itself, and the intervals of the protocol.
+/// The identity of a host, and the intervals of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// This life of this host.
+    /// This incarnation of this host.
     pub me: HostRef,
     /// Its data centre.
     pub data_centre: DataCentre,
@@ -16,27 +16,28 @@
     pub addr: SocketAddr,
     /// The seed of jitter and of random choices.
     pub seed: u64,
-    /// The intervals; the same on all hosts.
+    /// The intervals. They must be the same on all hosts.
     pub intervals: Intervals,
 }
 
-/// Intervals of the protocol.
+/// Intervals and timeouts of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Intervals {
-    /// Between heartbeats to each host of the data centre.
+    /// Interval between heartbeats to each host of the data centre.
     pub heartbeat: Duration,
-    /// Between heartbeats to each other data centre.
+    /// Interval between heartbeats over the links to each other data centre.
     pub link: Duration,
-    /// A host of the data centre is suspected after this silence. Above twice `heartbeat`, so that
-    /// one late heartbeat raises no suspicion.
+    /// Silence after which a host of the data centre is suspected. More than twice `heartbeat`, so
+    /// that one late heartbeat raises no suspicion.
     pub suspect_after: Duration,
-    /// A suspected host is held dead after this time more.
+    /// Time after which a suspected host that stays silent is considered dead.
     pub dead_after: Duration,
-    /// All hosts of another data centre are suspected after this silence of it.
+    /// Silence after which all hosts of another data centre are suspected.
     pub silent_after: Duration,
-    /// Dead hosts, and hosts of a silent data centre, are forgotten after this time unless listed.
+    /// Time after which the records of dead hosts are removed, and those of hosts of a silent data
+    /// centre that are not listed.
     pub remove_after: Duration,
-    /// Between repairs of differing records.
+    /// Minimum interval between exchanges to repair differing records.
     pub repair: Duration,
 }
 
@@ -54,7 +55,7 @@
     }
 }
 
-/// An entry host on the platform's list, or one named in the settings to start from.
+/// An entry host on the platform's list, or a seed host named in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ListedPeer {
     /// The host.
@@ -63,6 +64,6 @@
     pub addr: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Whether it is listed as leaving. While the host itself is heard, its own word counts.
+    /// Whether the host is listed as shutting down. Ignored once there is a record of the host.
     pub shutting_down: bool,
 }
--- a/crates/membership/src/members/mod.rs
+++ b/crates/membership/src/members/mod.rs
@@ -1,15 +1,16 @@
-//! Which entry hosts live.
+//! Which entry hosts are alive.
 //!
-//! Every host sends heartbeats to all hosts of its data centre and judges them by what it hears
-//! itself. Records of all hosts of the fleet merge by precedence ([`Record`]), so that they may
-//! travel any way and arrive any number of times. Only the host itself makes records with a
-//! greater life; only hosts of its data centre say that it is silent; it refutes what is wrong.
+//! Every host sends heartbeats to all hosts of its data centre and detects their failures from the
+//! heartbeats that it receives itself. Records of all hosts of the fleet are merged by precedence
+//! ([`Record`]), so that they may arrive by any path, in any order and any number of times. Only a
+//! host itself creates records of a newer incarnation or refutation; only hosts of its data centre
+//! report it as silent; the host refutes wrong reports about itself.
 //!
-//! Between data centres two hosts a data centre, chosen by rendezvous, hold links to each other
-//! one. Heartbeats carry a digest of all records; hosts with differing digests exchange records.
+//! In each data centre, two hosts chosen by rendezvous hashing hold the links to each other data
+//! centre. Heartbeats carry a digest of all records; hosts whose digests differ exchange records.
 //!
-//! The platform's list only tells addresses. A host that is heard lives though it isn't listed; a
-//! host that is listed and silent is suspected.
+//! The platform's list only provides addresses. A host that sends messages is alive even if it
+//! isn't listed; a listed host that is silent is suspected.
 
 mod config;
 mod records;
@@ -32,7 +33,7 @@
 pub use config::{Config, Intervals, ListedPeer};
 pub use view::Member;
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a message. It may get lost.
@@ -44,23 +45,25 @@
         /// The message.
         message: Message,
     },
-    /// [`Members::alive`] changed.
+    /// [`Members::view`] changed.
     Changed,
 }
 
-/// Another host of which there is a record.
+/// Another host and its record.
 #[derive(Debug, Clone)]
 struct Peer {
     record: Record,
-    /// When it was last heard; for a host never heard, when its record came.
+    /// When the last message of this host arrived, or its first record of a newer incarnation or
+    /// refutation.
     last_contact: Duration,
     /// Since when the record has its state.
     state_since: Duration,
-    /// The digest in its last heartbeat.
+    /// The digest in its last heartbeat; `None` if there was none from this incarnation or
+    /// refutation.
     digest: Option<u64>,
 }
 
-/// The view of one host.
+/// The members of the fleet, as one host knows them.
 #[derive(Debug, Clone)]
 pub struct Members {
     cfg: Config,
@@ -69,28 +72,28 @@
     shutting_down: bool,
     /// Invariant: never contains this host.
     peers: BTreeMap<HostId, Peer>,
-    /// The platform's list, without this host.
+    /// The hosts on the platform's list or named in the settings, without this host.
     listed_hosts: BTreeMap<HostId, ListedPeer>,
-    /// When each other data centre was last heard by any host of this one.
+    /// When any host of this data centre last had contact with each other data centre.
     data_centre_contacts: BTreeMap<DataCentreKey, Duration>,
-    /// The data centres that this host heard itself since its last heartbeat.
+    /// The data centres with which this host had contact since its last heartbeat.
     direct_contacts: BTreeSet<DataCentreKey>,
-    /// The digest of all records, up to date.
+    /// The digest of the records of hosts that are not dead or left, kept up to date.
     digest: u64,
-    /// Whether the view may have changed since it was last told.
+    /// Whether the view may have changed since it was last reported.
     view_dirty: bool,
-    /// Of the view last told by [`Action::Changed`].
+    /// The hash of the view last reported by [`Action::Changed`].
     reported_view_hash: u64,
     heartbeat_rounds: u64,
     next_heartbeat: Duration,
     next_link: Duration,
     next_repair: Duration,
-    /// When this host last ran.
+    /// When this host last ran; `None` before the first time.
     last_run: Option<Duration>,
 }
 
 impl Members {
-    /// A host that knows only itself.
+    /// The state of a host that knows only itself.
     pub fn new(cfg: Config) -> Self {
         let rng = Pcg32::seed_from_u64(cfg.seed);
         let mut members = Self {
@@ -115,7 +118,8 @@
         members
     }
 
-    /// Takes in the platform's list, or before it can be read the hosts named in the settings.
+    /// Replaces the list of hosts: the platform's list, or until it can be read the seed hosts
+    /// named in the settings.
     pub fn update_list(&mut self, now: Duration, list: &[ListedPeer]) {
         self.compensate_pause(now);
         let others = list.iter().filter(|l| l.id != self.cfg.me.id);
@@ -123,7 +127,7 @@
         self.view_dirty = true;
     }
 
-    /// Takes in that any message came from `from`.
+    /// Records that a message of any kind arrived from `from`.
     pub fn record_contact(&mut self, now: Duration, from: &HostRef) {
         self.compensate_pause(now);
         let Some(peer) = self.peers.get_mut(&from.id) else {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Takes in a message.
+    /// Handles a message of the protocol.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -168,11 +172,11 @@
         self.report_view_change(now, actions);
     }
 
-    /// Does what is due.
+    /// Detects failures, and sends the heartbeats that are due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.compensate_pause(now);
         self.detect_failures(now, actions);
-        // A data centre may have been silent for too long.
+        // A data centre may have become silent since the last call.
         self.view_dirty = true;
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + self.jittered(self.cfg.intervals.heartbeat);
@@ -185,12 +189,12 @@
         self.report_view_change(now, actions);
     }
 
-    /// When [`Self::tick`] is to be called next, at the latest.
+    /// The latest time at which [`Self::tick`] must be called next.
     pub fn next_tick(&self) -> Duration {
         self.next_heartbeat.min(self.next_link)
     }
 
-    /// Tells all hosts that this one leaves. It goes on sending heartbeats.
+    /// Announces to all hosts that this one shuts down. It continues to send heartbeats.
     pub fn announce_shutdown(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.compensate_pause(now);
         self.shutting_down = true;
@@ -219,8 +223,8 @@
         }
     }
 
-    /// Shifts what was heard by the time this host did not run itself, so that a paused host does
-    /// not take its own silence for that of the others.
+    /// Shifts all contact times by the time in which this host did not run, beyond two heartbeat
+    /// intervals, so that a paused host does not mistake its own pause for silence of the others.
     fn compensate_pause(&mut self, now: Duration) {
         let last_run = self.last_run.replace(now).unwrap_or(now);
         let pause = now.saturating_sub(last_run);
@@ -252,7 +256,7 @@
         let known = self.peers.get(&from.id).map(|p| p.record.clone());
         let sender_record = match (heartbeat.record, known) {
             (Some(record), _) if record.id == from.id => Some(record),
-            // The address holds within one life only.
+            // A known record provides the address only within the same incarnation.
             (_, Some(known)) if known.life.incarnation == life.incarnation => Some(Record {
                 life,
                 state: State::Alive,
@@ -276,7 +280,7 @@
         }
         let reported_failed = matches!(record.state, State::Suspected | State::Dead);
         if reported_failed && record.life >= life {
-            // It lives, so it shall refute.
+            // The sender is alive: send it the record that says otherwise, so that it refutes it.
             let suspicion = Records {
                 records: vec![record],
                 wanted: Vec::new(),
@@ -289,7 +293,8 @@
         }
     }
 
-    /// Suspects hosts of this data centre that are silent, and forgets old records.
+    /// Suspects silent hosts of this data centre, considers them dead if they stay silent, and
+    /// removes expired records.
     fn detect_failures(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let intervals = &self.cfg.intervals;
         let mut failures = Vec::new();
--- a/crates/membership/src/members/records.rs
+++ b/crates/membership/src/members/records.rs
@@ -1,4 +1,4 @@
-//! Merging, comparing and forgetting records.
+//! Merging, comparing and removing records.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,11 +14,13 @@
 
 use super::{Action, Members, Peer, view};
 
-/// More records at once are not passed on: the digests of heartbeats bring them to the others.
+/// Maximum number of records forwarded at once. Larger sets are not forwarded: they reach the other
+/// hosts through the digests of heartbeats.
 const MAX_FORWARDED_RECORDS: usize = 16;
 
 impl Members {
-    /// Merges `records` from `from` (`None`: from this host itself), and passes on what is new.
+    /// Merges `records` from `from` (`None`: from this host itself), and forwards those that are
+    /// new.
     pub(super) fn merge_records(
         &mut self,
         now: Duration,
@@ -48,7 +50,7 @@
         self.broadcast(now, fresh, from, actions);
     }
 
-    /// Refutes a doubt about this host.
+    /// Refutes a report that this host is suspected or dead.
     fn refute(&mut self, now: Duration, record: &Record, actions: &mut Vec<Action>) {
         let own = self.own_record();
         if record.life.incarnation > own.life.incarnation {
@@ -64,7 +66,8 @@
         self.broadcast(now, vec![own], None, actions);
     }
 
-    /// Whether another's doubt about a host contradicts what this host heard itself.
+    /// Whether a report that a host is suspected or dead contradicts this host's own contact with
+    /// it.
     fn contradicts_contact(&self, now: Duration, record: &Record, from: Option<&HostId>) -> bool {
         let suspicion = matches!(record.state, State::Suspected | State::Dead);
         let Some(peer) = self.peers.get(&record.id) else {
@@ -77,11 +80,11 @@
         from.is_some() && suspicion && is_local && in_contact && same_life && seen_alive
     }
 
-    /// Merges one record; answers whether it was new.
+    /// Merges one record; returns whether it was new.
     fn merge_record(&mut self, now: Duration, record: &Record) -> bool {
         let gone = |r: &Record| matches!(r.state, State::Dead | State::Left);
         let Some(peer) = self.peers.get_mut(&record.id) else {
-            // A record of a dead host that was forgotten must not go round for ever.
+            // A record of a dead host that was removed here must not circulate forever.
             if gone(record) {
                 return false;
             }
@@ -99,7 +102,7 @@
             return false;
         }
         if record.life > peer.record.life {
-            // Someone heard it in this life.
+            // A newer incarnation or refutation implies that some host had contact with it.
             peer.last_contact = now;
             peer.digest = None;
         }
@@ -108,8 +111,8 @@
         true
     }
 
-    /// Passes on records that are new here: to this data centre if they came from outside it, and
-    /// those of this data centre over the links.
+    /// Forwards records that are new to this host: to this data centre if they came from outside
+    /// it, and those about this data centre over the links.
     pub(super) fn broadcast(
         &mut self,
         now: Duration,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Sends the records of the data centres that differ.
+    /// Sends the records of the data centres whose digests differ, and requests the sender's.
     pub(super) fn answer_digests(
         &mut self,
         from: &HostId,
@@ -169,7 +172,7 @@
         self.send(from, message, actions);
     }
 
-    /// Merges records, and sends those wanted that the sender lacks.
+    /// Merges the received records, and answers with the requested ones that the sender lacks.
     pub(super) fn answer_records(
         &mut self,
         now: Duration,
@@ -192,13 +195,13 @@
         }
     }
 
-    /// Brings what is derived from the records up to date.
+    /// Updates what is derived from the records.
     pub(super) fn records_changed(&mut self) {
         self.digest = self.digest_of(None);
         self.view_dirty = true;
     }
 
-    /// The digest of the records of each data centre.
+    /// The digests of the records, one for each data centre.
     pub(super) fn digests(&self) -> Vec<DataCentreDigest> {
         let keys: BTreeSet<DataCentreKey> = self
             .all_records()
@@ -214,7 +217,8 @@
 
     /// The digest of the records of one data centre, or of all.
     ///
-    /// Records of dead hosts don't count, so that they can be forgotten at different times.
+    /// Records of hosts that are dead or left are excluded, so that hosts may remove them at
+    /// different times.
     pub(super) fn digest_of(&self, key: Option<DataCentreKey>) -> u64 {
         let own = self.own_record();
         let own = Some(&own).into_iter();
@@ -235,7 +239,8 @@
         std::iter::once(self.own_record()).chain(others)
     }
 
-    /// Forgets hosts that are dead for long, or whose data centre is silent for long.
+    /// Removes hosts that are dead or left, and unlisted hosts of a silent data centre, after
+    /// `remove_after`.
     pub(super) fn remove_expired(&mut self, now: Duration) {
         let after = self.cfg.intervals.remove_after;
         let expired = |since: Duration| now.saturating_sub(since) >= after;
@@ -264,7 +269,7 @@
     }
 }
 
-/// A message that only tells.
+/// A message that sends records and requests none.
 fn records_message(records: Vec<Record>) -> Message {
     Message::Records(Records {
         records,
--- a/crates/membership/src/members/sending.rs
+++ b/crates/membership/src/members/sending.rs
@@ -1,4 +1,4 @@
-//! To whom heartbeats go.
+//! Sending of heartbeats and records, and the choice of their receivers.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -12,12 +12,13 @@
 use super::{Action, Members};
 use crate::rendezvous;
 
-/// How many hosts of a data centre hold links to each other one.
+/// Number of hosts of a data centre that hold links to each other data centre.
 pub(crate) const LINK_HOLDERS: usize = 2;
-/// A dead host that may be back is tried at each so many heartbeats.
+/// In one heartbeat round out of this many, hosts that are dead or left are sent a heartbeat too, in
+/// case they are back.
 const DEAD_RETRY_ROUNDS: u64 = 8;
 
-/// A host at its address.
+/// A host and the address to which it is sent messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Target {
     id: HostId,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Sends a heartbeat over the links that this host holds.
+    /// Sends heartbeats over the links that this host holds.
     pub(super) fn send_link_heartbeats(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for target in self.link_targets(now) {
             let heartbeat = self.heartbeat_for(&target.id);
@@ -70,7 +71,7 @@
                     addr: peer.record.addr,
                 });
             }
-            // A replaced host may have another address than the life that is known.
+            // A restarted host may have another address than its recorded incarnation.
             let listed = self.listed_hosts.get(&peer.record.id);
             if let Some(entry) = listed.filter(|h| gone && h.addr != peer.record.addr) {
                 targets.push(Target {
@@ -88,8 +89,9 @@
         targets
     }
 
-    /// Two hosts of each data centre to which this host holds a link: one by rendezvous among
-    /// those alive, one at random among all.
+    /// The receivers over the links that this host holds: for each such data centre, one host
+    /// chosen by rendezvous hashing among those that are not dead or left, and one at random among
+    /// all.
     pub(super) fn link_targets(&mut self, now: Duration) -> Vec<Target> {
         let live = self.live_local_hosts(now);
         let mut targets = Vec::new();
@@ -111,7 +113,8 @@
         targets
     }
 
-    /// The hosts of each other data centre, and whether they are gone. No list is empty.
+    /// The hosts of each other data centre, each with whether it is dead or left, or listed at
+    /// another address than in its record. No list is empty.
     fn remote_hosts(&self) -> BTreeMap<DataCentre, Vec<(Target, bool)>> {
         let mut remote: BTreeMap<DataCentre, Vec<(Target, bool)>> = BTreeMap::new();
         let own = &self.cfg.data_centre;
@@ -139,7 +142,7 @@
         remote
     }
 
-    /// The hosts of this data centre that are not gone, without this one.
+    /// The other hosts of this data centre that are not dead or left.
     pub(super) fn local_peers(&self) -> Vec<HostId> {
         let local = self.peers.values().filter(|p| {
             let here = p.record.data_centre == self.cfg.data_centre;
@@ -148,7 +151,7 @@
         local.map(|p| p.record.id.clone()).collect()
     }
 
-    /// The hosts of this data centre that serve, with this one.
+    /// The hosts of this data centre that are alive, including this one.
     fn live_local_hosts(&self, now: Duration) -> Vec<HostId> {
         let local = self.peers.values().filter(|p| {
             let here = p.record.data_centre == self.cfg.data_centre;
@@ -163,7 +166,7 @@
         peer.is_some_and(|p| p.record.data_centre == self.cfg.data_centre)
     }
 
-    /// Sends to a known host.
+    /// Sends a message to a host of which there is a record; drops it if there is none.
     pub(super) fn send(&self, to: &HostId, message: Message, actions: &mut Vec<Action>) {
         let Some(peer) = self.peers.get(to) else {
             return;
@@ -183,7 +186,7 @@
         });
     }
 
-    /// `interval`, up to a tenth shorter or longer, so that hosts don't fall into step.
+    /// `interval`, up to a tenth shorter or longer, so that hosts don't send in lockstep.
     pub(super) fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(0.9..1.1))
     }
--- a/crates/membership/src/members/view.rs
+++ b/crates/membership/src/members/view.rs
@@ -1,4 +1,4 @@
-//! The view that other parts of the host see.
+//! The view of the members that other parts of the host use.
 
 use std::{hash::Hash, net::SocketAddr, time::Duration};
 
@@ -11,10 +11,10 @@
 
 use super::{Action, Members, Peer};
 
-/// A host that is not known to be gone.
+/// A host that is not known to be dead or to have left.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// The host and its life; incarnation 0 where the host is listed but was never heard.
+    /// The host and its incarnation; 0 if the host is listed but there is no record of it.
     pub host: HostRef,
     /// Its address for other hosts.
     pub addr: SocketAddr,
@@ -25,9 +25,10 @@
 }
 
 impl Members {
-    /// All hosts that are not known to be gone, this one among them unless it leaves.
+    /// All hosts that are not known to be dead or to have left, with this one unless it is shutting
+    /// down.
     ///
-    /// The view is as of the last call with a time.
+    /// The states are as of the last call that passed a time.
     pub fn view(&self) -> impl Iterator<Item = Member> {
         let now = self.last_run.unwrap_or_default();
         let own = (!self.shutting_down).then(|| Member {
@@ -63,14 +64,15 @@
         own.into_iter().chain(peers).chain(listed_only)
     }
 
-    /// Notes that another data centre was heard.
+    /// Records contact with another data centre.
     pub(super) fn record_data_centre_contact(&mut self, now: Duration, key: DataCentreKey) {
         let previous = self.data_centre_contacts.insert(key, now);
         let silent = |at| now.saturating_sub(at) >= self.cfg.intervals.silent_after;
         self.view_dirty |= previous.is_none_or(silent);
     }
 
-    /// The state of a host as it seems from here.
+    /// The state of a host as seen from here: its record's, but suspected while its data centre is
+    /// silent.
     pub(super) fn effective_state(&self, now: Duration, peer: &Peer) -> State {
         let record = &peer.record;
         if record.state != State::Alive || record.data_centre == self.cfg.data_centre {
@@ -84,7 +86,7 @@
         State::Alive
     }
 
-    /// Says so if the view changed.
+    /// Emits [`Action::Changed`] if the view changed.
     pub(super) fn report_view_change(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.last_run = Some(now);
         if !std::mem::take(&mut self.view_dirty) {
@@ -102,7 +104,7 @@
     }
 }
 
-/// The short name of a data centre.
+/// The key of a data centre in messages: a hash of its name.
 pub(super) fn key(data_centre: &DataCentre) -> DataCentreKey {
     DataCentreKey(xxh3::xxh3_64(data_centre.as_str().as_bytes()) as u32)
 }
--- a/crates/membership/src/reports.rs
+++ b/crates/membership/src/reports.rs
@@ -1,8 +1,8 @@
-//! Who asks which endpoint for its load, and the sharing of the answers.
+//! Which host polls which endpoint for its load, and how hosts share the reports.
 //!
-//! Each endpoint is asked by one host of its data centre, chosen by rendezvous, and the hosts
-//! share what they learned: with 480 endpoints and 14 hosts each host asks about 34. Reports are
-//! sent when they changed, and now and then all of them, so that lost ones are made good.
+//! Each endpoint is polled by one host of its data centre, chosen by rendezvous hashing, and the
+//! hosts share the reports: with 480 endpoints and 14 hosts, each host polls about 34. A share
+//! holds the reports that changed; every few shares hold all reports, to replace lost messages.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,14 +15,14 @@
 
 use crate::rendezvous;
 
-/// Between two shares of this host's reports, and between two questions to one endpoint.
+/// Interval between two shares of this host's load reports.
 pub const SHARE_INTERVAL: Duration = Duration::from_secs(2);
-/// Each so many shares hold all reports and not only the changed ones.
+/// One share out of this many holds all reports instead of only the changed ones.
 const FULL_SHARE_PERIOD: u64 = 5;
-/// Ages are told in steps of this.
+/// Resolution of the age of a load in a report.
 const AGE_STEP: Duration = Duration::from_millis(100);
 
-/// The host among `live` that asks `endpoint`.
+/// The host among `live` that polls `endpoint`.
 pub fn polling_host<'a>(
     endpoint: &EndpointId,
     live: impl Iterator<Item = &'a HostId>,
@@ -31,19 +31,19 @@
     chosen.first().copied()
 }
 
-/// The short name of an endpoint.
+/// The key of an endpoint in reports: a hash of its id.
 pub fn key(endpoint: &EndpointId) -> EndpointKey {
     EndpointKey(xxh3::xxh3_64(endpoint.as_str().as_bytes()) as u32)
 }
 
-/// A load, and when the endpoint told it.
+/// The load of an endpoint at a point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Load {
-    /// Requests being run.
+    /// Requests running.
     pub running: u16,
     /// Requests waiting.
     pub waiting: u16,
-    /// When it was so, as far as is known.
+    /// When the endpoint had this load, as far as is known.
     pub at: Duration,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct LoadReports {
     loads: BTreeMap<EndpointKey, Load>,
-    /// The loads that this host asked for, as they were last shared.
+    /// The loads of the endpoints that this host polls, as they were last shared.
     polled: BTreeMap<EndpointKey, Option<Load>>,
     share_count: u64,
     next_share: Duration,
@@ -63,14 +63,14 @@
         self.loads.get(&key(endpoint)).copied()
     }
 
-    /// Takes in a load that this host asked for, or that came with an answer.
+    /// Records a load that this host polled, or that came with an answer.
     pub fn record_polled(&mut self, endpoint: &EndpointId, load: Load) {
         let key = key(endpoint);
         self.polled.entry(key).or_default();
         self.merge(key, load);
     }
 
-    /// Takes in the reports of another host.
+    /// Merges reports received from another host.
     pub fn receive(&mut self, now: Duration, reports: &[Report]) {
         for report in reports {
             let age = AGE_STEP * u32::from(report.age_ds);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Forgets the endpoints that this host no longer asks, and loads older than `max_age`.
+    /// Removes the endpoints that this host no longer polls, and loads of `max_age` or older.
     pub fn retain(
         &mut self,
         now: Duration,
@@ -95,12 +95,13 @@
             .retain(|_, load| now.saturating_sub(load.at) < max_age);
     }
 
-    /// When [`Self::share`] is to be called next.
+    /// When [`Self::share`] must be called next.
     pub fn next_share(&self) -> Duration {
         self.next_share
     }
 
-    /// The message for all other hosts of the data centre, if one is due and there is news.
+    /// The message for all other hosts of the data centre; `None` if no share is due or no load is
+    /// to be reported.
     pub fn share(&mut self, now: Duration) -> Option<EndpointNews> {
         if now < self.next_share {
             return None;
