--- a/crates/membership/src/spread/change_log.rs
+++ b/crates/membership/src/spread/change_log.rs
@@ -1,4 +1,4 @@
-//! The newest changes, kept to answer pulls.
+//! The latest changes, stored to answer pulls.
 
 use std::collections::VecDeque;
 
@@ -6,13 +6,13 @@
 use dragonflyrill_protocol::spread::{self, Digest};
 use xxhash_rust::xxh3;
 
-/// The newest changes in order and without gaps.
+/// The latest changes, in order of revision and without gaps.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ChangeLog {
-    /// The digest before the first change kept.
+    /// The digest of the catalogue before the first stored change.
     base: Digest,
     changes: VecDeque<LoggedChange>,
-    /// The sum of the kept sizes.
+    /// The sum of the encoded sizes of the stored changes.
     bytes: usize,
 }
 
@@ -22,12 +22,12 @@
     bytes: usize,
 }
 
-/// Why the log can't answer.
+/// Why the log cannot answer a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PullError {
-    /// The changes were dropped, or one is too large for a message.
+    /// The log no longer holds the changes, or one of them is too large for a message.
     Unavailable,
-    /// The other side has another change under one revision.
+    /// The other host has another change under the same revision.
     Forked,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl ChangeLog {
-    /// A log that starts after `base`.
+    /// An empty log for the changes after the catalogue `base`.
     pub(super) fn starting_after(base: Digest) -> Self {
         Self {
             base,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds the next change; drops the oldest ones above the limits.
+    /// Appends the next change; drops the oldest changes above the limits.
     pub(super) fn push(&mut self, change: Change, max_changes: usize, max_bytes: usize) {
         let bytes = spread::encoded_len(&change);
         self.bytes += bytes;
@@ -65,13 +65,14 @@
         }
     }
 
-    /// Whether the catalogue `other` is, or may be, an earlier state of this one.
+    /// Whether the log does not contradict `other`: false only if it has another change at that
+    /// revision.
     pub(super) fn is_consistent_with(&self, other: Digest) -> bool {
         self.digest_at(other.revision)
             .is_none_or(|known| known == other)
     }
 
-    /// The changes after `from`, in messages of at most about `max` bytes.
+    /// The changes after `from`, grouped into messages of at most about `max` encoded bytes.
     pub(super) fn changes_after(
         &self,
         from: Digest,
@@ -102,7 +103,7 @@
         Ok(messages)
     }
 
-    /// The digest of the catalogue at `revision`, where it is known.
+    /// The digest of the catalogue at `revision`, if the log covers that revision.
     fn digest_at(&self, revision: Revision) -> Option<Digest> {
         if revision == self.base.revision {
             return Some(self.base);
--- a/crates/membership/src/spread/config.rs
+++ b/crates/membership/src/spread/config.rs
@@ -5,49 +5,51 @@
 use dragonflyrill_catalogue::DataCentre;
 use dragonflyrill_protocol::HostRef;
 
-/// What a host knows of itself, and what the spread may cost.
+/// The identity of a host, and the resource limits of the spread.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// This life of this host.
+    /// This incarnation of this host.
     pub me: HostRef,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// The seed of jitter and of random choices.
     pub seed: u64,
-    /// What the spread may cost.
+    /// The resource limits.
     pub budget: Budget,
 }
 
-/// What the spread may cost a host.
+/// Intervals, limits and sizes that bound what the spread costs a host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// The hosts of a data centre that ask the platform. With 25 data centres, the defaults ask it
-    /// 25 x 2 x 2 = 100 times a second.
+    /// Number of hosts of a data centre that poll the platform. With 25 data centres, the defaults
+    /// send it 25 x 2 x 2 = 100 polls a second.
     pub pollers: usize,
-    /// Between two polls of one host.
+    /// Interval between two polls of one host.
     pub poll_interval: Duration,
-    /// The most polls waiting for an answer. More than one, so that a platform that takes seconds
-    /// to answer delays a change once and not twice.
+    /// Maximum number of polls without an answer. More than one, so that a platform that takes
+    /// seconds to answer delays a change by one such answer and not by two.
     pub max_pending_polls: usize,
-    /// A poll without an answer is given up after this time.
+    /// Time after which a poll without an answer no longer counts as pending.
     pub poll_timeout: Duration,
-    /// A host that starts asks the platform only when another host has told its revision, or after
-    /// this time.
+    /// A host that starts polls the platform only after another host has reported its revision, or
+    /// after this time.
     pub startup_wait: Duration,
-    /// Between digests to some hosts of the data centre and over the links.
+    /// Interval between digests sent to some hosts of the data centre and over the links.
     pub digest_interval: Duration,
-    /// To how many hosts of the data centre.
+    /// Number of hosts of the data centre that are sent each of these digests.
     pub digest_fanout: usize,
-    /// A pull without an answer may be repeated after this time. No host is served a whole
-    /// catalogue twice within it.
+    /// Time after which a pull without an answer may be retried. No host is sent a whole catalogue
+    /// twice within it.
     pub pull_interval: Duration,
-    /// The most changes kept to answer pulls.
+    /// Maximum number of changes stored to answer pulls.
     pub max_log_changes: usize,
-    /// The most bytes of changes kept to answer pulls.
+    /// Maximum encoded bytes of changes stored to answer pulls.
     pub max_log_bytes: usize,
-    /// Larger changes are only announced to the hosts of the data centre.
+    /// Changes of more encoded bytes are only announced by a digest to the hosts of the data
+    /// centre.
     pub max_push_bytes: usize,
-    /// The aim for the size of one message. Far below [`dragonflyrill_protocol::MAX_FRAME`].
+    /// Target size of one message in encoded bytes. Far below
+    /// [`dragonflyrill_protocol::MAX_FRAME`].
     pub target_part_bytes: usize,
 }
 
--- a/crates/membership/src/spread/incoming.rs
+++ b/crates/membership/src/spread/incoming.rs
@@ -1,4 +1,4 @@
-//! What comes from the store and from other hosts.
+//! Handling of poll results and of messages from other hosts.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 };
 
 impl Spread {
-    /// Takes in what a poll read from the store.
+    /// Applies the changes or the catalogue that a poll read from the store.
     pub fn receive_store_read(
         &mut self,
         now: Duration,
@@ -30,19 +30,19 @@
         }
     }
 
-    /// Takes in the head that a poll found where it read no changes.
+    /// Checks the head that a poll found when it read no changes.
     pub fn receive_store_head(&mut self, _now: Duration, head: &Head, actions: &mut Vec<Action>) {
         self.pending_polls.pop_front();
         let found = change_log::digest(head.revision, &head.change_id);
         self.verify_store(found, actions);
     }
 
-    /// Takes in that a poll failed.
+    /// Records that a poll failed.
     pub fn receive_store_failure(&mut self, _now: Duration) {
         self.pending_polls.pop_front();
     }
 
-    /// Takes in a message.
+    /// Handles a message from another host.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Whether the store, whose catalogue is or was `found`, can be followed.
+    /// Whether the store, whose catalogue is or was `found`, may be followed. Emits an alarm if
+    /// not.
     fn verify_store(&mut self, found: Digest, actions: &mut Vec<Action>) -> bool {
         let in_force = self.catalogue.revision();
         if !self.log.is_consistent_with(found) {
@@ -114,8 +115,9 @@
         if !self.verify_store(found, actions) {
             return;
         }
-        // A snapshot is loaded only where the changes that follow on this host's are missing: a
-        // restoration leaves such a gap, so its newer catalogue ends any doubt about the store.
+        // A snapshot is loaded only if the store lacks the changes that follow the catalogue in
+        // force. A restoration leaves such a gap, so its newer catalogue ends the suspicion of the
+        // store.
         if found.revision <= self.catalogue.revision() && self.store_suspected {
             return;
         }
@@ -129,7 +131,7 @@
         );
     }
 
-    /// Brings changes in force, those that are next.
+    /// Brings into force those changes that continue the catalogue in force.
     fn apply_changes(
         &mut self,
         now: Duration,
@@ -158,7 +160,7 @@
         self.push(applied, source, actions);
     }
 
-    /// Brings a whole catalogue in force, if it is newer.
+    /// Brings a whole catalogue into force if it is newer.
     fn replace_catalogue(
         &mut self,
         now: Duration,
@@ -283,7 +285,7 @@
         if part.revision <= self.catalogue.revision() {
             return;
         }
-        // More parts are on the way.
+        // The remaining parts are still to come: this delays the next pull.
         self.pull_sent = Some(now);
         match self.assembly.as_mut().filter(|a| a.accepts(from, &part)) {
             Some(assembly) => assembly.add(part),
--- a/crates/membership/src/spread/mod.rs
+++ b/crates/membership/src/spread/mod.rs
@@ -1,12 +1,13 @@
-//! The catalogue's way to every host.
+//! Distribution of the catalogue to every host.
 //!
-//! A few hosts of each data centre ask the platform ([`Spread::am_poller`]). What is new on a host
-//! that did not get it from its own data centre goes at once to all hosts there, and its digest
-//! over the links to the other data centres, whose hosts pull what they lack. Digests now and then
-//! repair what got lost. So a host that has any path to a newer catalogue gets it.
+//! A few hosts of each data centre poll the platform ([`Spread::is_poller`]). A host that gets
+//! something new from elsewhere than its own data centre sends it at once to all hosts there, and
+//! sends its digest over the links to the other data centres, whose hosts pull what they lack.
+//! Periodic digests repair the loss of messages. So every host that has any path to a newer
+//! catalogue gets it.
 //!
-//! Invariant: the catalogue only goes forward. An older store, or one that was wound back and
-//! changed anew, is told by [`Action::Alarm`] and not followed.
+//! Invariant: the revision of the catalogue never decreases. A store that is older, or that was
+//! rolled back and changed since, is reported by [`Action::Alarm`] and not followed.
 
 mod change_log;
 mod config;
@@ -34,7 +35,7 @@
 
 pub use config::{Budget, Config};
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message. It may get lost.
@@ -46,23 +47,25 @@
         /// The message.
         message: Message,
     },
-    /// [`Spread::catalogue`] is now as of this revision.
+    /// [`Spread::catalogue`] is now at this revision.
     InForce(Revision),
-    /// Read the head and the changes after `after` from the platform, and answer with one of
-    /// [`Spread::known`], [`Spread::store_head`] and [`Spread::store_away`].
+    /// Read the head and the changes after `after` from the platform, and pass the result to one of
+    /// [`Spread::receive_store_read`], [`Spread::receive_store_head`] and
+    /// [`Spread::receive_store_failure`].
     Poll {
-        /// One below the revision in force: the change that is in force comes with the newer ones
-        /// and proves that the store was not wound back and changed anew.
+        /// One below the revision in force, so that the change in force is read with the newer
+        /// ones: it proves that the store was not rolled back and changed since.
         after: Revision,
     },
-    /// Something that an operator has to know of.
+    /// Report a fault that needs an operator.
     Alarm(Alarm),
 }
 
-/// What an operator has to know of.
+/// A fault that needs an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Alarm {
-    /// The store holds an older catalogue than is in force. It has to be brought forward again.
+    /// The store holds an older catalogue than the one in force. It must be brought
+    /// forward again.
     StoreOlder {
         /// The revision in force here.
         in_force: Revision,
@@ -83,23 +86,23 @@
     },
 }
 
-/// What was read from the store.
+/// What a poll read from the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRead {
-    /// Changes in order and without gaps.
+    /// Changes in order of revision and without gaps.
     Changes(Vec<Change>),
     /// A snapshot and the changes after it.
     Loaded(Loaded),
 }
 
-/// From where a catalogue came.
+/// Where a change or a catalogue came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source<'a> {
     Store,
     Host(&'a HostId),
 }
 
-/// The spread as one host takes part in it.
+/// The catalogue of one host, and its part in the spread.
 #[derive(Debug, Clone)]
 pub struct Spread {
     cfg: Config,
@@ -108,30 +111,30 @@
     change_id: String,
     in_force_since: Duration,
     log: change_log::ChangeLog,
-    /// All other hosts that are not known to be gone.
+    /// All other hosts that are not known to be dead or to have left.
     peers: BTreeMap<HostId, Member>,
-    /// Whether this host counts among the live ones.
+    /// Whether the view lacks this host: it is shutting down.
     shutting_down: bool,
-    /// When the polls that wait for an answer were sent.
+    /// When the polls without an answer were sent, oldest first.
     pending_polls: VecDeque<Duration>,
-    /// The store was seen to be older: nothing of it is taken that doesn't prove to follow on
-    /// what is in force.
+    /// The store was found to be older or to hold other changes. Nothing is applied from it until
+    /// it proves to continue the catalogue in force.
     store_suspected: bool,
     /// When a pull was last sent, unless it has been answered.
     pull_sent: Option<Duration>,
     assembly: Option<snapshot::Assembly>,
-    /// When hosts were last sent a whole catalogue.
+    /// When each host was last sent a whole catalogue.
     snapshots_sent: BTreeMap<HostId, Duration>,
-    /// Whether any other host told its revision.
+    /// Whether another host has reported its revision.
     peer_revision_received: bool,
-    /// When this host first ran.
+    /// When this host first ran; `None` before.
     started: Option<Duration>,
     next_digest: Duration,
     next_poll: Duration,
 }
 
 impl Spread {
-    /// A host with an empty catalogue that knows no others.
+    /// The state of a host with an empty catalogue that knows no others.
     pub fn new(cfg: Config) -> Self {
         let rng = Pcg32::seed_from_u64(cfg.seed);
         Self {
@@ -168,12 +171,12 @@
         }
     }
 
-    /// Since when the catalogue is in force here.
+    /// Time since which the catalogue is in force here.
     pub fn in_force_since(&self) -> Duration {
         self.in_force_since
     }
 
-    /// Takes in the view of [`crate::members::Members::alive`].
+    /// Replaces the view with that of [`crate::members::Members::view`].
     pub fn update_view(&mut self, _now: Duration, view: impl Iterator<Item = Member>) {
         let me = self.cfg.me.id.clone();
         self.peers = view.map(|m| (m.host.id.clone(), m)).collect();
@@ -182,14 +185,14 @@
         self.snapshots_sent.retain(|id, _| peers.contains_key(id));
     }
 
-    /// Whether this host is to ask the platform for its data centre.
+    /// Whether this host polls the platform for its data centre.
     pub fn is_poller(&self) -> bool {
         let live = self.live_local_hosts();
         let n = self.cfg.budget.pollers;
         rendezvous::choose("catalogue pollers", live.into_iter(), n).contains(&&self.cfg.me.id)
     }
 
-    /// Does what is due.
+    /// Sends the digests and polls that are due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.started.get_or_insert(now);
         if now >= self.next_digest {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// When [`Self::tick`] is to be called next, at the latest.
+    /// The latest time at which [`Self::tick`] must be called next.
     pub fn next_tick(&self) -> Duration {
         self.next_digest.min(self.next_poll)
     }
@@ -220,8 +223,9 @@
         actions.push(Action::Poll { after });
     }
 
-    /// Whether the other hosts were heard, or given time to be heard. A store that was wound back
-    /// and changed anew must not be the first that a new host follows.
+    /// Whether another host has reported its revision, or the wait for that is over. A new host
+    /// must not follow a store that was rolled back and changed since, before it knows the others'
+    /// revision.
     pub fn startup_wait_over(&self, now: Duration) -> bool {
         let wait = self.cfg.budget.startup_wait;
         let waited = self.started.is_some_and(|s| now.saturating_sub(s) >= wait);
@@ -232,7 +236,7 @@
         change_log::digest(self.catalogue.revision(), &self.change_id)
     }
 
-    /// The hosts of this data centre that serve, with this one.
+    /// The hosts of this data centre that are alive, including this one.
     fn live_local_hosts(&self) -> Vec<&HostId> {
         let local = self
             .peers
@@ -242,7 +246,7 @@
         own.into_iter().chain(local.map(|m| &m.host.id)).collect()
     }
 
-    /// `interval`, up to a tenth shorter or longer.
+    /// `interval`, up to a tenth shorter or longer, so that hosts don't send in lockstep.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(0.9..1.1))
     }
--- a/crates/membership/src/spread/outgoing.rs
+++ b/crates/membership/src/spread/outgoing.rs
@@ -1,4 +1,4 @@
-//! To whom the catalogue goes.
+//! Sending of the catalogue, and the choice of its receivers.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +13,11 @@
 use super::{Action, Source, Spread};
 use crate::{members::Member, rendezvous};
 
-/// How many hosts of a data centre hold links to each other one.
+/// Number of hosts of a data centre that hold links to each other data centre.
 const LINK_HOLDERS: usize = 2;
 
 impl Spread {
-    /// Passes on what has just come into force. `changes` is empty after a whole catalogue.
+    /// Forwards what has just come into force. `changes` is empty after a whole catalogue.
     pub(super) fn push(
         &mut self,
         changes: Vec<Change>,
@@ -31,7 +31,7 @@
         let from_data_centre = from
             .and_then(|id| self.peers.get(id))
             .map(|m| &m.data_centre);
-        // The first host of this data centre that had it has told all hosts here.
+        // The first host of this data centre that had it has sent it to all hosts here.
         if from_data_centre != Some(&self.cfg.data_centre) {
             self.push_to_local_peers(changes, actions);
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends digests to some hosts here, and over each link.
+    /// Sends digests to some hosts of this data centre and over each link.
     pub(super) fn send_digests(&mut self, actions: &mut Vec<Action>) {
         let mut rng = self.rng.clone();
         let message = Message::Digest(self.digest());
@@ -75,7 +75,7 @@
         self.rng = rng;
     }
 
-    /// The hosts of the other data centres to which this host holds a link.
+    /// The data centres to which this host holds a link, each with its hosts.
     fn links(&self) -> BTreeMap<&DataCentre, Vec<&Member>> {
         let mut remote: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
         for member in self.peers.values() {
@@ -112,7 +112,7 @@
     }
 }
 
-/// A host that is thought alive, if there is one.
+/// A random host that is alive; any host if none is.
 fn link_target<'a>(hosts: &[&'a Member], rng: &mut impl Rng) -> Option<&'a Member> {
     let alive = hosts.iter().filter(|m| m.state == State::Alive);
     let chosen = alive.choose(rng).or_else(|| hosts.iter().choose(rng));
--- a/crates/membership/src/spread/snapshot.rs
+++ b/crates/membership/src/spread/snapshot.rs
@@ -1,4 +1,4 @@
-//! A whole catalogue in parts.
+//! A whole catalogue, split into parts.
 
 use dragonflyrill_catalogue::{Catalogue, Entry};
 use dragonflyrill_protocol::{
@@ -6,10 +6,11 @@
     spread::{self, Part},
 };
 
-/// More parts are not believed: at the usual size of a part this is 64 MiB.
+/// Maximum number of parts; snapshots with more are rejected. With parts of 256 KiB, the default
+/// target, this bounds a snapshot to 64 MiB.
 const MAX_PARTS: u32 = 256;
 
-/// Divides `catalogue` into parts of about `max` bytes, at least one.
+/// Splits `catalogue` into parts of about `max` encoded bytes; at least one part.
 pub(super) fn split(catalogue: &Catalogue, change_id: &str, max: usize) -> Vec<Part> {
     let mut groups: Vec<Vec<Entry>> = vec![Vec::new()];
     let mut free_bytes = max;
@@ -35,7 +36,7 @@
     split_parts.collect()
 }
 
-/// A catalogue of which some parts have come, all from one host.
+/// A catalogue of which some parts have arrived, all from one host.
 #[derive(Debug, Clone)]
 pub(super) struct Assembly {
     from: HostId,
@@ -44,7 +45,7 @@
 }
 
 impl Assembly {
-    /// An assembly begun with `part`; `None` if the part is impossible.
+    /// An assembly that starts with `part`; `None` if the numbering of the part is invalid.
     pub(super) fn start(from: &HostId, part: Part) -> Option<Self> {
         if part.parts == 0 || part.parts > MAX_PARTS || part.index >= part.parts {
             return None;
@@ -68,14 +69,14 @@
         *from == self.from && same_snapshot && first.parts == part.parts && part.index < part.parts
     }
 
-    /// Adds a part that fits.
+    /// Adds a part that [`Self::accepts`] holds for.
     pub(super) fn add(&mut self, part: Part) {
         if let Some(slot) = self.parts.get_mut(part.index as usize) {
             *slot = Some(part.entries);
         }
     }
 
-    /// Whether all parts have come.
+    /// Whether all parts have arrived.
     pub(super) fn is_complete(&self) -> bool {
         self.parts.iter().all(Option::is_some)
     }
