--- a/crates/membership/benches/tables/endpoints.rs
+++ b/crates/membership/benches/tables/endpoints.rs
@@ -61,15 +61,15 @@
             };
             known.record_polled(e, load);
         }
-        let news = known.share(now + ms(1));
+        let message = known.share(now + ms(1));
         // The others send as much as this host.
-        if let Some(EndpointNews::Reports(news)) = &news {
+        if let Some(EndpointNews::Reports(message)) = &message {
             for _ in 1..hosts {
-                known.receive(now, news);
+                known.receive(now, message);
             }
         }
         cpu += began.elapsed();
-        bytes += news.map_or(0, |n| envelope_len(n) * (hosts - 1));
+        bytes += message.map_or(0, |n| envelope_len(n) * (hosts - 1));
     }
     let seconds = (reports::SHARE_INTERVAL * SHARES).as_secs_f64();
     println!(
@@ -82,10 +82,10 @@
 }
 
 /// The bytes of a call with `news` alone; with a heartbeat it would share the call's overhead.
-fn envelope_len(news: EndpointNews) -> usize {
+fn envelope_len(message: EndpointNews) -> usize {
     let envelope = Envelope {
         from: host(0, 1),
-        messages: vec![Message::Membership(membership::Message::Endpoints(news))],
+        messages: vec![Message::Membership(membership::Message::Endpoints(message))],
     };
     encoded_len(&envelope) + tables::call_overhead()
 }
--- a/crates/membership/benches/tables/entries.rs
+++ b/crates/membership/benches/tables/entries.rs
@@ -31,7 +31,7 @@
         let catalogue = fleet.nodes[0].spread.catalogue();
         let bytes: usize = catalogue.entries().map(encoded_len).sum();
         let newest = catalogue.revision();
-        fleet.store.away = true;
+        fleet.store.unavailable = true;
         let started = fleet.now;
         let began = Instant::now();
         fleet.restart(5);
@@ -41,8 +41,8 @@
         let took = fleet.now - started;
         println!(
             "| {entries} | {:.0} | {:.0} | {bytes} | {} | {:.1} |",
-            costs.sent,
-            costs.cpu / 1000.0,
+            costs.mean_bytes,
+            costs.mean_cpu_ns / 1000.0,
             took.as_millis(),
             began.elapsed().as_secs_f64() * 1000.0
         );
--- a/crates/membership/benches/tables/hosts.rs
+++ b/crates/membership/benches/tables/hosts.rs
@@ -36,10 +36,10 @@
         let reads = fleet.polls as f64 / 40.0;
         println!(
             "| {dcs} | {hosts} | {:.0} | {:.0} | {:.1} | {:.0} | {resident} | {reads:.0} |",
-            costs.sent,
-            costs.most,
-            costs.calls,
-            costs.cpu / 1000.0
+            costs.mean_bytes,
+            costs.max_bytes,
+            costs.mean_calls,
+            costs.mean_cpu_ns / 1000.0
         );
     }
 }
--- a/crates/membership/benches/tables/latency.rs
+++ b/crates/membership/benches/tables/latency.rs
@@ -102,7 +102,7 @@
         // Off the rhythm of the polls.
         fleet.run(accepted + SPACING + ms(37));
         for revision in first..first + burst as u64 {
-            delays.push(everywhere(&fleet, revision) - accepted);
+            delays.push(in_force_everywhere(&fleet, revision) - accepted);
         }
         if let Some(killed) = killed {
             fleet.restart(killed);
@@ -132,7 +132,7 @@
 }
 
 /// When `revision` or a newer one was in force on the last host that is up.
-fn everywhere(fleet: &Fleet, revision: u64) -> Duration {
+fn in_force_everywhere(fleet: &Fleet, revision: u64) -> Duration {
     let up = fleet.nodes.iter().filter(|n| n.up);
     let reached = up.map(|node| {
         let at = node.in_force.iter().find(|(_, r)| r.0 >= revision);
--- a/crates/membership/benches/tables/mod.rs
+++ b/crates/membership/benches/tables/mod.rs
@@ -54,13 +54,13 @@
 /// What control cost over a time.
 pub(crate) struct Costs {
     /// Of the mean host, sent.
-    pub(crate) sent: f64,
+    pub(crate) mean_bytes: f64,
     /// Of the host that sent most.
-    pub(crate) most: f64,
+    pub(crate) max_bytes: f64,
     /// Calls a second of the mean host.
-    pub(crate) calls: f64,
+    pub(crate) mean_calls: f64,
     /// Nanoseconds of CPU of the mean host for each second.
-    pub(crate) cpu: f64,
+    pub(crate) mean_cpu_ns: f64,
 }
 
 /// Runs `fleet` for `time` and says what it cost; `each` runs every second of it.
@@ -69,7 +69,7 @@
         node.sent = Cost::default();
     }
     let began = Instant::now();
-    fleet.count = false;
+    fleet.count_bytes = false;
     let before = fleet.now;
     for _ in 0..seconds {
         each(fleet);
@@ -78,12 +78,12 @@
     let cpu = began.elapsed();
     debug_assert_eq!(fleet.now, before + ms(1000) * seconds as u32);
     // Sizes are counted in a second run, as counting takes longer than deciding.
-    fleet.count = true;
+    fleet.count_bytes = true;
     for _ in 0..seconds {
         each(fleet);
         fleet.run_for(ms(1000));
     }
-    fleet.count = false;
+    fleet.count_bytes = false;
     let overhead = call_overhead() as u64;
     let up: Vec<&Cost> = fleet
         .nodes
@@ -94,10 +94,10 @@
     let bytes = |c: &&Cost| c.bytes + c.frames * overhead;
     let per = up.len() as f64 * seconds as f64;
     Costs {
-        sent: up.iter().map(bytes).sum::<u64>() as f64 / per,
-        most: up.iter().map(bytes).max().unwrap_or(0) as f64 / seconds as f64,
-        calls: up.iter().map(|c| c.frames).sum::<u64>() as f64 / per,
-        cpu: cpu.as_nanos() as f64 / per,
+        mean_bytes: up.iter().map(bytes).sum::<u64>() as f64 / per,
+        max_bytes: up.iter().map(bytes).max().unwrap_or(0) as f64 / seconds as f64,
+        mean_calls: up.iter().map(|c| c.frames).sum::<u64>() as f64 / per,
+        mean_cpu_ns: cpu.as_nanos() as f64 / per,
     }
 }
 
--- a/crates/membership/tests/endpoints.rs
+++ b/crates/membership/tests/endpoints.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_refusal_seen_by_one_host_is_told_to_all_others_at_once_and_twice_more() {
+fn an_observed_refusal_is_sent_to_all_others_at_once_and_twice_more() {
     let mut host = hosts(4).remove(0);
     let mut actions = Vec::new();
     host.observe_sign(ms(0), &sign(3, 30_000), &mut actions);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_later_life_of_an_endpoint_serves_and_a_late_sign_does_not_end_it() {
+fn a_later_incarnation_serves_and_a_late_sign_does_not_drain_it() {
     let mut host = hosts(2).remove(0);
     let mut actions = Vec::new();
     host.observe_sign(ms(0), &sign(3, 30_000), &mut actions);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_sign_ends_by_time_also_where_it_was_learned_late() {
+fn a_sign_expires_at_the_same_time_where_it_was_received_late() {
     let mut hosts = hosts(2);
     let mut actions = Vec::new();
     hosts[0].observe_sign(ms(0), &sign(0, 2_000), &mut actions);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn each_endpoint_is_asked_by_one_host_and_the_parts_are_even() {
+fn each_endpoint_is_polled_by_one_host_and_the_load_is_even() {
     let live: Vec<HostId> = (0..14).map(host_id).collect();
     let mut polled: BTreeMap<&HostId, usize> = BTreeMap::new();
     for n in 0..480 {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn when_a_host_dies_only_its_endpoints_are_asked_by_others() {
+fn when_a_host_dies_only_its_endpoints_move_to_other_hosts() {
     let live: Vec<HostId> = (0..14).map(host_id).collect();
     for n in 0..480 {
         let before = reports::polling_host(&endpoint(n), live.iter()).unwrap();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn an_unchanged_load_is_shared_only_now_and_then() {
+fn an_unchanged_load_is_shared_only_periodically() {
     let mut reports = LoadReports::default();
     let mut shared = 0;
     for round in 0..10 {
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -89,13 +89,13 @@
     pub platform_cut: BTreeSet<usize>,
     /// The fraction of messages lost, and of those doubled.
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     /// One-way delays of messages.
     pub delay: std::ops::Range<Duration>,
     /// How long the store takes to answer; it is read at the start.
     pub store_delay: Duration,
     /// Whether sizes are counted.
-    pub count: bool,
+    pub count_bytes: bool,
     pub polls: u64,
     queue: BTreeMap<(Duration, u64), Event>,
     seq: u64,
@@ -111,10 +111,10 @@
             cut: BTreeSet::new(),
             platform_cut: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: ms(1)..ms(5),
             store_delay: ms(5),
-            count: false,
+            count_bytes: false,
             polls: 0,
             queue: BTreeMap::new(),
             seq: 0,
@@ -186,12 +186,12 @@
         }
     }
 
-    pub fn leave(&mut self, n: usize) {
+    pub fn announce_shutdown(&mut self, n: usize) {
         let mut actions = Vec::new();
         self.nodes[n]
             .members
             .announce_shutdown(self.now, &mut actions);
-        self.act(n, actions, Vec::new());
+        self.execute(n, actions, Vec::new());
     }
 
     pub fn run(&mut self, until: Duration) {
@@ -223,18 +223,18 @@
     }
 
     /// Which host sees which other one, among those up, in another state than alive.
-    pub fn doubts(&self) -> Vec<(usize, usize)> {
-        let mut doubts = Vec::new();
+    pub fn disagreements(&self) -> Vec<(usize, usize)> {
+        let mut disagreements = Vec::new();
         for (a, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
             let alive = node.members.view().filter(|m| m.state == State::Alive);
             let alive: BTreeSet<HostRef> = alive.map(|m| m.host).collect();
             for (b, other) in self.nodes.iter().enumerate() {
                 if other.up != alive.contains(&host(b, other.incarnation)) {
-                    doubts.push((a, b));
+                    disagreements.push((a, b));
                 }
             }
         }
-        doubts
+        disagreements
     }
 
     fn push(&mut self, at: Duration, event: Event) {
@@ -280,7 +280,7 @@
         node.spread.tick(now, &mut from_spread);
         let next = node.members.next_tick().min(node.spread.next_tick());
         self.push(next.max(now + ms(1)), Event::Tick(n));
-        self.act(n, from_members, from_spread);
+        self.execute(n, from_members, from_spread);
     }
 
     fn deliver(&mut self, n: usize, envelope: Envelope) {
@@ -304,7 +304,7 @@
         if from_members.contains(&members::Action::Changed) {
             node.spread.update_view(now, node.members.view());
         }
-        self.act(n, from_members, from_spread);
+        self.execute(n, from_members, from_spread);
     }
 
     fn poll_answer(&mut self, n: usize, answer: Answer) {
@@ -313,16 +313,16 @@
         let spread = &mut self.nodes[n].spread;
         match answer {
             _ if cut => spread.receive_store_failure(now),
-            Answer::Away => spread.receive_store_failure(now),
+            Answer::Unavailable => spread.receive_store_failure(now),
             Answer::Head(head) => spread.receive_store_head(now, &head, &mut actions),
             Answer::Changes(changes) => {
                 spread.receive_store_read(now, StoreRead::Changes(changes), &mut actions);
             }
         }
-        self.act(n, Vec::new(), actions);
+        self.execute(n, Vec::new(), actions);
     }
 
-    fn act(&mut self, n: usize, members: Vec<members::Action>, spread: Vec<spread::Action>) {
+    fn execute(&mut self, n: usize, members: Vec<members::Action>, spread: Vec<spread::Action>) {
         let mut out: BTreeMap<SocketAddr, Vec<Message>> = BTreeMap::new();
         for action in members {
             if let members::Action::Send { addr, message, .. } = action {
@@ -362,7 +362,7 @@
             from: host(from, self.nodes[from].incarnation),
             messages,
         };
-        if self.count {
+        if self.count_bytes {
             let bytes = dragonflyrill_protocol::spread::encoded_len(&envelope) as u64;
             self.nodes[from].sent.add(bytes);
             self.nodes[to].received.add(bytes);
@@ -373,7 +373,8 @@
         if self.loss > 0.0 && self.rng.random_bool(self.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.doubled > 0.0 && self.rng.random_bool(self.doubled));
+        let copies =
+            1 + usize::from(self.duplication > 0.0 && self.rng.random_bool(self.duplication));
         for _ in 0..copies {
             let delay = self.rng.random_range(self.delay.clone());
             self.push(self.now + delay, Event::Deliver(to, envelope.clone()));
--- a/crates/membership/tests/fleet/store.rs
+++ b/crates/membership/tests/fleet/store.rs
@@ -5,7 +5,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    Away,
+    Unavailable,
     Head(Head),
     Changes(Vec<Change>),
 }
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Store {
     pub changes: Vec<Change>,
-    pub away: bool,
+    pub unavailable: bool,
     /// Part of the ids of changes, to tell those made after winding back.
     pub branch: u32,
 }
@@ -42,7 +42,7 @@
     }
 
     /// Restores an older copy; what is committed now is another change.
-    pub fn wind_back(&mut self, to: usize) {
+    pub fn roll_back(&mut self, to: usize) {
         self.changes.truncate(to);
         self.branch += 1;
     }
@@ -55,8 +55,8 @@
     }
 
     pub fn read(&self, after: Revision) -> Answer {
-        if self.away {
-            return Answer::Away;
+        if self.unavailable {
+            return Answer::Unavailable;
         }
         let newer: Vec<Change> = self
             .changes
--- a/crates/membership/tests/fleet_behaviour.rs
+++ b/crates/membership/tests/fleet_behaviour.rs
@@ -12,7 +12,7 @@
 fn settled(hosts: usize) -> Fleet {
     let mut fleet = Fleet::new(3, hosts, 7);
     fleet.run(ms(6_000));
-    assert_eq!(fleet.doubts(), []);
+    assert_eq!(fleet.disagreements(), []);
     fleet
 }
 
@@ -31,59 +31,59 @@
     let mut fleet = settled(12);
     fleet.kill(4);
     fleet.run_for(ms(2_000));
-    let sees = |fleet: &Fleet, n: usize| {
+    let state_seen = |fleet: &Fleet, n: usize| {
         let mut alive = fleet.nodes[n].members.view();
         alive.find(|m| m.host.id == host_id(4)).map(|m| m.state)
     };
     for n in [1, 7, 10] {
-        assert_ne!(sees(&fleet, n), Some(State::Alive));
+        assert_ne!(state_seen(&fleet, n), Some(State::Alive));
     }
     fleet.run_for(ms(4_000));
     for n in 0..12 {
-        assert!(n == 4 || sees(&fleet, n).is_none(), "seen by {n}");
+        assert!(n == 4 || state_seen(&fleet, n).is_none(), "seen by {n}");
     }
 }
 
 #[test]
-fn a_paused_host_is_suspected_and_comes_back_by_itself() {
+fn a_paused_host_is_suspected_and_recovers_by_itself() {
     for pause in [1_500, 4_000, 20_000] {
         let mut fleet = settled(12);
         fleet.nodes[4].paused_until = fleet.now + ms(pause);
         fleet.run_for(ms(pause - 100));
-        assert!(!fleet.doubts().is_empty());
+        assert!(!fleet.disagreements().is_empty());
         fleet.run_for(ms(5_000));
-        assert_eq!(fleet.doubts(), [], "after a pause of {pause} ms");
+        assert_eq!(fleet.disagreements(), [], "after a pause of {pause} ms");
     }
 }
 
 #[test]
-fn a_cut_data_centre_is_suspected_and_seen_again_after_the_cut() {
+fn an_unreachable_data_centre_is_suspected_until_it_is_reachable_again() {
     let mut fleet = settled(12);
     fleet.cut.extend([(0, 1), (1, 2)]);
     fleet.run_for(ms(4_500));
-    let doubts = fleet.doubts();
+    let disagreements = fleet.disagreements();
     assert!(
         (0..12)
             .filter(|n| n % 3 != 1)
-            .all(|n| doubts.contains(&(n, 1)))
+            .all(|n| disagreements.contains(&(n, 1)))
     );
     fleet.cut.clear();
     fleet.run_for(ms(4_000));
-    assert_eq!(fleet.doubts(), []);
+    assert_eq!(fleet.disagreements(), []);
 }
 
 #[test]
-fn a_restarted_host_replaces_its_former_life_everywhere() {
+fn a_restarted_host_replaces_its_former_incarnation_everywhere() {
     let mut fleet = settled(12);
     fleet.restart(5);
     fleet.run_for(ms(4_000));
-    assert_eq!(fleet.doubts(), []);
+    assert_eq!(fleet.disagreements(), []);
 }
 
 #[test]
-fn a_host_that_leaves_is_gone_at_once_from_the_view_of_all() {
+fn a_host_that_shuts_down_is_removed_from_all_views_at_once() {
     let mut fleet = settled(12);
-    fleet.leave(3);
+    fleet.announce_shutdown(3);
     fleet.run_for(ms(200));
     for n in (0..12).filter(|n| *n != 3) {
         let mut alive = fleet.nodes[n].members.view();
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn a_host_missing_from_the_list_is_alive_when_it_is_heard() {
+fn an_unlisted_host_is_alive_if_it_sends_messages() {
     let mut fleet = settled(12);
     for n in 0..12 {
         fleet.nodes[n].members.update_list(fleet.now, &[]);
     }
     fleet.run_for(ms(10_000));
-    assert_eq!(fleet.doubts(), []);
+    assert_eq!(fleet.disagreements(), []);
 }
 
 #[test]
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn lost_messages_are_made_good_by_digests() {
+fn digests_repair_the_loss_of_messages() {
     let mut fleet = settled(12);
     fleet.loss = 0.5;
     fleet.store.commit();
@@ -128,13 +128,13 @@
 }
 
 #[test]
-fn a_host_that_starts_with_the_platform_away_gets_the_catalogue_from_others() {
+fn a_host_that_starts_without_the_platform_gets_the_catalogue_from_others() {
     let mut fleet = settled(12);
     for _ in 0..1500 {
         fleet.store.commit();
     }
     fleet.run_for(ms(2_000));
-    fleet.store.away = true;
+    fleet.store.unavailable = true;
     fleet.restart(2);
     fleet.run_for(ms(2_000));
     assert_eq!(revisions(&fleet), [1500; 12]);
@@ -143,42 +143,42 @@
 }
 
 #[test]
-fn a_store_that_went_back_raises_an_alarm_and_is_not_followed() {
+fn a_rolled_back_store_raises_an_alarm_and_is_not_followed() {
     let mut fleet = settled(12);
     for _ in 0..5 {
         fleet.store.commit();
     }
     fleet.run_for(ms(1_000));
-    fleet.store.wind_back(3);
+    fleet.store.roll_back(3);
     fleet.run_for(ms(2_000));
-    let older = |n: &fleet::Node| {
+    let reports_older = |n: &fleet::Node| {
         let wanted = Alarm::StoreOlder {
             in_force: Revision(5),
             found: Revision(3),
         };
         n.alarms.contains(&wanted)
     };
-    assert!(fleet.nodes.iter().any(older));
+    assert!(fleet.nodes.iter().any(reports_older));
     for _ in 0..4 {
         fleet.store.commit();
     }
     fleet.run_for(ms(2_000));
-    let forked = |n: &fleet::Node| {
+    let reports_forked = |n: &fleet::Node| {
         let in_force = Revision(5);
         n.alarms.contains(&Alarm::StoreForked { in_force })
     };
-    assert!(fleet.nodes.iter().any(forked));
+    assert!(fleet.nodes.iter().any(reports_forked));
     assert_eq!(revisions(&fleet), [5; 12]);
 }
 
 #[test]
-fn a_host_that_starts_after_the_store_went_back_follows_its_peers() {
+fn a_host_that_starts_after_the_store_was_rolled_back_follows_its_peers() {
     let mut fleet = settled(12);
     for _ in 0..5 {
         fleet.store.commit();
     }
     fleet.run_for(ms(1_000));
-    fleet.store.wind_back(3);
+    fleet.store.roll_back(3);
     fleet.store.commit();
     fleet.restart(6);
     fleet.run_for(ms(4_000));
--- a/crates/membership/tests/incomplete.rs
+++ b/crates/membership/tests/incomplete.rs
@@ -39,10 +39,10 @@
     };
     receive(part(5, 0));
     assert_eq!(receive(part(6, 1)).revision(), Revision(0));
-    let whole = receive(part(6, 0));
-    assert_eq!(whole.revision(), Revision(6));
+    let complete = receive(part(6, 0));
+    assert_eq!(complete.revision(), Revision(6));
     let of_6 = |e: &Entry| matches!(e, Entry::Workspace(w) if w.weight == 6);
-    assert!(whole.entries().all(of_6));
+    assert!(complete.entries().all(of_6));
 }
 
 #[test]
--- a/crates/membership/tests/random_schedules.rs
+++ b/crates/membership/tests/random_schedules.rs
@@ -14,8 +14,8 @@
     Cut(usize, usize),
     PlatformCut(usize),
     Heal,
-    StoreAway(bool),
-    WindBack,
+    StoreUnavailable(bool),
+    RollBack,
     Loss(u8),
 }
 
@@ -30,16 +30,16 @@
         1 => (0..3_usize, 0..3_usize).prop_map(|(a, b)| Fault::Cut(a.min(b), a.max(b))),
         1 => (0..3_usize).prop_map(Fault::PlatformCut),
         1 => Just(Fault::Heal),
-        1 => any::<bool>().prop_map(Fault::StoreAway),
-        1 => Just(Fault::WindBack),
+        1 => any::<bool>().prop_map(Fault::StoreUnavailable),
+        1 => Just(Fault::RollBack),
         1 => (0..60_u8).prop_map(Fault::Loss),
     ]
 }
 
-fn apply(fleet: &mut Fleet, fault: &Fault, wound_back: &mut bool) {
+fn apply(fleet: &mut Fleet, fault: &Fault, rolled_back: &mut bool) {
     match *fault {
         // A store that was wound back takes no changes until it was brought forward again.
-        Fault::Commit if *wound_back => {}
+        Fault::Commit if *rolled_back => {}
         Fault::Commit => drop(fleet.store.commit()),
         Fault::Kill(n) => fleet.kill(n),
         Fault::Restart(n) => fleet.restart(n),
@@ -47,15 +47,15 @@
         Fault::Cut(a, b) => drop(fleet.cut.insert((a, b))),
         Fault::PlatformCut(dc) => drop(fleet.platform_cut.insert(dc)),
         Fault::Heal => heal(fleet),
-        Fault::StoreAway(away) => fleet.store.away = away,
-        Fault::WindBack => {
+        Fault::StoreUnavailable(unavailable) => fleet.store.unavailable = unavailable,
+        Fault::RollBack => {
             let kept = fleet.store.changes.len() / 2;
-            fleet.store.wind_back(kept);
-            *wound_back = true;
+            fleet.store.roll_back(kept);
+            *rolled_back = true;
         }
         Fault::Loss(percent) => {
             fleet.loss = f64::from(percent) / 100.0;
-            fleet.doubled = 0.2;
+            fleet.duplication = 0.2;
         }
     }
 }
@@ -63,11 +63,11 @@
 fn heal(fleet: &mut Fleet) {
     fleet.cut.clear();
     fleet.platform_cut.clear();
-    fleet.store.away = false;
+    fleet.store.unavailable = false;
     fleet.loss = 0.0;
 }
 
-fn never_went_back(fleet: &Fleet) -> bool {
+fn revisions_only_increase(fleet: &Fleet) -> bool {
     let forward = |n: &fleet::Node| n.in_force.windows(2).all(|w| w[0].1 < w[1].1);
     fleet.nodes.iter().all(forward)
 }
@@ -81,23 +81,23 @@
     })]
 
     #[test]
-    fn after_any_faults_the_catalogue_is_the_same_everywhere_and_all_see_each_other(
+    fn after_any_faults_all_hosts_agree_on_the_catalogue_and_the_members(
         seed: u64,
         faults in prop::collection::vec((fault(), 0_u64..3_000), 1..24),
     ) {
         let mut fleet = Fleet::new(3, HOSTS, seed);
         fleet.run(ms(3_000));
-        let mut wound_back = false;
+        let mut rolled_back = false;
         for (fault, wait) in &faults {
-            apply(&mut fleet, fault, &mut wound_back);
+            apply(&mut fleet, fault, &mut rolled_back);
             fleet.run_for(ms(*wait));
-            prop_assert!(never_went_back(&fleet));
+            prop_assert!(revisions_only_increase(&fleet));
         }
         heal(&mut fleet);
         let longest_pause = ms(8_000);
         fleet.run_for(longest_pause + ms(8_000));
-        prop_assert!(never_went_back(&fleet));
-        prop_assert_eq!(fleet.doubts(), vec![]);
+        prop_assert!(revisions_only_increase(&fleet));
+        prop_assert_eq!(fleet.disagreements(), vec![]);
         let newest = fleet.newest().max(fleet.store.head().revision);
         let up: Vec<_> = fleet.nodes.iter().filter(|n| n.up).collect();
         for node in &up {
--- a/crates/membership/tests/restoration.rs
+++ b/crates/membership/tests/restoration.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn host_that_saw_an_older_store_takes_the_restoration() {
+fn host_that_saw_an_older_store_applies_the_restoration() {
     let mut spread = host_at_revision_5();
     let mut actions = Vec::new();
     spread.receive_store_head(NOW, &head(3, "c3"), &mut actions);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn host_that_saw_a_forked_store_takes_the_restoration() {
+fn host_that_saw_a_forked_store_applies_the_restoration() {
     let mut spread = host_at_revision_5();
     let mut actions = Vec::new();
     spread.receive_store_head(NOW, &head(5, "other"), &mut actions);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn older_restoration_is_not_taken() {
+fn older_restoration_is_not_applied() {
     let mut spread = host_at_revision_5();
     spread.receive_store_head(NOW, &head(3, "c3"), &mut Vec::new());
     spread.receive_store_read(NOW, restored(4), &mut Vec::new());
--- a/crates/membership/tests/search_members.rs
+++ b/crates/membership/tests/search_members.rs
@@ -22,7 +22,7 @@
 /// Longer than a heartbeat interval with its jitter.
 const ROUND: Duration = Duration::from_millis(600);
 /// Rounds after which everything must have healed. A dead host is tried again each 8 heartbeats.
-const QUIET_ROUNDS: usize = 14;
+const HEALING_ROUNDS: usize = 14;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Step {
@@ -39,7 +39,7 @@
     /// All messages of this host in this round are lost.
     Lose(usize),
     /// All messages of this round arrive twice, in the opposite order.
-    DoubleReversed,
+    DuplicateReversed,
 }
 
 #[derive(Debug, Clone)]
@@ -55,19 +55,19 @@
     incarnation: u64,
     paused: bool,
     cut: bool,
-    waiting: Vec<Sent>,
+    queued: Vec<Sent>,
     /// The life of each host as last seen from here.
-    lives: [u64; HOSTS],
+    incarnations: [u64; HOSTS],
 }
 
 #[derive(Clone)]
 struct World {
     now: Duration,
     nodes: Vec<Node>,
-    places: [usize; HOSTS],
-    trail: Vec<Step>,
+    data_centres: [usize; HOSTS],
+    history: Vec<Step>,
     faults: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
     fingerprint: u128,
 }
 
@@ -85,10 +85,10 @@
     }
 }
 
-fn members(n: usize, incarnation: u64, places: &[usize; HOSTS]) -> Members {
+fn members(n: usize, incarnation: u64, data_centres: &[usize; HOSTS]) -> Members {
     let mut members = Members::new(Config {
         me: host(n, incarnation),
-        data_centre: data_centre(places[n]),
+        data_centre: data_centre(data_centres[n]),
         addr: addr(n),
         seed: n as u64,
         intervals: Intervals::default(),
@@ -97,7 +97,7 @@
         .map(|n| ListedPeer {
             id: host_id(n),
             addr: addr(n),
-            data_centre: data_centre(places[n]),
+            data_centre: data_centre(data_centres[n]),
             shutting_down: false,
         })
         .collect();
@@ -106,29 +106,29 @@
 }
 
 impl World {
-    fn new(places: [usize; HOSTS], faults: u8) -> Self {
+    fn new(data_centres: [usize; HOSTS], faults: u8) -> Self {
         let nodes = (0..HOSTS).map(|n| Node {
-            members: members(n, 1, &places),
+            members: members(n, 1, &data_centres),
             incarnation: 1,
             paused: false,
             cut: false,
-            waiting: Vec::new(),
-            lives: [0; HOSTS],
+            queued: Vec::new(),
+            incarnations: [0; HOSTS],
         });
         let mut world = Self {
             now: ms(0),
             nodes: nodes.collect(),
-            places,
-            trail: Vec::new(),
+            data_centres,
+            history: Vec::new(),
             faults,
-            broken: None,
+            violation: None,
             fingerprint: 0,
         };
         for _ in 0..4 {
             world.round(None, false);
         }
         assert!(
-            world.doubts().is_none(),
+            world.first_disagreement().is_none(),
             "the hosts see each other at first"
         );
         world
@@ -155,14 +155,14 @@
             steps.push(Step::Restart(n));
         }
         if self.faults > 0 {
-            steps.push(Step::DoubleReversed);
+            steps.push(Step::DuplicateReversed);
         }
         steps
     }
 
     fn after(&self, step: Step) -> Self {
         let mut world = self.clone();
-        world.trail.push(step);
+        world.history.push(step);
         let fault = !matches!(step, Step::Round | Step::Resume(_) | Step::Heal(_));
         world.faults -= u8::from(fault);
         match step {
@@ -173,24 +173,24 @@
             Step::Restart(n) => {
                 let node = &mut world.nodes[n];
                 node.incarnation += 1;
-                node.members = members(n, node.incarnation, &world.places);
+                node.members = members(n, node.incarnation, &world.data_centres);
                 node.paused = false;
-                node.waiting.clear();
-                node.lives = [0; HOSTS];
+                node.queued.clear();
+                node.incarnations = [0; HOSTS];
             }
-            Step::Round | Step::Lose(_) | Step::DoubleReversed => {}
+            Step::Round | Step::Lose(_) | Step::DuplicateReversed => {}
         }
         let lost = match step {
             Step::Lose(n) => Some(n),
             _ => None,
         };
-        world.round(lost, matches!(step, Step::DoubleReversed));
+        world.round(lost, matches!(step, Step::DuplicateReversed));
         let text = format!("{:?} {:?} {}", world.now, world.nodes, world.faults);
         world.fingerprint = xxhash_rust::xxh3::xxh3_128(text.as_bytes());
         world
     }
 
-    fn round(&mut self, lost: Option<usize>, doubled_reversed: bool) {
+    fn round(&mut self, lost: Option<usize>, duplicate_reversed: bool) {
         self.now += ROUND;
         let mut net: Vec<Sent> = Vec::new();
         for n in 0..HOSTS {
@@ -200,13 +200,13 @@
             }
             let mut actions = Vec::new();
             node.members.tick(self.now, &mut actions);
-            self.act(n, actions, &mut net);
+            self.execute(n, actions, &mut net);
         }
         // What waited comes last: messages of an earlier life may arrive after those of a later.
         for node in self.nodes.iter_mut().filter(|n| !n.paused) {
-            net.append(&mut node.waiting);
+            net.append(&mut node.queued);
         }
-        if doubled_reversed {
+        if duplicate_reversed {
             let copy = net.clone();
             net.extend(copy);
             net.reverse();
@@ -220,7 +220,7 @@
                     continue;
                 }
                 if self.nodes[sent.to].paused {
-                    self.nodes[sent.to].waiting.push(sent);
+                    self.nodes[sent.to].queued.push(sent);
                     continue;
                 }
                 self.deliver(sent, &mut net);
@@ -229,7 +229,7 @@
                 return;
             }
         }
-        self.broken = Some("messages go round without end");
+        self.violation = Some("messages go round without end");
     }
 
     fn deliver(&mut self, sent: Sent, net: &mut Vec<Sent>) {
@@ -237,7 +237,7 @@
         let node = &mut self.nodes[sent.to];
         node.members
             .receive(self.now, &sent.from, sent.message, &mut actions);
-        self.act(sent.to, actions, net);
+        self.execute(sent.to, actions, net);
     }
 
     /// A life must not be replaced by an earlier one.
@@ -245,17 +245,17 @@
         let node = &mut self.nodes[n];
         for member in node.members.view() {
             let other = (0..HOSTS).find(|b| host_id(*b) == member.host.id);
-            let Some(known) = other.map(|b| &mut node.lives[b]) else {
+            let Some(known) = other.map(|b| &mut node.incarnations[b]) else {
                 continue;
             };
             if member.host.incarnation < *known {
-                self.broken = Some("an earlier life replaced a later one");
+                self.violation = Some("an earlier life replaced a later one");
             }
             *known = member.host.incarnation;
         }
     }
 
-    fn act(&mut self, n: usize, actions: Vec<Action>, net: &mut Vec<Sent>) {
+    fn execute(&mut self, n: usize, actions: Vec<Action>, net: &mut Vec<Sent>) {
         self.check(n);
         let from = host(n, self.nodes[n].incarnation);
         for action in actions {
@@ -270,13 +270,13 @@
     }
 
     /// Two hosts of which the first does not see the other, in its present life, alive.
-    fn doubts(&self) -> Option<(usize, usize)> {
+    fn first_disagreement(&self) -> Option<(usize, usize)> {
         for (a, node) in self.nodes.iter().enumerate() {
             let alive = node.members.view().filter(|m| m.state == State::Alive);
             let alive: BTreeSet<HostRef> = alive.map(|m| m.host).collect();
-            let doubted =
+            let disagreement =
                 (0..HOSTS).find(|b| !alive.contains(&host(*b, self.nodes[*b].incarnation)));
-            if let Some(b) = doubted {
+            if let Some(b) = disagreement {
                 return Some((a, b));
             }
         }
@@ -284,40 +284,41 @@
     }
 
     /// What is wrong, in this state or after it has healed.
-    fn broken(&self) -> Option<&'static str> {
-        if self.broken.is_some() {
-            return self.broken;
+    fn violation(&self) -> Option<&'static str> {
+        if self.violation.is_some() {
+            return self.violation;
         }
         let mut healed = self.clone();
         for node in &mut healed.nodes {
             node.paused = false;
             node.cut = false;
         }
-        for _ in 0..QUIET_ROUNDS {
+        for _ in 0..HEALING_ROUNDS {
             healed.round(None, false);
-            if healed.doubts().is_none() {
+            if healed.first_disagreement().is_none() {
                 // It must stay so.
                 healed.round(None, false);
                 healed.round(None, false);
                 break;
             }
         }
-        if healed.broken.is_some() {
-            return healed.broken;
+        if healed.violation.is_some() {
+            return healed.violation;
         }
-        let doubts = healed.doubts();
-        doubts.map(|_| "a live host that can be reached is not seen alive after healing")
+        let first_disagreement = healed.first_disagreement();
+        first_disagreement
+            .map(|_| "a live host that can be reached is not seen alive after healing")
     }
 }
 
-fn search(name: &str, places: [usize; HOSTS], faults: u8, depth: usize) {
+fn search(name: &str, data_centres: [usize; HOSTS], faults: u8, depth: usize) {
     let states = Cell::new(0_u64);
-    let start = World::new(places, faults);
+    let start = World::new(data_centres, faults);
     let found = bfs(
         &start,
         |world| {
             states.set(states.get() + 1);
-            let steps = if world.trail.len() < depth {
+            let steps = if world.history.len() < depth {
                 world.steps()
             } else {
                 Vec::new()
@@ -325,7 +326,7 @@
             let next: Vec<World> = steps.into_iter().map(|s| world.after(s)).collect();
             next
         },
-        |world| world.broken().is_some(),
+        |world| world.violation().is_some(),
     );
     println!(
         "{name}: {} states expanded, depth {depth}, {faults} faults",
@@ -335,30 +336,30 @@
         let end = path.last().unwrap();
         panic!(
             "{name}: {} after {} steps: {:?}",
-            end.broken().unwrap(),
+            end.violation().unwrap(),
             path.len() - 1,
-            end.trail
+            end.history
         );
     }
 }
 
 /// Builds without optimization search less.
-const DEEP: bool = !cfg!(debug_assertions);
+const OPTIMIZED: bool = !cfg!(debug_assertions);
 
 #[test]
-fn three_hosts_of_one_data_centre_see_each_other_after_any_faults() {
-    let (faults, depth) = if DEEP { (3, 9) } else { (2, 7) };
+fn three_hosts_of_one_data_centre_agree_after_any_faults() {
+    let (faults, depth) = if OPTIMIZED { (3, 9) } else { (2, 7) };
     search("one data centre", [0, 0, 0], faults, depth);
 }
 
 #[test]
-fn three_data_centres_of_one_host_see_each_other_after_any_faults() {
-    let (faults, depth) = if DEEP { (3, 9) } else { (2, 7) };
+fn three_data_centres_of_one_host_agree_after_any_faults() {
+    let (faults, depth) = if OPTIMIZED { (3, 9) } else { (2, 7) };
     search("three data centres", [0, 1, 2], faults, depth);
 }
 
 #[test]
-fn two_hosts_and_one_elsewhere_see_each_other_after_any_faults() {
-    let (faults, depth) = if DEEP { (3, 9) } else { (2, 7) };
+fn two_hosts_and_one_elsewhere_agree_after_any_faults() {
+    let (faults, depth) = if OPTIMIZED { (3, 9) } else { (2, 7) };
     search("two data centres", [0, 0, 1], faults, depth);
 }
--- a/crates/membership/tests/search_spread/main.rs
+++ b/crates/membership/tests/search_spread/main.rs
@@ -10,11 +10,11 @@
 use dragonflyrill_membership::spread::Budget;
 use pathfinding::prelude::bfs;
 
-use world::{Faults, HOSTS, Setting, World};
+use world::{Faults, HOSTS, Scenario, World};
 
-fn search(name: &str, setting: &Setting, faults: Faults, depth: u8) {
+fn search(name: &str, scenario: &Scenario, faults: Faults, depth: u8) {
     let states = Cell::new(0_u64);
-    let start = World::new(setting, faults);
+    let start = World::new(scenario, faults);
     let found = bfs(
         &start,
         |world| {
@@ -27,16 +27,16 @@
             let next: Vec<World> = steps.into_iter().map(|s| world.after(s)).collect();
             next
         },
-        |world| world.broken().is_some(),
+        |world| world.violation().is_some(),
     );
     println!("{name}: {} states expanded, depth {depth}", states.get());
     if let Some(path) = found {
         let end = path.last().unwrap();
         panic!(
             "{name}: {} after {} steps: {:?}",
-            end.broken().unwrap(),
+            end.violation().unwrap(),
             path.len() - 1,
-            end.trail
+            end.history
         );
     }
 }
@@ -53,77 +53,77 @@
 const FAULTS: Faults = Faults {
     commits: 2,
     losses: 1,
-    doubles: 1,
+    duplicates: 1,
     cuts: 1,
     restarts: 1,
-    wind_backs: 0,
+    roll_backs: 0,
     rounds: 2,
 };
 
-fn single_messages(places: [usize; HOSTS]) -> Setting {
-    Setting {
-        places,
+fn single_messages(data_centres: [usize; HOSTS]) -> Scenario {
+    Scenario {
+        data_centres,
         budget: Budget::default(),
-        whole_rounds: false,
+        full_rounds: false,
     }
 }
 
-fn whole_rounds(places: [usize; HOSTS]) -> Setting {
-    Setting {
-        whole_rounds: true,
-        ..single_messages(places)
+fn full_rounds(data_centres: [usize; HOSTS]) -> Scenario {
+    Scenario {
+        full_rounds: true,
+        ..single_messages(data_centres)
     }
 }
 
 /// Every entry is sent in a part of its own, and no change alone.
-fn in_parts(places: [usize; HOSTS]) -> Setting {
-    Setting {
+fn in_parts(data_centres: [usize; HOSTS]) -> Scenario {
+    Scenario {
         budget: Budget {
             max_push_bytes: 0,
             max_log_changes: 1,
             target_part_bytes: 6,
             ..Budget::default()
         },
-        ..whole_rounds(places)
+        ..full_rounds(data_centres)
     }
 }
 
 #[test]
 fn single_messages_in_any_order_among_three_data_centres() {
-    let setting = single_messages([0, 1, 2]);
-    search("single messages", &setting, FAULTS, depth(6, 4));
+    let scenario = single_messages([0, 1, 2]);
+    search("single messages", &scenario, FAULTS, depth(6, 4));
 }
 
 #[test]
-fn whole_rounds_among_three_data_centres() {
+fn full_rounds_among_three_data_centres() {
     let faults = Faults {
         losses: 2,
         ..FAULTS
     };
     search(
         "three data centres",
-        &whole_rounds([0, 1, 2]),
+        &full_rounds([0, 1, 2]),
         faults,
         depth(6, 4),
     );
 }
 
 #[test]
-fn whole_rounds_with_two_hosts_of_one_data_centre() {
+fn full_rounds_with_two_hosts_of_one_data_centre() {
     let faults = Faults {
         losses: 2,
         ..FAULTS
     };
     search(
         "two data centres",
-        &whole_rounds([0, 0, 1]),
+        &full_rounds([0, 0, 1]),
         faults,
         depth(6, 4),
     );
 }
 
 #[test]
-fn catalogues_in_parts_are_never_mixed_or_taken_when_older() {
+fn catalogues_in_parts_are_never_mixed_or_replaced_by_older_ones() {
     let faults = Faults {
         losses: 2,
         cuts: 0,
@@ -133,14 +133,14 @@
 }
 
 #[test]
-fn no_host_follows_a_store_that_went_back() {
+fn no_host_follows_a_rolled_back_store() {
     let faults = Faults {
         commits: 3,
         losses: 1,
         cuts: 0,
         restarts: 0,
-        wind_backs: 1,
+        roll_backs: 1,
         ..FAULTS
     };
-    search("older store", &whole_rounds([0, 1, 2]), faults, depth(9, 6));
+    search("older store", &full_rounds([0, 1, 2]), faults, depth(9, 6));
 }
--- a/crates/membership/tests/search_spread/world.rs
+++ b/crates/membership/tests/search_spread/world.rs
@@ -27,10 +27,10 @@
 
 /// What is searched.
 #[derive(Debug, Clone)]
-pub(crate) struct Setting {
-    pub(crate) places: [usize; HOSTS],
+pub(crate) struct Scenario {
+    pub(crate) data_centres: [usize; HOSTS],
     pub(crate) budget: Budget,
-    pub(crate) whole_rounds: bool,
+    pub(crate) full_rounds: bool,
 }
 
 /// How often each fault may come.
@@ -38,10 +38,10 @@
 pub(crate) struct Faults {
     pub(crate) commits: u8,
     pub(crate) losses: u8,
-    pub(crate) doubles: u8,
+    pub(crate) duplicates: u8,
     pub(crate) cuts: u8,
     pub(crate) restarts: u8,
-    pub(crate) wind_backs: u8,
+    pub(crate) roll_backs: u8,
     pub(crate) rounds: u8,
 }
 
@@ -67,12 +67,12 @@
     net: Vec<Sent>,
     polls: Vec<(usize, u64, Answer)>,
     /// Messages and answers held back for a later round.
-    held: Vec<Sent>,
-    held_polls: Vec<(usize, u64, Answer)>,
+    delayed: Vec<Sent>,
+    delayed_polls: Vec<(usize, u64, Answer)>,
     /// Whether steps are whole rounds and not single messages.
-    whole_rounds: bool,
+    full_rounds: bool,
     /// The data centre of each host.
-    places: [usize; HOSTS],
+    data_centres: [usize; HOSTS],
     store: Store,
     /// Every catalogue that was ever accepted.
     accepted: Vec<Catalogue>,
@@ -80,9 +80,9 @@
     platform_cut: BTreeSet<usize>,
     faults: Faults,
     budget: Budget,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
     pub(crate) depth: u8,
-    pub(crate) trail: Vec<Step>,
+    pub(crate) history: Vec<Step>,
     fingerprint: u128,
 }
 
@@ -100,17 +100,17 @@
     }
 }
 
-fn spread(n: usize, incarnation: u64, places: &[usize; HOSTS], budget: &Budget) -> Spread {
+fn spread(n: usize, incarnation: u64, data_centres: &[usize; HOSTS], budget: &Budget) -> Spread {
     let mut spread = Spread::new(Config {
         me: host(n, incarnation),
-        data_centre: data_centre(places[n]),
+        data_centre: data_centre(data_centres[n]),
         seed: n as u64,
         budget: budget.clone(),
     });
     let members = (0..HOSTS).map(|n| Member {
         host: host(n, 1),
         addr: addr(n),
-        data_centre: data_centre(places[n]),
+        data_centre: data_centre(data_centres[n]),
         state: State::Alive,
     });
     spread.update_view(ms(0), members);
@@ -118,10 +118,10 @@
 }
 
 impl World {
-    pub(crate) fn new(setting: &Setting, faults: Faults) -> Self {
-        let budget = setting.budget.clone();
+    pub(crate) fn new(scenario: &Scenario, faults: Faults) -> Self {
+        let budget = scenario.budget.clone();
         let nodes = (0..HOSTS).map(|n| Node {
-            spread: spread(n, 1, &setting.places, &budget),
+            spread: spread(n, 1, &scenario.data_centres, &budget),
             incarnation: 1,
             newest: Revision::default(),
         });
@@ -130,38 +130,38 @@
             nodes: nodes.collect(),
             net: Vec::new(),
             polls: Vec::new(),
-            held: Vec::new(),
-            held_polls: Vec::new(),
-            whole_rounds: setting.whole_rounds,
-            places: setting.places,
+            delayed: Vec::new(),
+            delayed_polls: Vec::new(),
+            full_rounds: scenario.full_rounds,
+            data_centres: scenario.data_centres,
             store: Store::default(),
             accepted: vec![Catalogue::default()],
             cut: BTreeSet::new(),
             platform_cut: BTreeSet::new(),
             faults,
             budget,
-            broken: None,
+            violation: None,
             depth: 0,
-            trail: Vec::new(),
+            history: Vec::new(),
             fingerprint: 0,
         };
         // Two changes are in force everywhere.
-        world.take(Step::Commit);
-        world.take(Step::Commit);
+        world.perform(Step::Commit);
+        world.perform(Step::Commit);
         world.settle(6);
-        world.note();
+        world.update_fingerprint();
         world
     }
 
-    fn note(&mut self) {
+    fn update_fingerprint(&mut self) {
         let net: BTreeSet<String> = self.net.iter().map(|s| format!("{s:?}")).collect();
         let text = format!(
             "{:?} {:?} {net:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?}",
             self.now,
             self.nodes,
             self.polls,
-            self.held,
-            self.held_polls,
+            self.delayed,
+            self.delayed_polls,
             self.store,
             self.cut,
             self.platform_cut,
@@ -169,35 +169,35 @@
         );
         self.fingerprint = xxhash_rust::xxh3::xxh3_128(text.as_bytes());
     }
-    fn take(&mut self, step: Step) {
+    fn perform(&mut self, step: Step) {
         match step {
             Step::Commit => {
                 let mut newest = self.store_catalogue();
                 // Two entries that are replaced by turns, so that all revisions have as many.
-                let turn = self.store.changes.len() % 2;
-                self.store.commit_entry(["a", "b"][turn]);
+                let parity = self.store.changes.len() % 2;
+                self.store.commit_entry(["a", "b"][parity]);
                 if let Some(change) = self.store.changes.last() {
                     newest.fold(change);
                 }
                 self.accepted.push(newest);
             }
-            Step::WindBack => self.store.wind_back(1),
+            Step::RollBack => self.store.roll_back(1),
             Step::Cut(n) => drop(self.cut.insert(n)),
             Step::CutPlatform(n) => drop(self.platform_cut.insert(n)),
             Step::Restart(n) => {
                 let node = &mut self.nodes[n];
                 node.incarnation += 1;
-                node.spread = spread(n, node.incarnation, &self.places, &self.budget);
+                node.spread = spread(n, node.incarnation, &self.data_centres, &self.budget);
                 node.newest = Revision::default();
                 self.polls.retain(|p| p.0 != n);
-                self.held_polls.retain(|p| p.0 != n);
+                self.delayed_polls.retain(|p| p.0 != n);
             }
             Step::Deliver(i) => {
                 let sent = self.net.remove(i);
                 self.deliver(sent);
             }
             Step::Lose(i) => drop(self.net.remove(i)),
-            Step::Double(i) => {
+            Step::Duplicate(i) => {
                 let sent = self.net[i].clone();
                 self.deliver(sent);
             }
@@ -206,7 +206,7 @@
                 self.answer(n, answer);
             }
             Step::Round => self.round(),
-            Step::Whole(delivery) => self.whole_round(delivery),
+            Step::FullRound(delivery) => self.run_full_round(delivery),
             Step::HealCut(n) => drop(self.cut.remove(&n)),
         }
     }
@@ -224,7 +224,7 @@
         for n in 0..HOSTS {
             let mut actions = Vec::new();
             self.nodes[n].spread.tick(self.now, &mut actions);
-            self.act(n, actions);
+            self.execute(n, actions);
         }
     }
 
@@ -232,7 +232,7 @@
         let mut actions = Vec::new();
         let spread = &mut self.nodes[sent.to].spread;
         spread.receive(self.now, &sent.from, sent.message, &mut actions);
-        self.act(sent.to, actions);
+        self.execute(sent.to, actions);
     }
 
     fn answer(&mut self, n: usize, answer: Answer) {
@@ -241,16 +241,16 @@
         let spread = &mut self.nodes[n].spread;
         match answer {
             _ if cut => spread.receive_store_failure(now),
-            Answer::Away => spread.receive_store_failure(now),
+            Answer::Unavailable => spread.receive_store_failure(now),
             Answer::Head(head) => spread.receive_store_head(now, &head, &mut actions),
             Answer::Changes(c) => {
                 spread.receive_store_read(now, StoreRead::Changes(c), &mut actions)
             }
         }
-        self.act(n, actions);
+        self.execute(n, actions);
     }
 
-    fn act(&mut self, n: usize, actions: Vec<Action>) {
+    fn execute(&mut self, n: usize, actions: Vec<Action>) {
         let incarnation = self.nodes[n].incarnation;
         for action in actions {
             match action {
@@ -277,10 +277,10 @@
         let catalogue = node.spread.catalogue();
         let revision = catalogue.revision();
         if revision < node.newest {
-            self.broken = Some("the revision went back");
+            self.violation = Some("the revision went back");
         }
         if !self.accepted.contains(catalogue) {
-            self.broken = Some("a catalogue is in force that was never accepted");
+            self.violation = Some("a catalogue is in force that was never accepted");
         }
         node.newest = revision;
     }
@@ -292,13 +292,13 @@
         let store = std::mem::replace(
             &mut self.store,
             Store {
-                away: true,
+                unavailable: true,
                 ..Store::default()
             },
         );
         for _ in 0..rounds {
             self.round();
-            self.drain();
+            self.deliver_all();
         }
         self.store = store;
     }
@@ -309,12 +309,12 @@
         self.platform_cut.clear();
         for _ in 0..rounds {
             self.round();
-            self.drain();
+            self.deliver_all();
         }
     }
 
     /// Delivers everything that is under way, in order.
-    fn drain(&mut self) {
+    fn deliver_all(&mut self) {
         for _ in 0..400 {
             if !self.net.is_empty() {
                 let sent = self.net.remove(0);
@@ -326,13 +326,13 @@
                 return;
             }
         }
-        self.broken = Some("messages go round without end");
+        self.violation = Some("messages go round without end");
     }
 
     /// What is wrong, in this state or after it has healed.
-    pub(crate) fn broken(&self) -> Option<&'static str> {
-        if self.broken.is_some() {
-            return self.broken;
+    pub(crate) fn violation(&self) -> Option<&'static str> {
+        if self.violation.is_some() {
+            return self.violation;
         }
         // Two branches of the order of changes can't be reconciled without an operator.
         let mut by_revision: BTreeMap<Revision, &Catalogue> = BTreeMap::new();
@@ -350,8 +350,8 @@
         }
         let newest = newest.max(self.store.head().revision);
         healed.settle(6);
-        if healed.broken.is_some() {
-            return healed.broken;
+        if healed.violation.is_some() {
+            return healed.violation;
         }
         // An answer that was under way may bring a revision that the store has lost since.
         let reached = healed.nodes[0].newest;
--- a/crates/membership/tests/search_spread/world/steps.rs
+++ b/crates/membership/tests/search_spread/world/steps.rs
@@ -6,17 +6,17 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Step {
     Commit,
-    WindBack,
+    RollBack,
     Cut(usize),
     CutPlatform(usize),
     Restart(usize),
     Deliver(usize),
     Lose(usize),
-    Double(usize),
+    Duplicate(usize),
     Answer(usize),
     Round,
     /// A round in which all is delivered but as said.
-    Whole(Delivery),
+    FullRound(Delivery),
     HealCut(usize),
 }
 
@@ -25,15 +25,15 @@
 pub(crate) enum Delivery {
     All,
     /// Newest first, and each twice.
-    DoubledReversed,
+    DuplicatedReversed,
     /// What this host sends or is sent is lost.
     Losing(usize),
     /// Every second message is lost, from the first or the second on.
     LosingHalf(usize),
     /// What this host is sent comes after the messages of the next rounds.
-    Holding(usize),
+    Delaying(usize),
     /// Answers of the platform come after the next round.
-    HoldingAnswers,
+    DelayingAnswers,
 }
 
 impl World {
@@ -47,11 +47,11 @@
         };
         when(f.commits > 0, Step::Commit);
         when(
-            f.wind_backs > 0 && self.store.changes.len() > 1,
-            Step::WindBack,
+            f.roll_backs > 0 && self.store.changes.len() > 1,
+            Step::RollBack,
         );
-        if self.whole_rounds {
-            return self.whole_steps();
+        if self.full_rounds {
+            return self.full_round_steps();
         }
         when(f.rounds > 0, Step::Round);
         for n in 0..HOSTS {
@@ -63,7 +63,7 @@
         for i in 0..self.net.len() {
             when(true, Step::Deliver(i));
             when(f.losses > 0, Step::Lose(i));
-            when(f.doubles > 0, Step::Double(i));
+            when(f.duplicates > 0, Step::Duplicate(i));
         }
         for i in 0..self.polls.len() {
             when(true, Step::Answer(i));
@@ -71,21 +71,21 @@
         steps
     }
 
-    fn whole_steps(&self) -> Vec<Step> {
+    fn full_round_steps(&self) -> Vec<Step> {
         let f = &self.faults;
-        let mut steps = vec![Step::Whole(Delivery::All)];
+        let mut steps = vec![Step::FullRound(Delivery::All)];
         if f.commits > 0 {
             steps.push(Step::Commit);
         }
-        if f.wind_backs > 0 {
-            steps.push(Step::WindBack);
+        if f.roll_backs > 0 {
+            steps.push(Step::RollBack);
         }
         if f.losses > 0 {
-            let hosts = (0..HOSTS).flat_map(|n| [Delivery::Losing(n), Delivery::Holding(n)]);
+            let hosts = (0..HOSTS).flat_map(|n| [Delivery::Losing(n), Delivery::Delaying(n)]);
             let halves = [0, 1].map(Delivery::LosingHalf);
-            let others = [Delivery::DoubledReversed, Delivery::HoldingAnswers];
+            let others = [Delivery::DuplicatedReversed, Delivery::DelayingAnswers];
             let all = hosts.chain(halves).chain(others);
-            steps.extend(all.map(Step::Whole));
+            steps.extend(all.map(Step::FullRound));
         }
         for n in 0..HOSTS {
             if self.cut.contains(&n) {
@@ -103,25 +103,25 @@
         steps
     }
 
-    pub(super) fn whole_round(&mut self, delivery: Delivery) {
-        let held = std::mem::take(&mut self.held);
+    pub(super) fn run_full_round(&mut self, delivery: Delivery) {
+        let delayed = std::mem::take(&mut self.delayed);
         self.round();
-        if matches!(delivery, Delivery::HoldingAnswers) {
-            self.held_polls.append(&mut self.polls);
+        if matches!(delivery, Delivery::DelayingAnswers) {
+            self.delayed_polls.append(&mut self.polls);
         } else {
-            let polls = std::mem::take(&mut self.held_polls);
+            let polls = std::mem::take(&mut self.delayed_polls);
             self.polls.extend(polls);
         }
-        for turn in 0..12 {
+        for pass in 0..12 {
             let polls = std::mem::take(&mut self.polls);
             for (n, _, answer) in polls {
                 self.answer(n, answer);
             }
             let mut net = std::mem::take(&mut self.net);
-            if net.is_empty() && turn > 0 {
+            if net.is_empty() && pass > 0 {
                 break;
             }
-            if matches!(delivery, Delivery::DoubledReversed) {
+            if matches!(delivery, Delivery::DuplicatedReversed) {
                 net.extend(net.clone());
                 net.reverse();
             }
@@ -130,12 +130,12 @@
                 match delivery {
                     Delivery::Losing(n) if sent.to == n || from == Some(n) => {}
                     Delivery::LosingHalf(odd) if i % 2 == odd => {}
-                    Delivery::Holding(n) if sent.to == n => self.held.push(sent),
+                    Delivery::Delaying(n) if sent.to == n => self.delayed.push(sent),
                     _ => self.deliver(sent),
                 }
             }
         }
-        for sent in held {
+        for sent in delayed {
             self.deliver(sent);
         }
     }
@@ -143,22 +143,22 @@
     pub(crate) fn after(&self, step: Step) -> Self {
         let mut world = self.clone();
         world.depth += 1;
-        world.trail.push(step);
+        world.history.push(step);
         let f = &mut world.faults;
         match step {
             Step::Commit => f.commits -= 1,
-            Step::WindBack => f.wind_backs -= 1,
+            Step::RollBack => f.roll_backs -= 1,
             Step::Cut(_) | Step::CutPlatform(_) => f.cuts -= 1,
             Step::Restart(_) => f.restarts -= 1,
             Step::Lose(_) => f.losses -= 1,
-            Step::Double(_) => f.doubles -= 1,
+            Step::Duplicate(_) => f.duplicates -= 1,
             Step::Round => f.rounds -= 1,
-            Step::Whole(Delivery::All) => {}
-            Step::Whole(_) => f.losses -= 1,
+            Step::FullRound(Delivery::All) => {}
+            Step::FullRound(_) => f.losses -= 1,
             Step::Deliver(_) | Step::Answer(_) | Step::HealCut(_) => {}
         }
-        world.take(step);
-        world.note();
+        world.perform(step);
+        world.update_fingerprint();
         world
     }
 }
