--- a/crates/membership/benches/spread.rs
+++ b/crates/membership/benches/spread.rs
@@ -1,9 +1,10 @@
-//! How fast a change reaches every host, and what control costs a host, on a virtual clock.
+//! Latency with which a change reaches every host, and the cost of control per host, on a virtual
+//! clock.
 //!
 //! `cargo bench -p dragonflyrill-membership --bench spread` prints all tables;
 //! with an argument, `latency`, `latency-360`, `hosts`, `entries` or `endpoints`, only that one.
-//! Delays of messages are seeded and taken evenly from 0.2 to 2 ms. CPU is this process's wall
-//! time inside the state machines, so on a busy machine it is an upper bound.
+//! Message delays are seeded and uniform between 0.2 and 2 ms. CPU is the wall time of this process
+//! inside the state machines, so on a busy machine it is an upper bound.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
--- a/crates/membership/benches/tables/endpoints.rs
+++ b/crates/membership/benches/tables/endpoints.rs
@@ -1,4 +1,4 @@
-//! Load reports and signs against the number of endpoints.
+//! Cost of load reports and signs against the number of endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -62,7 +62,7 @@
             known.record_polled(e, load);
         }
         let message = known.share(now + ms(1));
-        // The others send as much as this host.
+        // The other hosts send as much as this one.
         if let Some(EndpointNews::Reports(message)) = &message {
             for _ in 1..hosts {
                 known.receive(now, message);
@@ -81,7 +81,8 @@
     );
 }
 
-/// The bytes of a call with `news` alone; with a heartbeat it would share the call's overhead.
+/// The bytes of a call that carries only `message`; sent with a heartbeat, it would share the
+/// call's overhead.
 fn envelope_len(message: EndpointNews) -> usize {
     let envelope = Envelope {
         from: host(0, 1),
--- a/crates/membership/benches/tables/entries.rs
+++ b/crates/membership/benches/tables/entries.rs
@@ -1,4 +1,4 @@
-//! Control of a host against the number of catalogue entries.
+//! Cost of control per host against the number of catalogue entries.
 
 use std::time::Instant;
 
--- a/crates/membership/benches/tables/hosts.rs
+++ b/crates/membership/benches/tables/hosts.rs
@@ -1,4 +1,4 @@
-//! Control of a host against the number of hosts.
+//! Cost of control per host against the number of hosts.
 
 use crate::{fleet::ms, tables};
 
--- a/crates/membership/benches/tables/latency.rs
+++ b/crates/membership/benches/tables/latency.rs
@@ -1,4 +1,4 @@
-//! From a change being accepted to its being in force on every host.
+//! Time from the acceptance of a change until it is in force on every host.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const SPACING: Duration = ms(4_000);
 
-/// A fault under which changes are made.
+/// The fault during which changes are made.
 #[derive(Clone, Copy)]
 enum Fault {
     None,
@@ -19,12 +19,13 @@
     Loss,
 }
 
-/// Of 8 hosts in 3 data centres.
+/// Prints the table for 8 hosts in 3 data centres.
 pub(crate) fn print_small() {
     print(3, 8, 200);
 }
 
-/// Of 360 hosts in 25 data centres. Fewer steady changes, as each takes 4 s of 360 hosts.
+/// Prints the table for 360 hosts in 25 data centres. It makes fewer single changes, as each
+/// simulates 4 s of 360 hosts.
 pub(crate) fn print_large() {
     print(25, 360, 50);
 }
@@ -67,15 +68,16 @@
     }
 }
 
-/// How changes come.
+/// The changes of one run.
 #[derive(Clone, Copy)]
 struct Load {
     changes: usize,
-    /// How many at once.
+    /// How many changes are made at once.
     burst: usize,
 }
 
-/// The delays of all changes, sorted, and how often a revision went back.
+/// Makes the changes under the fault. Returns the delays of all changes, sorted, and the number of
+/// times that a revision decreased on a host.
 fn run(dcs: usize, hosts: usize, fault: Fault, load: Load) -> Outcome {
     let burst = load.burst;
     let mut fleet = tables::fleet(dcs, hosts);
@@ -99,7 +101,7 @@
             fleet.run(accepted + ms(100));
             fleet.kill(killed);
         }
-        // Off the rhythm of the polls.
+        // Shifted against the interval of the polls, so that changes don't stay in phase with them.
         fleet.run(accepted + SPACING + ms(37));
         for revision in first..first + burst as u64 {
             delays.push(in_force_everywhere(&fleet, revision) - accepted);
@@ -121,7 +123,7 @@
     reverts: usize,
 }
 
-/// A host that asks the platform, in a data centre chosen by `n`.
+/// A host that polls the platform, in a data centre selected by `n`.
 fn poller(fleet: &Fleet, n: usize) -> usize {
     let dcs = fleet.nodes.iter().map(|n| n.data_centre).max().unwrap_or(0) + 1;
     let polls = |(_, node): &(usize, &crate::fleet::Node)| {
@@ -131,7 +133,8 @@
     nodes.find(polls).map_or(0, |(i, _)| i)
 }
 
-/// When `revision` or a newer one was in force on the last host that is up.
+/// When `revision` or a newer one had come into force on all hosts that are up; half of
+/// [`Duration::MAX`] if it never did.
 fn in_force_everywhere(fleet: &Fleet, revision: u64) -> Duration {
     let up = fleet.nodes.iter().filter(|n| n.up);
     let reached = up.map(|node| {
--- a/crates/membership/benches/tables/mod.rs
+++ b/crates/membership/benches/tables/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::fleet::{Cost, Fleet, addr, data_centre, host, ms};
 
-/// A fleet as the bench runs it.
+/// A fleet with the message delays of the bench.
 pub(crate) fn fleet(data_centres: usize, hosts: usize) -> Fleet {
     let mut fleet = Fleet::new(data_centres, hosts, 1);
     fleet.delay = Duration::from_micros(200)..ms(2);
@@ -31,8 +31,8 @@
     }
 }
 
-/// The bytes of one call beside its envelope: tarpc's request and response, and the length before
-/// each. TCP and IP headers are not in it.
+/// The bytes of one call besides its envelope: tarpc's request and response, and the length prefix
+/// of each. TCP and IP headers are not included.
 pub(crate) fn call_overhead() -> usize {
     let empty = Envelope {
         from: host(0, 1),
@@ -51,19 +51,19 @@
     encoded_len(&request) - bare + encoded_len(&response) + 2 * 4
 }
 
-/// What control cost over a time.
+/// The cost of control over a period.
 pub(crate) struct Costs {
-    /// Of the mean host, sent.
+    /// Bytes sent per second, mean over the hosts.
     pub(crate) mean_bytes: f64,
-    /// Of the host that sent most.
+    /// Bytes sent per second by the host that sent most.
     pub(crate) max_bytes: f64,
-    /// Calls a second of the mean host.
+    /// Calls per second, mean over the hosts.
     pub(crate) mean_calls: f64,
-    /// Nanoseconds of CPU of the mean host for each second.
+    /// Nanoseconds of CPU per second, mean over the hosts.
     pub(crate) mean_cpu_ns: f64,
 }
 
-/// Runs `fleet` for `time` and says what it cost; `each` runs every second of it.
+/// Runs `fleet` for twice `seconds` and returns its cost; `each` runs before every second.
 pub(crate) fn costs(fleet: &mut Fleet, seconds: u64, mut each: impl FnMut(&mut Fleet)) -> Costs {
     for node in &mut fleet.nodes {
         node.sent = Cost::default();
@@ -77,7 +77,8 @@
     }
     let cpu = began.elapsed();
     debug_assert_eq!(fleet.now, before + ms(1000) * seconds as u32);
-    // Sizes are counted in a second run, as counting takes longer than deciding.
+    // Sizes are counted in a second run, as counting takes longer than the decisions whose CPU is
+    // measured.
     fleet.count_bytes = true;
     for _ in 0..seconds {
         each(fleet);
@@ -101,7 +102,7 @@
     }
 }
 
-/// Resident bytes of this process.
+/// Resident set size of this process in bytes.
 pub(crate) fn resident() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: Option<u64> = statm.split(' ').nth(1).and_then(|p| p.parse().ok());
--- a/crates/membership/tests/endpoints.rs
+++ b/crates/membership/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Signs and load reports of endpoints among the hosts of one data centre.
+//! Exchange of endpoint signs and load reports among the hosts of one data centre.
 
 mod fleet;
 
@@ -73,7 +73,7 @@
     }
     actions.clear();
     host.observe_sign(ms(1100), &sign(3, 30_000), &mut actions);
-    assert_eq!(actions, [], "nothing new to tell");
+    assert_eq!(actions, [], "nothing new to send");
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let mut hosts = hosts(4);
     let mut actions = Vec::new();
     hosts[0].observe_sign(ms(0), &sign(3, 30_000), &mut actions);
-    // The first two rounds are lost to all.
+    // The first two of the three sends are lost for all receivers.
     hosts[0].tick(ms(400), &mut actions);
     actions.clear();
     hosts[0].tick(ms(1000), &mut actions);
@@ -144,7 +144,7 @@
     }
     assert_eq!(polled.len(), 14);
     let max_polled = polled.values().max().unwrap();
-    assert!(*max_polled <= 60, "one host asks {max_polled}");
+    assert!(*max_polled <= 60, "one host polls {max_polled}");
 }
 
 #[test]
@@ -168,7 +168,7 @@
     };
     polling.record_polled(&endpoint(1), load(5, ms(1_000)));
     let Some(EndpointNews::Reports(message)) = polling.share(ms(1_500)) else {
-        panic!("news is due");
+        panic!("a share is due");
     };
     other.record_polled(&endpoint(1), load(9, ms(1_200)));
     other.receive(ms(1_500), &message);
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Many hosts in one process on a virtual clock, with a small stand-in for the platform's store.
+//! Many hosts in one process on a virtual clock, with a minimal stand-in for the platform's store.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 pub mod store;
@@ -51,7 +51,7 @@
     pub up: bool,
     pub paused_until: Duration,
     pub alarms: Vec<Alarm>,
-    /// Every revision that came into force in this life, and when.
+    /// Every revision that came into force in this incarnation, and when.
     pub in_force: Vec<(Duration, Revision)>,
     pub sent: Cost,
     pub received: Cost,
@@ -83,18 +83,18 @@
     pub nodes: Vec<Node>,
     pub store: Store,
     pub rng: Pcg32,
-    /// Pairs of data centres cut from each other, the lower number first.
+    /// Pairs of data centres that cannot reach each other, the lower number first.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Data centres cut from the platform.
+    /// Data centres that cannot reach the platform.
     pub platform_cut: BTreeSet<usize>,
-    /// The fraction of messages lost, and of those doubled.
+    /// The probability that a message is lost, and that one that is not lost is duplicated.
     pub loss: f64,
     pub duplication: f64,
-    /// One-way delays of messages.
+    /// The range of one-way message delays.
     pub delay: std::ops::Range<Duration>,
-    /// How long the store takes to answer; it is read at the start.
+    /// The time after which the answer of the store arrives; the store is read at its start.
     pub store_delay: Duration,
-    /// Whether sizes are counted.
+    /// Whether sent and received bytes are counted.
     pub count_bytes: bool,
     pub polls: u64,
     queue: BTreeMap<(Duration, u64), Event>,
@@ -172,7 +172,7 @@
         self.nodes[n].up = false;
     }
 
-    /// Starts a host anew under its name, with nothing kept.
+    /// Restarts a host under the same name with the next incarnation and no state.
     pub fn restart(&mut self, n: usize) {
         let old = &self.nodes[n];
         let (dc, incarnation, was_up) = (old.data_centre, old.incarnation + 1, old.up);
@@ -222,7 +222,8 @@
         revisions.max().unwrap_or_default()
     }
 
-    /// Which host sees which other one, among those up, in another state than alive.
+    /// Pairs of a host that is up and another host that it wrongly sees: as not alive though up, or
+    /// as alive though down.
     pub fn disagreements(&self) -> Vec<(usize, usize)> {
         let mut disagreements = Vec::new();
         for (a, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
@@ -252,7 +253,7 @@
             return;
         }
         if node.paused_until > self.now {
-            // A paused host works through what waited when it goes on.
+            // A paused host handles the events of the pause when it resumes.
             let at = node.paused_until;
             self.push(at, event);
             return;
--- a/crates/membership/tests/fleet/store.rs
+++ b/crates/membership/tests/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The catalogue in a store that can be away or wound back.
+//! A store of the catalogue that can be unavailable or rolled back.
 
 use dragonflyrill_catalogue::{Change, Entry, Revision, entry::WorkspaceEntry};
 use dragonflyrill_store::catalogue_store::Head;
@@ -14,7 +14,7 @@
 pub struct Store {
     pub changes: Vec<Change>,
     pub unavailable: bool,
-    /// Part of the ids of changes, to tell those made after winding back.
+    /// Part of the change ids, to distinguish the changes made after a rollback.
     pub branch: u32,
 }
 
@@ -41,7 +41,7 @@
         Revision(n)
     }
 
-    /// Restores an older copy; what is committed now is another change.
+    /// Restores an older copy. Changes committed from then on differ from those that it lost.
     pub fn roll_back(&mut self, to: usize) {
         self.changes.truncate(to);
         self.branch += 1;
--- a/crates/membership/tests/fleet_behaviour.rs
+++ b/crates/membership/tests/fleet_behaviour.rs
@@ -1,4 +1,4 @@
-//! What a fleet does under faults, on a virtual clock.
+//! Convergence of a fleet under faults, on a virtual clock.
 
 mod fleet;
 
@@ -8,7 +8,7 @@
 
 use fleet::{Fleet, host_id, ms};
 
-/// A fleet of 3 data centres that has settled.
+/// A fleet of 3 data centres that has converged.
 fn settled(hosts: usize) -> Fleet {
     let mut fleet = Fleet::new(3, hosts, 7);
     fleet.run(ms(6_000));
--- a/crates/membership/tests/incomplete.rs
+++ b/crates/membership/tests/incomplete.rs
@@ -1,4 +1,5 @@
-//! What a host does with a part of what it lacks.
+//! A host that receives only some parts of a catalogue, or changes after a gap, must not bring them
+//! into force.
 
 mod fleet;
 
--- a/crates/membership/tests/random_schedules.rs
+++ b/crates/membership/tests/random_schedules.rs
@@ -1,4 +1,5 @@
-//! Random faults on a fleet: the catalogue never goes back, and everything heals.
+//! Under random faults of a fleet, no host's catalogue revision decreases, and all hosts agree once
+//! the faults have ended.
 
 mod fleet;
 
@@ -38,7 +39,7 @@
 
 fn apply(fleet: &mut Fleet, fault: &Fault, rolled_back: &mut bool) {
     match *fault {
-        // A store that was wound back takes no changes until it was brought forward again.
+        // A store that was rolled back accepts no changes until it is brought forward again.
         Fault::Commit if *rolled_back => {}
         Fault::Commit => drop(fleet.store.commit()),
         Fault::Kill(n) => fleet.kill(n),
--- a/crates/membership/tests/restoration.rs
+++ b/crates/membership/tests/restoration.rs
@@ -1,4 +1,5 @@
-//! After an alarm about the store, a restoration brings it forward again.
+//! A host that found the store older or forked raises an alarm and ignores the store. It must apply
+//! the newer catalogue with which an operator restores the store, and no older one.
 
 use std::time::Duration;
 
--- a/crates/membership/tests/search_members.rs
+++ b/crates/membership/tests/search_members.rs
@@ -1,5 +1,6 @@
-//! An exhaustive search of the membership among 3 hosts: in each round of heartbeats any host may
-//! be paused, cut, restarted, or have its messages lost, doubled or reordered, up to a depth.
+//! An exhaustive search of the membership protocol among 3 hosts up to a depth: in each round of
+//! heartbeats, any host may be paused, cut off or restarted, or have its messages lost, and all
+//! messages may be duplicated and reordered.
 
 mod fleet;
 
@@ -21,24 +22,25 @@
 const HOSTS: usize = 3;
 /// Longer than a heartbeat interval with its jitter.
 const ROUND: Duration = Duration::from_millis(600);
-/// Rounds after which everything must have healed. A dead host is tried again each 8 heartbeats.
+/// Rounds after which all hosts must agree again. A dead host is sent a heartbeat every 8 heartbeat
+/// rounds.
 const HEALING_ROUNDS: usize = 14;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Step {
     /// A round without a new fault.
     Round,
-    /// A host stops running; it goes on, with what waited for it, by `Resume`.
+    /// A host stops running. `Resume` resumes it, with the messages that were queued for it.
     Pause(usize),
     Resume(usize),
-    /// A host hears no other and is not heard.
+    /// A host neither sends nor receives messages.
     Cut(usize),
     Heal(usize),
-    /// The host starts anew with the next incarnation.
+    /// The host restarts with the next incarnation.
     Restart(usize),
     /// All messages of this host in this round are lost.
     Lose(usize),
-    /// All messages of this round arrive twice, in the opposite order.
+    /// All messages of this round arrive twice, in reverse order.
     DuplicateReversed,
 }
 
@@ -56,7 +58,7 @@
     paused: bool,
     cut: bool,
     queued: Vec<Sent>,
-    /// The life of each host as last seen from here.
+    /// The incarnation of each host as last seen by this one.
     incarnations: [u64; HOSTS],
 }
 
@@ -129,7 +131,7 @@
         }
         assert!(
             world.first_disagreement().is_none(),
-            "the hosts see each other at first"
+            "the hosts agree at the start"
         );
         world
     }
@@ -202,7 +204,8 @@
             node.members.tick(self.now, &mut actions);
             self.execute(n, actions, &mut net);
         }
-        // What waited comes last: messages of an earlier life may arrive after those of a later.
+        // Queued messages are delivered last: messages of an earlier incarnation may arrive after
+        // those of a later one.
         for node in self.nodes.iter_mut().filter(|n| !n.paused) {
             net.append(&mut node.queued);
         }
@@ -211,7 +214,7 @@
             net.extend(copy);
             net.reverse();
         }
-        // Answers to answers come in the same round; they must end.
+        // Answers to messages are delivered in the same round; the exchange must end.
         for _ in 0..20 {
             for sent in std::mem::take(&mut net) {
                 let from = (0..HOSTS).find(|n| host_id(*n) == sent.from.id);
@@ -229,7 +232,7 @@
                 return;
             }
         }
-        self.violation = Some("messages go round without end");
+        self.violation = Some("messages circulate without end");
     }
 
     fn deliver(&mut self, sent: Sent, net: &mut Vec<Sent>) {
@@ -240,7 +243,7 @@
         self.execute(sent.to, actions, net);
     }
 
-    /// A life must not be replaced by an earlier one.
+    /// Reports a violation if this host replaced an incarnation of a host by an earlier one.
     fn check(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         for member in node.members.view() {
@@ -249,7 +252,7 @@
                 continue;
             };
             if member.host.incarnation < *known {
-                self.violation = Some("an earlier life replaced a later one");
+                self.violation = Some("an earlier incarnation replaced a later one");
             }
             *known = member.host.incarnation;
         }
@@ -269,7 +272,8 @@
         }
     }
 
-    /// Two hosts of which the first does not see the other, in its present life, alive.
+    /// The first pair of hosts of which the first does not see the current incarnation of the
+    /// second as alive.
     fn first_disagreement(&self) -> Option<(usize, usize)> {
         for (a, node) in self.nodes.iter().enumerate() {
             let alive = node.members.view().filter(|m| m.state == State::Alive);
@@ -283,7 +287,7 @@
         None
     }
 
-    /// What is wrong, in this state or after it has healed.
+    /// The violation in this state, or in the state after all faults have ended.
     fn violation(&self) -> Option<&'static str> {
         if self.violation.is_some() {
             return self.violation;
@@ -296,7 +300,7 @@
         for _ in 0..HEALING_ROUNDS {
             healed.round(None, false);
             if healed.first_disagreement().is_none() {
-                // It must stay so.
+                // The agreement must last.
                 healed.round(None, false);
                 healed.round(None, false);
                 break;
@@ -307,7 +311,7 @@
         }
         let first_disagreement = healed.first_disagreement();
         first_disagreement
-            .map(|_| "a live host that can be reached is not seen alive after healing")
+            .map(|_| "a reachable host is not seen as alive after all faults have ended")
     }
 }
 
@@ -343,7 +347,7 @@
     }
 }
 
-/// Builds without optimization search less.
+/// Unoptimized builds search with fewer faults and steps.
 const OPTIMIZED: bool = !cfg!(debug_assertions);
 
 #[test]
--- a/crates/membership/tests/search_spread/main.rs
+++ b/crates/membership/tests/search_spread/main.rs
@@ -1,5 +1,6 @@
-//! An exhaustive search of the spread among 3 hosts in 3 data centres: all orders of deliveries,
-//! losses, doubled messages, cuts, restarts and a store that goes back, up to a depth.
+//! An exhaustive search of the spread of the catalogue among 3 hosts in up to 3 data centres: all
+//! orders of deliveries, losses, duplicated messages, cuts, restarts and rollbacks of the store, up
+//! to a depth.
 
 #[path = "../fleet/mod.rs"]
 mod fleet;
@@ -41,7 +42,7 @@
     }
 }
 
-/// Builds without optimization search less deep.
+/// The search depth; unoptimized builds search less deep.
 const fn depth(optimized: u8, otherwise: u8) -> u8 {
     if cfg!(debug_assertions) {
         otherwise
@@ -75,7 +76,7 @@
     }
 }
 
-/// Every entry is sent in a part of its own, and no change alone.
+/// Every entry is sent as a separate part, and no change is sent by itself.
 fn in_parts(data_centres: [usize; HOSTS]) -> Scenario {
     Scenario {
         budget: Budget {
--- a/crates/membership/tests/search_spread/world.rs
+++ b/crates/membership/tests/search_spread/world.rs
@@ -1,4 +1,4 @@
-//! Three hosts, the messages between them, and the store.
+//! The state of the search: three hosts, the messages between them, and the store.
 
 mod steps;
 
@@ -25,7 +25,7 @@
 /// Longer than any interval of the spread with its jitter.
 const ROUND: Duration = Duration::from_millis(600);
 
-/// What is searched.
+/// The configuration of a search.
 #[derive(Debug, Clone)]
 pub(crate) struct Scenario {
     pub(crate) data_centres: [usize; HOSTS],
@@ -33,7 +33,7 @@
     pub(crate) full_rounds: bool,
 }
 
-/// How often each fault may come.
+/// How many more times each fault may occur.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct Faults {
     pub(crate) commits: u8,
@@ -56,7 +56,7 @@
 pub(crate) struct Node {
     spread: Spread,
     incarnation: u64,
-    /// The newest revision in force in this life.
+    /// The newest revision in force in this incarnation.
     newest: Revision,
 }
 
@@ -66,15 +66,15 @@
     pub(crate) nodes: Vec<Node>,
     net: Vec<Sent>,
     polls: Vec<(usize, u64, Answer)>,
-    /// Messages and answers held back for a later round.
+    /// Messages and answers that are delayed until after a later round.
     delayed: Vec<Sent>,
     delayed_polls: Vec<(usize, u64, Answer)>,
-    /// Whether steps are whole rounds and not single messages.
+    /// Whether steps are full rounds instead of single messages.
     full_rounds: bool,
     /// The data centre of each host.
     data_centres: [usize; HOSTS],
     store: Store,
-    /// Every catalogue that was ever accepted.
+    /// Every catalogue that was accepted.
     accepted: Vec<Catalogue>,
     cut: BTreeSet<usize>,
     platform_cut: BTreeSet<usize>,
@@ -145,7 +145,7 @@
             history: Vec::new(),
             fingerprint: 0,
         };
-        // Two changes are in force everywhere.
+        // Two changes are in force everywhere at the start.
         world.perform(Step::Commit);
         world.perform(Step::Commit);
         world.settle(6);
@@ -173,7 +173,8 @@
         match step {
             Step::Commit => {
                 let mut newest = self.store_catalogue();
-                // Two entries that are replaced by turns, so that all revisions have as many.
+                // The entries are replaced alternately, so that all later revisions have the same
+                // number of entries.
                 let parity = self.store.changes.len() % 2;
                 self.store.commit_entry(["a", "b"][parity]);
                 if let Some(change) = self.store.changes.last() {
@@ -256,7 +257,7 @@
             match action {
                 Action::Send { addr, message, .. } => {
                     let to = usize::from(addr.port()) - 1000;
-                    // A data centre that is cut hears no other.
+                    // A data centre that is cut off exchanges no messages with others.
                     if !self.cut.contains(&to) && !self.cut.contains(&n) {
                         let from = host(n, incarnation);
                         self.net.push(Sent { to, from, message });
@@ -277,15 +278,15 @@
         let catalogue = node.spread.catalogue();
         let revision = catalogue.revision();
         if revision < node.newest {
-            self.violation = Some("the revision went back");
+            self.violation = Some("the revision decreased");
         }
         if !self.accepted.contains(catalogue) {
-            self.violation = Some("a catalogue is in force that was never accepted");
+            self.violation = Some("a catalogue is in force that the store never accepted");
         }
         node.newest = revision;
     }
 
-    /// Delivers everything for some rounds, with the platform away.
+    /// Delivers all messages for some rounds while the platform is unavailable.
     fn settle_without_platform(&mut self, rounds: usize) {
         self.cut.clear();
         self.polls.clear();
@@ -303,7 +304,7 @@
         self.store = store;
     }
 
-    /// Delivers everything for some rounds without faults.
+    /// Delivers all messages and answers for some rounds without faults.
     fn settle(&mut self, rounds: usize) {
         self.cut.clear();
         self.platform_cut.clear();
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Delivers everything that is under way, in order.
+    /// Delivers all pending messages and answers, in order.
     fn deliver_all(&mut self) {
         for _ in 0..400 {
             if !self.net.is_empty() {
@@ -326,15 +327,15 @@
                 return;
             }
         }
-        self.violation = Some("messages go round without end");
+        self.violation = Some("messages circulate without end");
     }
 
-    /// What is wrong, in this state or after it has healed.
+    /// The violation in this state, or in the state after all faults have ended.
     pub(crate) fn violation(&self) -> Option<&'static str> {
         if self.violation.is_some() {
             return self.violation;
         }
-        // Two branches of the order of changes can't be reconciled without an operator.
+        // Two branches of the order of changes cannot be reconciled without an operator.
         let mut by_revision: BTreeMap<Revision, &Catalogue> = BTreeMap::new();
         for catalogue in &self.accepted {
             let other = by_revision.insert(catalogue.revision(), catalogue);
@@ -346,16 +347,16 @@
         let newest = self.nodes.iter().map(|n| n.newest).max()?;
         healed.settle_without_platform(6);
         if healed.nodes.iter().any(|n| n.newest < newest) {
-            return Some("hosts don't agree on the newest revision with the platform away");
+            return Some("hosts don't agree on the newest revision without the platform");
         }
         let newest = newest.max(self.store.head().revision);
         healed.settle(6);
         if healed.violation.is_some() {
             return healed.violation;
         }
-        // An answer that was under way may bring a revision that the store has lost since.
+        // A pending answer may bring a revision that the store has lost since.
         let reached = healed.nodes[0].newest;
         let agreed = reached >= newest && healed.nodes.iter().all(|n| n.newest == reached);
-        (!agreed).then_some("hosts don't agree on the newest revision after healing")
+        (!agreed).then_some("hosts don't agree on the newest revision after all faults have ended")
     }
 }
--- a/crates/membership/tests/search_spread/world/steps.rs
+++ b/crates/membership/tests/search_spread/world/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that the search tries.
+//! The steps of the search.
 
 use super::{HOSTS, World};
 use crate::fleet::host_id;
@@ -15,24 +15,24 @@
     Duplicate(usize),
     Answer(usize),
     Round,
-    /// A round in which all is delivered but as said.
+    /// A round in which all messages are delivered, except as specified.
     FullRound(Delivery),
     HealCut(usize),
 }
 
-/// How the messages of a whole round are delivered.
+/// How the messages of a full round are delivered.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Delivery {
     All,
-    /// Newest first, and each twice.
+    /// In reverse order, and each twice.
     DuplicatedReversed,
-    /// What this host sends or is sent is lost.
+    /// Messages from and to this host are lost.
     Losing(usize),
-    /// Every second message is lost, from the first or the second on.
+    /// Every second message is lost, starting with the first (0) or the second (1).
     LosingHalf(usize),
-    /// What this host is sent comes after the messages of the next rounds.
+    /// Messages to this host arrive after those of the next round.
     Delaying(usize),
-    /// Answers of the platform come after the next round.
+    /// Answers of the platform arrive after the next round.
     DelayingAnswers,
 }
 
