--- a/crates/membership/benches/tables/latency.rs
+++ b/crates/membership/benches/tables/latency.rs
@@ -145,8 +145,9 @@
 }
 
 fn reverts(fleet: &Fleet) -> usize {
-    let back = |n: &crate::fleet::Node| n.in_force.windows(2).filter(|w| w[0].1 >= w[1].1).count();
-    fleet.nodes.iter().map(back).sum()
+    let decreases =
+        |n: &crate::fleet::Node| n.in_force.windows(2).filter(|w| w[0].1 >= w[1].1).count();
+    fleet.nodes.iter().map(decreases).sum()
 }
 
 fn row(hosts: usize, changes: &str, fault: &str, outcome: Outcome) {
--- a/crates/membership/src/endpoints.rs
+++ b/crates/membership/src/endpoints.rs
@@ -17,7 +17,7 @@
 
 /// Delays after which a sign is sent again, counted from the first time it was sent.
 const RESEND_DELAYS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(1000)];
-/// Maximum time for which a sign holds without being observed again.
+/// Maximum time for which a sign is valid without being observed again.
 pub const MAX_SIGN_TTL: Duration = Duration::from_secs(300);
 /// Maximum number of signs stored; a data centre has fewer endpoints.
 const MAX_SIGNS: usize = 4096;
@@ -46,7 +46,7 @@
     until: Duration,
 }
 
-/// A sign observed by this host that is due to be sent again.
+/// An observed sign that must be sent again at a given time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Resend {
     at: Duration,
--- a/crates/membership/src/members/records.rs
+++ b/crates/membership/src/members/records.rs
@@ -75,17 +75,17 @@
         };
         let is_local = peer.record.data_centre == self.cfg.data_centre;
         let in_contact = now.saturating_sub(peer.last_contact) < self.cfg.intervals.suspect_after;
-        let same_life = peer.record.life.incarnation == record.life.incarnation;
+        let same_incarnation = peer.record.life.incarnation == record.life.incarnation;
         let seen_alive = peer.record.state == State::Alive;
-        from.is_some() && suspicion && is_local && in_contact && same_life && seen_alive
+        from.is_some() && suspicion && is_local && in_contact && same_incarnation && seen_alive
     }
 
     /// Merges one record; returns whether it was new.
     fn merge_record(&mut self, now: Duration, record: &Record) -> bool {
-        let gone = |r: &Record| matches!(r.state, State::Dead | State::Left);
+        let is_down = |r: &Record| matches!(r.state, State::Dead | State::Left);
         let Some(peer) = self.peers.get_mut(&record.id) else {
             // A record of a dead host that was removed here must not circulate forever.
-            if gone(record) {
+            if is_down(record) {
                 return false;
             }
             let peer = Peer {
@@ -244,9 +244,9 @@
     pub(super) fn remove_expired(&mut self, now: Duration) {
         let after = self.cfg.intervals.remove_after;
         let expired = |since: Duration| now.saturating_sub(since) >= after;
-        let forgotten = self.peers.values().filter(|p| {
+        let removable = self.peers.values().filter(|p| {
             let key = view::key(&p.record.data_centre);
-            let gone =
+            let expired_down =
                 matches!(p.record.state, State::Dead | State::Left) && expired(p.state_since);
             let remote = p.record.data_centre != self.cfg.data_centre;
             let silent = remote
@@ -256,13 +256,13 @@
                         .copied()
                         .unwrap_or(p.last_contact),
                 );
-            gone || (silent && !self.listed_hosts.contains_key(&p.record.id))
+            expired_down || (silent && !self.listed_hosts.contains_key(&p.record.id))
         });
-        let forgotten: Vec<HostId> = forgotten.map(|p| p.record.id.clone()).collect();
-        if forgotten.is_empty() {
+        let removable: Vec<HostId> = removable.map(|p| p.record.id.clone()).collect();
+        if removable.is_empty() {
             return;
         }
-        for id in &forgotten {
+        for id in &removable {
             self.peers.remove(id);
         }
         self.records_changed();
--- a/crates/membership/src/members/sending.rs
+++ b/crates/membership/src/members/sending.rs
@@ -64,8 +64,8 @@
         let local = |dc: &DataCentre| *dc == self.cfg.data_centre;
         let mut targets = Vec::new();
         for peer in self.peers.values().filter(|p| local(&p.record.data_centre)) {
-            let gone = matches!(peer.record.state, State::Dead | State::Left);
-            if !gone || retry_dead {
+            let is_down = matches!(peer.record.state, State::Dead | State::Left);
+            if !is_down || retry_dead {
                 targets.push(Target {
                     id: peer.record.id.clone(),
                     addr: peer.record.addr,
@@ -73,10 +73,10 @@
             }
             // A restarted host may have another address than its recorded incarnation.
             let listed = self.listed_hosts.get(&peer.record.id);
-            if let Some(entry) = listed.filter(|h| gone && h.addr != peer.record.addr) {
+            if let Some(listed_host) = listed.filter(|h| is_down && h.addr != peer.record.addr) {
                 targets.push(Target {
-                    id: entry.id.clone(),
-                    addr: entry.addr,
+                    id: listed_host.id.clone(),
+                    addr: listed_host.addr,
                 });
             }
         }
@@ -100,7 +100,10 @@
             if !holders.contains(&&self.cfg.me.id) {
                 continue;
             }
-            let alive = hosts.iter().filter(|(_, gone)| !gone).map(|(t, _)| &t.id);
+            let alive = hosts
+                .iter()
+                .filter(|(_, is_down)| !is_down)
+                .map(|(t, _)| &t.id);
             let first = rendezvous::choose(self.cfg.data_centre.as_str(), alive, 1);
             let first = first.first().map(|id| (*id).clone());
             let random = self.rng.random_range(0..hosts.len());
@@ -123,20 +126,20 @@
                 id: peer.record.id.clone(),
                 addr: peer.record.addr,
             };
-            let gone = matches!(peer.record.state, State::Dead | State::Left);
+            let is_down = matches!(peer.record.state, State::Dead | State::Left);
             let hosts = remote.entry(peer.record.data_centre.clone()).or_default();
-            hosts.push((target, gone));
+            hosts.push((target, is_down));
         }
-        for entry in self.listed_hosts.values().filter(|h| h.data_centre != *own) {
-            let known = self.peers.get(&entry.id).map(|p| p.record.addr);
-            if known == Some(entry.addr) {
+        for listed_host in self.listed_hosts.values().filter(|h| h.data_centre != *own) {
+            let known = self.peers.get(&listed_host.id).map(|p| p.record.addr);
+            if known == Some(listed_host.addr) {
                 continue;
             }
             let target = Target {
-                id: entry.id.clone(),
-                addr: entry.addr,
+                id: listed_host.id.clone(),
+                addr: listed_host.addr,
             };
-            let hosts = remote.entry(entry.data_centre.clone()).or_default();
+            let hosts = remote.entry(listed_host.data_centre.clone()).or_default();
             hosts.push((target, known.is_some()));
         }
         remote
--- a/crates/membership/src/spread/mod.rs
+++ b/crates/membership/src/spread/mod.rs
@@ -64,8 +64,7 @@
 /// A fault that needs an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Alarm {
-    /// The store holds an older catalogue than the one in force. It must be brought
-    /// forward again.
+    /// The store holds an older catalogue than the one in force. It must be brought forward again.
     StoreOlder {
         /// The revision in force here.
         in_force: Revision,
--- a/crates/membership/tests/random_schedules.rs
+++ b/crates/membership/tests/random_schedules.rs
@@ -50,8 +50,8 @@
         Fault::Heal => heal(fleet),
         Fault::StoreUnavailable(unavailable) => fleet.store.unavailable = unavailable,
         Fault::RollBack => {
-            let kept = fleet.store.changes.len() / 2;
-            fleet.store.roll_back(kept);
+            let remaining = fleet.store.changes.len() / 2;
+            fleet.store.roll_back(remaining);
             *rolled_back = true;
         }
         Fault::Loss(percent) => {
--- a/crates/membership/tests/search_spread/world.rs
+++ b/crates/membership/tests/search_spread/world.rs
@@ -169,6 +169,7 @@
         );
         self.fingerprint = xxhash_rust::xxh3::xxh3_128(text.as_bytes());
     }
+
     fn perform(&mut self, step: Step) {
         match step {
             Step::Commit => {
