--- a/crates/membership/src/spread/change_log.rs
+++ b/crates/membership/src/spread/change_log.rs
@@ -1,4 +1,4 @@
-//! The newest changes, kept to answer pulls.
+//! The latest changes, stored to answer pulls.
 
 use std::collections::VecDeque;
 
@@ -6,28 +6,28 @@
 use dragonflyrill_protocol::spread::{self, Digest};
 use xxhash_rust::xxh3;
 
-/// The newest changes in order and without gaps.
+/// The latest changes, in order of revision and without gaps.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ChangeLog {
-    /// The digest before the first change kept.
+    /// The digest of the catalogue before the first stored change.
     base: Digest,
-    changes: VecDeque<Kept>,
-    /// The sum of the kept sizes.
+    changes: VecDeque<LoggedChange>,
+    /// The sum of the encoded sizes of the stored changes.
     bytes: usize,
 }
 
 #[derive(Debug, Clone)]
-struct Kept {
+struct LoggedChange {
     change: Change,
     bytes: usize,
 }
 
-/// Why the log can't answer.
+/// Why the log cannot answer a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NotKept {
-    /// The changes were dropped, or one is too large for a message.
+pub(super) enum PullError {
+    /// The log no longer holds the changes, or one of them is too large for a message.
     Unavailable,
-    /// The other side has another change under one revision.
+    /// The other host has another change under the same revision.
     Forked,
 }
 
@@ -43,19 +43,19 @@
 }
 
 impl ChangeLog {
-    /// A log that starts after `base`.
-    pub(super) fn after(base: Digest) -> Self {
+    /// An empty log for the changes after the catalogue `base`.
+    pub(super) fn starting_after(base: Digest) -> Self {
         Self {
             base,
             ..Self::default()
         }
     }
 
-    /// Adds the next change; drops the oldest ones above the limits.
+    /// Appends the next change; drops the oldest changes above the limits.
     pub(super) fn push(&mut self, change: Change, max_changes: usize, max_bytes: usize) {
         let bytes = spread::encoded_len(&change);
         self.bytes += bytes;
-        self.changes.push_back(Kept { change, bytes });
+        self.changes.push_back(LoggedChange { change, bytes });
         while self.changes.len() > max_changes || self.bytes > max_bytes {
             let Some(dropped) = self.changes.pop_front() else {
                 return;
@@ -65,50 +65,51 @@
         }
     }
 
-    /// Whether the catalogue `other` is, or may be, an earlier state of this one.
-    pub(super) fn agrees(&self, other: Digest) -> bool {
+    /// Whether the log does not contradict `other`: false only if it has another change at that
+    /// revision.
+    pub(super) fn is_consistent_with(&self, other: Digest) -> bool {
         self.digest_at(other.revision)
             .is_none_or(|known| known == other)
     }
 
-    /// The changes after `from`, in messages of at most about `max` bytes.
+    /// The changes after `from`, grouped into messages of at most about `max` encoded bytes.
     pub(super) fn changes_after(
         &self,
         from: Digest,
         max: usize,
-    ) -> Result<Vec<Vec<Change>>, NotKept> {
-        if !self.agrees(from) {
-            return Err(NotKept::Forked);
+    ) -> Result<Vec<Vec<Change>>, PullError> {
+        if !self.is_consistent_with(from) {
+            return Err(PullError::Forked);
         }
         if from.revision < self.base.revision {
-            return Err(NotKept::Unavailable);
+            return Err(PullError::Unavailable);
         }
         let skipped = from.revision.0.saturating_sub(self.base.revision.0) as usize;
-        let mut parts: Vec<Vec<Change>> = Vec::new();
-        let mut room = 0;
-        for kept in self.changes.iter().skip(skipped) {
-            if kept.bytes > max {
-                return Err(NotKept::Unavailable);
+        let mut messages: Vec<Vec<Change>> = Vec::new();
+        let mut free_bytes = 0;
+        for logged in self.changes.iter().skip(skipped) {
+            if logged.bytes > max {
+                return Err(PullError::Unavailable);
             }
-            match parts.last_mut().filter(|_| kept.bytes <= room) {
-                Some(part) => part.push(kept.change.clone()),
+            match messages.last_mut().filter(|_| logged.bytes <= free_bytes) {
+                Some(message) => message.push(logged.change.clone()),
                 None => {
-                    room = max;
-                    parts.push(vec![kept.change.clone()]);
+                    free_bytes = max;
+                    messages.push(vec![logged.change.clone()]);
                 }
             }
-            room -= kept.bytes;
+            free_bytes -= logged.bytes;
         }
-        Ok(parts)
+        Ok(messages)
     }
 
-    /// The digest of the catalogue at `revision`, where it is known.
+    /// The digest of the catalogue at `revision`, if the log covers that revision.
     fn digest_at(&self, revision: Revision) -> Option<Digest> {
         if revision == self.base.revision {
             return Some(self.base);
         }
         let i = revision.0.checked_sub(self.base.revision.0 + 1)? as usize;
-        let kept = self.changes.get(i)?;
-        Some(digest(revision, &kept.change.change_id))
+        let logged = self.changes.get(i)?;
+        Some(digest(revision, &logged.change.change_id))
     }
 }
--- a/crates/membership/src/spread/snapshot.rs
+++ b/crates/membership/src/spread/snapshot.rs
@@ -1,4 +1,4 @@
-//! A whole catalogue in parts.
+//! A whole catalogue, split into parts.
 
 use dragonflyrill_catalogue::{Catalogue, Entry};
 use dragonflyrill_protocol::{
@@ -6,36 +6,37 @@
     spread::{self, Part},
 };
 
-/// More parts are not believed: at the usual size of a part this is 64 MiB.
+/// Maximum number of parts; snapshots with more are rejected. With parts of 256 KiB, the default
+/// target, this bounds a snapshot to 64 MiB.
 const MAX_PARTS: u32 = 256;
 
-/// Divides `catalogue` into parts of about `max` bytes, at least one.
-pub(super) fn divide(catalogue: &Catalogue, change_id: &str, max: usize) -> Vec<Part> {
+/// Splits `catalogue` into parts of about `max` encoded bytes; at least one part.
+pub(super) fn split(catalogue: &Catalogue, change_id: &str, max: usize) -> Vec<Part> {
     let mut groups: Vec<Vec<Entry>> = vec![Vec::new()];
-    let mut room = max;
+    let mut free_bytes = max;
     for entry in catalogue.entries() {
         let bytes = spread::encoded_len(entry);
-        if bytes > room && groups.last().is_some_and(|g| !g.is_empty()) {
+        if bytes > free_bytes && groups.last().is_some_and(|g| !g.is_empty()) {
             groups.push(Vec::new());
-            room = max;
+            free_bytes = max;
         }
-        room = room.saturating_sub(bytes);
+        free_bytes = free_bytes.saturating_sub(bytes);
         if let Some(group) = groups.last_mut() {
             group.push(entry.clone());
         }
     }
     let parts = groups.len() as u32;
-    let divided = (0..).zip(groups).map(|(index, entries)| Part {
+    let split_parts = (0..).zip(groups).map(|(index, entries)| Part {
         revision: catalogue.revision(),
         change_id: change_id.to_owned(),
         index,
         parts,
         entries,
     });
-    divided.collect()
+    split_parts.collect()
 }
 
-/// A catalogue of which some parts have come, all from one host.
+/// A catalogue of which some parts have arrived, all from one host.
 #[derive(Debug, Clone)]
 pub(super) struct Assembly {
     from: HostId,
@@ -44,8 +45,8 @@
 }
 
 impl Assembly {
-    /// An assembly begun with `part`; `None` if the part is impossible.
-    pub(super) fn begin(from: &HostId, part: Part) -> Option<Self> {
+    /// An assembly that starts with `part`; `None` if the numbering of the part is invalid.
+    pub(super) fn start(from: &HostId, part: Part) -> Option<Self> {
         if part.parts == 0 || part.parts > MAX_PARTS || part.index >= part.parts {
             return None;
         }
@@ -62,20 +63,20 @@
     }
 
     /// Whether `part` belongs to this assembly.
-    pub(super) fn fits(&self, from: &HostId, part: &Part) -> bool {
+    pub(super) fn accepts(&self, from: &HostId, part: &Part) -> bool {
         let first = &self.first;
-        let whole = first.revision == part.revision && first.change_id == part.change_id;
-        *from == self.from && whole && first.parts == part.parts && part.index < part.parts
+        let same_snapshot = first.revision == part.revision && first.change_id == part.change_id;
+        *from == self.from && same_snapshot && first.parts == part.parts && part.index < part.parts
     }
 
-    /// Adds a part that fits.
+    /// Adds a part that [`Self::accepts`] holds for.
     pub(super) fn add(&mut self, part: Part) {
-        if let Some(place) = self.parts.get_mut(part.index as usize) {
-            *place = Some(part.entries);
+        if let Some(slot) = self.parts.get_mut(part.index as usize) {
+            *slot = Some(part.entries);
         }
     }
 
-    /// Whether all parts have come.
+    /// Whether all parts have arrived.
     pub(super) fn is_complete(&self) -> bool {
         self.parts.iter().all(Option::is_some)
     }
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Many hosts in one process on a virtual clock, with a small stand-in for the platform's store.
+//! Many hosts in one process on a virtual clock, with a minimal stand-in for the platform's store.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 pub mod store;
@@ -11,8 +11,8 @@
 
 use dragonflyrill_catalogue::{DataCentre, Revision};
 use dragonflyrill_membership::{
-    members::{self, Listed, Members},
-    spread::{self, Alarm, FromStore, Spread},
+    members::{self, ListedPeer, Members},
+    spread::{self, Alarm, Spread, StoreRead},
 };
 use dragonflyrill_protocol::{Envelope, HostId, HostRef, Message, membership::State};
 use rand::{Rng, SeedableRng};
@@ -51,7 +51,7 @@
     pub up: bool,
     pub paused_until: Duration,
     pub alarms: Vec<Alarm>,
-    /// Every revision that came into force in this life, and when.
+    /// Every revision that came into force in this incarnation, and when.
     pub in_force: Vec<(Duration, Revision)>,
     pub sent: Cost,
     pub received: Cost,
@@ -83,19 +83,19 @@
     pub nodes: Vec<Node>,
     pub store: Store,
     pub rng: Pcg32,
-    /// Pairs of data centres cut from each other, the lower number first.
+    /// Pairs of data centres that cannot reach each other, the lower number first.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Data centres cut from the platform.
+    /// Data centres that cannot reach the platform.
     pub platform_cut: BTreeSet<usize>,
-    /// The fraction of messages lost, and of those doubled.
+    /// The probability that a message is lost, and that one that is not lost is duplicated.
     pub loss: f64,
-    pub doubled: f64,
-    /// One-way delays of messages.
+    pub duplication: f64,
+    /// The range of one-way message delays.
     pub delay: std::ops::Range<Duration>,
-    /// How long the store takes to answer; it is read at the start.
+    /// The time after which the answer of the store arrives; the store is read at its start.
     pub store_delay: Duration,
-    /// Whether sizes are counted.
-    pub count: bool,
+    /// Whether sent and received bytes are counted.
+    pub count_bytes: bool,
     pub polls: u64,
     queue: BTreeMap<(Duration, u64), Event>,
     seq: u64,
@@ -111,10 +111,10 @@
             cut: BTreeSet::new(),
             platform_cut: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: ms(1)..ms(5),
             store_delay: ms(5),
-            count: false,
+            count_bytes: false,
             polls: 0,
             queue: BTreeMap::new(),
             seq: 0,
@@ -125,19 +125,19 @@
         }
         let list = fleet.list();
         for n in 0..hosts {
-            fleet.nodes[n].members.listed(ms(0), &list);
+            fleet.nodes[n].members.update_list(ms(0), &list);
             let start = fleet.rng.random_range(0..500);
             fleet.push(ms(start), Event::Tick(n));
         }
         fleet
     }
 
-    pub fn list(&self) -> Vec<Listed> {
-        let listed = self.nodes.iter().enumerate().map(|(n, node)| Listed {
+    pub fn list(&self) -> Vec<ListedPeer> {
+        let listed = self.nodes.iter().enumerate().map(|(n, node)| ListedPeer {
             id: host_id(n),
             addr: addr(n),
             data_centre: data_centre(node.data_centre),
-            leaving: false,
+            shutting_down: false,
         });
         listed.collect()
     }
@@ -172,13 +172,13 @@
         self.nodes[n].up = false;
     }
 
-    /// Starts a host anew under its name, with nothing kept.
+    /// Restarts a host under the same name with the next incarnation and no state.
     pub fn restart(&mut self, n: usize) {
         let old = &self.nodes[n];
         let (dc, incarnation, was_up) = (old.data_centre, old.incarnation + 1, old.up);
         let (sent, received) = (old.sent, old.received);
         let mut node = self.node(n, dc, incarnation);
-        node.members.listed(self.now, &self.list());
+        node.members.update_list(self.now, &self.list());
         (node.sent, node.received) = (sent, received);
         self.nodes[n] = node;
         if !was_up {
@@ -186,10 +186,12 @@
         }
     }
 
-    pub fn leave(&mut self, n: usize) {
+    pub fn announce_shutdown(&mut self, n: usize) {
         let mut actions = Vec::new();
-        self.nodes[n].members.leave(self.now, &mut actions);
-        self.act(n, actions, Vec::new());
+        self.nodes[n]
+            .members
+            .announce_shutdown(self.now, &mut actions);
+        self.execute(n, actions, Vec::new());
     }
 
     pub fn run(&mut self, until: Duration) {
@@ -220,19 +222,20 @@
         revisions.max().unwrap_or_default()
     }
 
-    /// Which host sees which other one, among those up, in another state than alive.
-    pub fn doubts(&self) -> Vec<(usize, usize)> {
-        let mut doubts = Vec::new();
+    /// Pairs of a host that is up and another host that it wrongly sees: as not alive though up, or
+    /// as alive though down.
+    pub fn disagreements(&self) -> Vec<(usize, usize)> {
+        let mut disagreements = Vec::new();
         for (a, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
-            let alive = node.members.alive().filter(|m| m.state == State::Alive);
+            let alive = node.members.view().filter(|m| m.state == State::Alive);
             let alive: BTreeSet<HostRef> = alive.map(|m| m.host).collect();
             for (b, other) in self.nodes.iter().enumerate() {
                 if other.up != alive.contains(&host(b, other.incarnation)) {
-                    doubts.push((a, b));
+                    disagreements.push((a, b));
                 }
             }
         }
-        doubts
+        disagreements
     }
 
     fn push(&mut self, at: Duration, event: Event) {
@@ -250,7 +253,7 @@
             return;
         }
         if node.paused_until > self.now {
-            // A paused host works through what waited when it goes on.
+            // A paused host handles the events of the pause when it resumes.
             let at = node.paused_until;
             self.push(at, event);
             return;
@@ -273,12 +276,12 @@
         let (mut from_members, mut from_spread) = (Vec::new(), Vec::new());
         node.members.tick(now, &mut from_members);
         if from_members.contains(&members::Action::Changed) {
-            node.spread.peers(now, node.members.alive());
+            node.spread.update_view(now, node.members.view());
         }
         node.spread.tick(now, &mut from_spread);
         let next = node.members.next_tick().min(node.spread.next_tick());
         self.push(next.max(now + ms(1)), Event::Tick(n));
-        self.act(n, from_members, from_spread);
+        self.execute(n, from_members, from_spread);
     }
 
     fn deliver(&mut self, n: usize, envelope: Envelope) {
@@ -292,7 +295,7 @@
                     members.receive(now, &envelope.from, m, &mut from_members);
                 }
                 Message::Spread(m) => {
-                    node.members.heard(now, &envelope.from);
+                    node.members.record_contact(now, &envelope.from);
                     let spread = &mut node.spread;
                     spread.receive(now, &envelope.from, m, &mut from_spread);
                 }
@@ -300,9 +303,9 @@
             }
         }
         if from_members.contains(&members::Action::Changed) {
-            node.spread.peers(now, node.members.alive());
+            node.spread.update_view(now, node.members.view());
         }
-        self.act(n, from_members, from_spread);
+        self.execute(n, from_members, from_spread);
     }
 
     fn poll_answer(&mut self, n: usize, answer: Answer) {
@@ -310,17 +313,17 @@
         let cut = self.platform_cut.contains(&self.nodes[n].data_centre);
         let spread = &mut self.nodes[n].spread;
         match answer {
-            _ if cut => spread.store_away(now),
-            Answer::Away => spread.store_away(now),
-            Answer::Head(head) => spread.store_head(now, &head, &mut actions),
+            _ if cut => spread.receive_store_failure(now),
+            Answer::Unavailable => spread.receive_store_failure(now),
+            Answer::Head(head) => spread.receive_store_head(now, &head, &mut actions),
             Answer::Changes(changes) => {
-                spread.known(now, FromStore::Changes(changes), &mut actions);
+                spread.receive_store_read(now, StoreRead::Changes(changes), &mut actions);
             }
         }
-        self.act(n, Vec::new(), actions);
+        self.execute(n, Vec::new(), actions);
     }
 
-    fn act(&mut self, n: usize, members: Vec<members::Action>, spread: Vec<spread::Action>) {
+    fn execute(&mut self, n: usize, members: Vec<members::Action>, spread: Vec<spread::Action>) {
         let mut out: BTreeMap<SocketAddr, Vec<Message>> = BTreeMap::new();
         for action in members {
             if let members::Action::Send { addr, message, .. } = action {
@@ -360,7 +363,7 @@
             from: host(from, self.nodes[from].incarnation),
             messages,
         };
-        if self.count {
+        if self.count_bytes {
             let bytes = dragonflyrill_protocol::spread::encoded_len(&envelope) as u64;
             self.nodes[from].sent.add(bytes);
             self.nodes[to].received.add(bytes);
@@ -371,7 +374,8 @@
         if self.loss > 0.0 && self.rng.random_bool(self.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.doubled > 0.0 && self.rng.random_bool(self.doubled));
+        let copies =
+            1 + usize::from(self.duplication > 0.0 && self.rng.random_bool(self.duplication));
         for _ in 0..copies {
             let delay = self.rng.random_range(self.delay.clone());
             self.push(self.now + delay, Event::Deliver(to, envelope.clone()));
--- a/crates/membership/tests/fleet/store.rs
+++ b/crates/membership/tests/fleet/store.rs
@@ -1,11 +1,11 @@
-//! The catalogue in a store that can be away or wound back.
+//! A store of the catalogue that can be unavailable or rolled back.
 
 use dragonflyrill_catalogue::{Change, Entry, Revision, entry::WorkspaceEntry};
 use dragonflyrill_store::catalogue_store::Head;
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    Away,
+    Unavailable,
     Head(Head),
     Changes(Vec<Change>),
 }
@@ -13,8 +13,8 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Store {
     pub changes: Vec<Change>,
-    pub away: bool,
-    /// Part of the ids of changes, to tell those made after winding back.
+    pub unavailable: bool,
+    /// Part of the change ids, to distinguish the changes made after a rollback.
     pub branch: u32,
 }
 
@@ -41,8 +41,8 @@
         Revision(n)
     }
 
-    /// Restores an older copy; what is committed now is another change.
-    pub fn wind_back(&mut self, to: usize) {
+    /// Restores an older copy. Changes committed from then on differ from those that it lost.
+    pub fn roll_back(&mut self, to: usize) {
         self.changes.truncate(to);
         self.branch += 1;
     }
@@ -55,8 +55,8 @@
     }
 
     pub fn read(&self, after: Revision) -> Answer {
-        if self.away {
-            return Answer::Away;
+        if self.unavailable {
+            return Answer::Unavailable;
         }
         let newer: Vec<Change> = self
             .changes
--- a/crates/membership/tests/search_members.rs
+++ b/crates/membership/tests/search_members.rs
@@ -1,5 +1,6 @@
-//! An exhaustive search of the membership among 3 hosts: in each round of heartbeats any host may
-//! be paused, cut, restarted, or have its messages lost, doubled or reordered, up to a depth.
+//! An exhaustive search of the membership protocol among 3 hosts up to a depth: in each round of
+//! heartbeats, any host may be paused, cut off or restarted, or have its messages lost, and all
+//! messages may be duplicated and reordered.
 
 mod fleet;
 
@@ -10,7 +11,7 @@
     time::Duration,
 };
 
-use dragonflyrill_membership::members::{Action, Config, Intervals, Listed, Members};
+use dragonflyrill_membership::members::{Action, Config, Intervals, ListedPeer, Members};
 use dragonflyrill_protocol::{
     HostRef,
     membership::{Message, State},
@@ -21,25 +22,26 @@
 const HOSTS: usize = 3;
 /// Longer than a heartbeat interval with its jitter.
 const ROUND: Duration = Duration::from_millis(600);
-/// Rounds after which everything must have healed. A dead host is tried again each 8 heartbeats.
-const QUIET_ROUNDS: usize = 14;
+/// Rounds after which all hosts must agree again. A dead host is sent a heartbeat every 8 heartbeat
+/// rounds.
+const HEALING_ROUNDS: usize = 14;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Step {
     /// A round without a new fault.
     Round,
-    /// A host stops running; it goes on, with what waited for it, by `Resume`.
+    /// A host stops running. `Resume` resumes it, with the messages that were queued for it.
     Pause(usize),
     Resume(usize),
-    /// A host hears no other and is not heard.
+    /// A host neither sends nor receives messages.
     Cut(usize),
     Heal(usize),
-    /// The host starts anew with the next incarnation.
+    /// The host restarts with the next incarnation.
     Restart(usize),
     /// All messages of this host in this round are lost.
     Lose(usize),
-    /// All messages of this round arrive twice, in the opposite order.
-    DoubleReversed,
+    /// All messages of this round arrive twice, in reverse order.
+    DuplicateReversed,
 }
 
 #[derive(Debug, Clone)]
@@ -55,19 +57,19 @@
     incarnation: u64,
     paused: bool,
     cut: bool,
-    waiting: Vec<Sent>,
-    /// The life of each host as last seen from here.
-    lives: [u64; HOSTS],
+    queued: Vec<Sent>,
+    /// The incarnation of each host as last seen by this one.
+    incarnations: [u64; HOSTS],
 }
 
 #[derive(Clone)]
 struct World {
     now: Duration,
     nodes: Vec<Node>,
-    places: [usize; HOSTS],
-    trail: Vec<Step>,
+    data_centres: [usize; HOSTS],
+    history: Vec<Step>,
     faults: u8,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
     fingerprint: u128,
 }
 
@@ -85,51 +87,51 @@
     }
 }
 
-fn members(n: usize, incarnation: u64, places: &[usize; HOSTS]) -> Members {
+fn members(n: usize, incarnation: u64, data_centres: &[usize; HOSTS]) -> Members {
     let mut members = Members::new(Config {
         me: host(n, incarnation),
-        data_centre: data_centre(places[n]),
+        data_centre: data_centre(data_centres[n]),
         addr: addr(n),
         seed: n as u64,
         intervals: Intervals::default(),
     });
-    let list: Vec<Listed> = (0..HOSTS)
-        .map(|n| Listed {
+    let list: Vec<ListedPeer> = (0..HOSTS)
+        .map(|n| ListedPeer {
             id: host_id(n),
             addr: addr(n),
-            data_centre: data_centre(places[n]),
-            leaving: false,
+            data_centre: data_centre(data_centres[n]),
+            shutting_down: false,
         })
         .collect();
-    members.listed(ms(0), &list);
+    members.update_list(ms(0), &list);
     members
 }
 
 impl World {
-    fn new(places: [usize; HOSTS], faults: u8) -> Self {
+    fn new(data_centres: [usize; HOSTS], faults: u8) -> Self {
         let nodes = (0..HOSTS).map(|n| Node {
-            members: members(n, 1, &places),
+            members: members(n, 1, &data_centres),
             incarnation: 1,
             paused: false,
             cut: false,
-            waiting: Vec::new(),
-            lives: [0; HOSTS],
+            queued: Vec::new(),
+            incarnations: [0; HOSTS],
         });
         let mut world = Self {
             now: ms(0),
             nodes: nodes.collect(),
-            places,
-            trail: Vec::new(),
+            data_centres,
+            history: Vec::new(),
             faults,
-            broken: None,
+            violation: None,
             fingerprint: 0,
         };
         for _ in 0..4 {
             world.round(None, false);
         }
         assert!(
-            world.doubts().is_none(),
-            "the hosts see each other at first"
+            world.first_disagreement().is_none(),
+            "the hosts agree at the start"
         );
         world
     }
@@ -155,14 +157,14 @@
             steps.push(Step::Restart(n));
         }
         if self.faults > 0 {
-            steps.push(Step::DoubleReversed);
+            steps.push(Step::DuplicateReversed);
         }
         steps
     }
 
     fn after(&self, step: Step) -> Self {
         let mut world = self.clone();
-        world.trail.push(step);
+        world.history.push(step);
         let fault = !matches!(step, Step::Round | Step::Resume(_) | Step::Heal(_));
         world.faults -= u8::from(fault);
         match step {
@@ -173,24 +175,24 @@
             Step::Restart(n) => {
                 let node = &mut world.nodes[n];
                 node.incarnation += 1;
-                node.members = members(n, node.incarnation, &world.places);
+                node.members = members(n, node.incarnation, &world.data_centres);
                 node.paused = false;
-                node.waiting.clear();
-                node.lives = [0; HOSTS];
+                node.queued.clear();
+                node.incarnations = [0; HOSTS];
             }
-            Step::Round | Step::Lose(_) | Step::DoubleReversed => {}
+            Step::Round | Step::Lose(_) | Step::DuplicateReversed => {}
         }
         let lost = match step {
             Step::Lose(n) => Some(n),
             _ => None,
         };
-        world.round(lost, matches!(step, Step::DoubleReversed));
+        world.round(lost, matches!(step, Step::DuplicateReversed));
         let text = format!("{:?} {:?} {}", world.now, world.nodes, world.faults);
         world.fingerprint = xxhash_rust::xxh3::xxh3_128(text.as_bytes());
         world
     }
 
-    fn round(&mut self, lost: Option<usize>, doubled_reversed: bool) {
+    fn round(&mut self, lost: Option<usize>, duplicate_reversed: bool) {
         self.now += ROUND;
         let mut net: Vec<Sent> = Vec::new();
         for n in 0..HOSTS {
@@ -200,18 +202,19 @@
             }
             let mut actions = Vec::new();
             node.members.tick(self.now, &mut actions);
-            self.act(n, actions, &mut net);
+            self.execute(n, actions, &mut net);
         }
-        // What waited comes last: messages of an earlier life may arrive after those of a later.
+        // Queued messages are delivered last: messages of an earlier incarnation may arrive after
+        // those of a later one.
         for node in self.nodes.iter_mut().filter(|n| !n.paused) {
-            net.append(&mut node.waiting);
+            net.append(&mut node.queued);
         }
-        if doubled_reversed {
+        if duplicate_reversed {
             let copy = net.clone();
             net.extend(copy);
             net.reverse();
         }
-        // Answers to answers come in the same round; they must end.
+        // Answers to messages are delivered in the same round; the exchange must end.
         for _ in 0..20 {
             for sent in std::mem::take(&mut net) {
                 let from = (0..HOSTS).find(|n| host_id(*n) == sent.from.id);
@@ -220,7 +223,7 @@
                     continue;
                 }
                 if self.nodes[sent.to].paused {
-                    self.nodes[sent.to].waiting.push(sent);
+                    self.nodes[sent.to].queued.push(sent);
                     continue;
                 }
                 self.deliver(sent, &mut net);
@@ -229,7 +232,7 @@
                 return;
             }
         }
-        self.broken = Some("messages go round without end");
+        self.violation = Some("messages circulate without end");
     }
 
     fn deliver(&mut self, sent: Sent, net: &mut Vec<Sent>) {
@@ -237,25 +240,25 @@
         let node = &mut self.nodes[sent.to];
         node.members
             .receive(self.now, &sent.from, sent.message, &mut actions);
-        self.act(sent.to, actions, net);
+        self.execute(sent.to, actions, net);
     }
 
-    /// A life must not be replaced by an earlier one.
+    /// Reports a violation if this host replaced an incarnation of a host by an earlier one.
     fn check(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        for member in node.members.alive() {
+        for member in node.members.view() {
             let other = (0..HOSTS).find(|b| host_id(*b) == member.host.id);
-            let Some(known) = other.map(|b| &mut node.lives[b]) else {
+            let Some(known) = other.map(|b| &mut node.incarnations[b]) else {
                 continue;
             };
             if member.host.incarnation < *known {
-                self.broken = Some("an earlier life replaced a later one");
+                self.violation = Some("an earlier incarnation replaced a later one");
             }
             *known = member.host.incarnation;
         }
     }
 
-    fn act(&mut self, n: usize, actions: Vec<Action>, net: &mut Vec<Sent>) {
+    fn execute(&mut self, n: usize, actions: Vec<Action>, net: &mut Vec<Sent>) {
         self.check(n);
         let from = host(n, self.nodes[n].incarnation);
         for action in actions {
@@ -269,55 +272,57 @@
         }
     }
 
-    /// Two hosts of which the first does not see the other, in its present life, alive.
-    fn doubts(&self) -> Option<(usize, usize)> {
+    /// The first pair of hosts of which the first does not see the current incarnation of the
+    /// second as alive.
+    fn first_disagreement(&self) -> Option<(usize, usize)> {
         for (a, node) in self.nodes.iter().enumerate() {
-            let alive = node.members.alive().filter(|m| m.state == State::Alive);
+            let alive = node.members.view().filter(|m| m.state == State::Alive);
             let alive: BTreeSet<HostRef> = alive.map(|m| m.host).collect();
-            let doubted =
+            let disagreement =
                 (0..HOSTS).find(|b| !alive.contains(&host(*b, self.nodes[*b].incarnation)));
-            if let Some(b) = doubted {
+            if let Some(b) = disagreement {
                 return Some((a, b));
             }
         }
         None
     }
 
-    /// What is wrong, in this state or after it has healed.
-    fn broken(&self) -> Option<&'static str> {
-        if self.broken.is_some() {
-            return self.broken;
+    /// The violation in this state, or in the state after all faults have ended.
+    fn violation(&self) -> Option<&'static str> {
+        if self.violation.is_some() {
+            return self.violation;
         }
         let mut healed = self.clone();
         for node in &mut healed.nodes {
             node.paused = false;
             node.cut = false;
         }
-        for _ in 0..QUIET_ROUNDS {
+        for _ in 0..HEALING_ROUNDS {
             healed.round(None, false);
-            if healed.doubts().is_none() {
-                // It must stay so.
+            if healed.first_disagreement().is_none() {
+                // The agreement must last.
                 healed.round(None, false);
                 healed.round(None, false);
                 break;
             }
         }
-        if healed.broken.is_some() {
-            return healed.broken;
+        if healed.violation.is_some() {
+            return healed.violation;
         }
-        let doubts = healed.doubts();
-        doubts.map(|_| "a live host that can be reached is not seen alive after healing")
+        let first_disagreement = healed.first_disagreement();
+        first_disagreement
+            .map(|_| "a reachable host is not seen as alive after all faults have ended")
     }
 }
 
-fn search(name: &str, places: [usize; HOSTS], faults: u8, depth: usize) {
+fn search(name: &str, data_centres: [usize; HOSTS], faults: u8, depth: usize) {
     let states = Cell::new(0_u64);
-    let start = World::new(places, faults);
+    let start = World::new(data_centres, faults);
     let found = bfs(
         &start,
         |world| {
             states.set(states.get() + 1);
-            let steps = if world.trail.len() < depth {
+            let steps = if world.history.len() < depth {
                 world.steps()
             } else {
                 Vec::new()
@@ -325,7 +330,7 @@
             let next: Vec<World> = steps.into_iter().map(|s| world.after(s)).collect();
             next
         },
-        |world| world.broken().is_some(),
+        |world| world.violation().is_some(),
     );
     println!(
         "{name}: {} states expanded, depth {depth}, {faults} faults",
@@ -335,30 +340,30 @@
         let end = path.last().unwrap();
         panic!(
             "{name}: {} after {} steps: {:?}",
-            end.broken().unwrap(),
+            end.violation().unwrap(),
             path.len() - 1,
-            end.trail
+            end.history
         );
     }
 }
 
-/// Builds without optimization search less.
-const DEEP: bool = !cfg!(debug_assertions);
+/// Unoptimized builds search with fewer faults and steps.
+const OPTIMIZED: bool = !cfg!(debug_assertions);
 
 #[test]
-fn three_hosts_of_one_data_centre_see_each_other_after_any_faults() {
-    let (faults, depth) = if DEEP { (3, 9) } else { (2, 7) };
+fn three_hosts_of_one_data_centre_agree_after_any_faults() {
+    let (faults, depth) = if OPTIMIZED { (3, 9) } else { (2, 7) };
     search("one data centre", [0, 0, 0], faults, depth);
 }
 
 #[test]
-fn three_data_centres_of_one_host_see_each_other_after_any_faults() {
-    let (faults, depth) = if DEEP { (3, 9) } else { (2, 7) };
+fn three_data_centres_of_one_host_agree_after_any_faults() {
+    let (faults, depth) = if OPTIMIZED { (3, 9) } else { (2, 7) };
     search("three data centres", [0, 1, 2], faults, depth);
 }
 
 #[test]
-fn two_hosts_and_one_elsewhere_see_each_other_after_any_faults() {
-    let (faults, depth) = if DEEP { (3, 9) } else { (2, 7) };
+fn two_hosts_and_one_elsewhere_agree_after_any_faults() {
+    let (faults, depth) = if OPTIMIZED { (3, 9) } else { (2, 7) };
     search("two data centres", [0, 0, 1], faults, depth);
 }
