--- a/crates/replay/src/generate/mod.rs
+++ b/crates/replay/src/generate/mod.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::trace::{checked::VERSION, raw};
+use crate::trace::{checked::FORMAT_VERSION, raw};
 use deployment::Deployment;
 
 /// The highest rate that is generated, in arrivals a second.
@@ -85,7 +85,7 @@
         ..
     } = plan.deployment;
     let header = raw::Header {
-        trace: VERSION,
+        trace: FORMAT_VERSION,
         deployment: (*name).to_owned(),
         model: (*model).to_owned(),
         layers: *layers,
--- a/crates/replay/src/trace/checked.rs
+++ b/crates/replay/src/trace/checked.rs
@@ -1,4 +1,4 @@
-//! Checked types of a trace. `TryFrom` makes them from the lines of [`raw`].
+//! The validated types of a trace, converted from the lines of [`raw`].
 
 use std::time::Duration;
 
@@ -7,74 +7,74 @@
 
 use super::raw;
 
-/// The version of the format that is read and written.
-pub const VERSION: u32 = 1;
-/// The longest prompt and the longest answer, in tokens.
+/// The version of the trace format that is read and written.
+pub const FORMAT_VERSION: u32 = 1;
+/// The maximum length of a prompt and of an answer, in tokens.
 pub const MAX_TOKENS: u32 = 1 << 20;
-/// The longest id or key, in bytes.
-pub const MAX_ID_LEN: usize = 128;
-/// Where a fault's body is posted if the trace gives no path.
-pub const FAULTS_PATH: &str = "/standin/faults";
-/// The window of [`Recovery`] if the trace gives none.
-pub const DEFAULT_WINDOW: Duration = Duration::from_secs(1);
-
-/// What a trace was made for.
+/// The maximum length of an id or key, in bytes.
+pub const MAX_ID_BYTES: usize = 128;
+/// The path that the body of a fault is posted to if the trace gives none.
+pub const DEFAULT_FAULTS_PATH: &str = "/standin/faults";
+/// The window of a [`Recovery`] if the trace gives none.
+pub const DEFAULT_RECOVERY_WINDOW: Duration = Duration::from_secs(1);
+
+/// The deployment and the model that a trace is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
     /// The deployment.
     pub deployment: Name,
-    /// The default model.
+    /// The model of all requests of the trace.
     pub model: TargetName,
     /// The number of layers of `model`. At least 1.
     pub layers: u32,
-    /// The seed of a synthetic trace.
+    /// The seed that a synthetic trace was generated from.
     pub seed: Option<u64>,
 }
 
-/// One request or call, to be sent at its time whatever the others do.
+/// One request or call, sent at its intended time regardless of the state of the others.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// The intended send time since the start of the trace.
+    /// The intended send time, since the start of the trace.
     pub at: Duration,
-    /// Unique within the trace.
+    /// The id, unique within the trace.
     pub id: String,
-    /// The owner.
+    /// The workspace that owns the work.
     pub workspace: WorkspaceName,
     /// The class of work.
     pub class: ClassName,
-    /// The caller's patience from the intended send time.
+    /// The caller's deadline, from the intended send time; `None` if the caller sends none.
     pub deadline: Option<Duration>,
-    /// Whether the work may be run again, if the caller says.
+    /// Whether the work may be run again; `None` if the caller does not state it.
     pub repeatable: Option<bool>,
-    /// Whose entry hosts get it.
+    /// The data centre whose entry hosts the caller sends to.
     pub data_centre: DataCentre,
     /// The idempotency key. Invariant: visible ASCII without `/`.
     pub key: String,
-    /// What is asked for.
+    /// The requested work.
     pub work: Work,
 }
 
-/// What is asked for.
+/// The work that an arrival requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Work {
-    /// Tokens from a model.
+    /// Token generation by a model.
     Generation(Generation),
     /// A call of a plain service.
     Call(Call),
 }
 
-/// Tokens from a model.
+/// Token generation by a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Generation {
     /// The model.
     pub model: TargetName,
-    /// The length of the prompt. At least 1.
+    /// The length of the prompt in tokens. At least 1.
     pub prompt_tokens: u32,
-    /// The length of the answer. At least 1.
+    /// The length of the answer in tokens. At least 1.
     pub max_tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether it is sent as a chat.
+    /// Whether the request is sent as a chat completion.
     pub chat: bool,
 }
 
@@ -91,7 +91,7 @@
     pub body: Option<Value>,
 }
 
-/// The methods a call can have.
+/// The HTTP method of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
     /// `GET`
@@ -105,7 +105,7 @@
 }
 
 impl Method {
-    /// The method as it stands in a request.
+    /// The method as it is written in an HTTP request.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "GET",
@@ -119,26 +119,27 @@
 /// A fault.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// When it happens.
+    /// When the fault is injected, since the start of the trace.
     pub at: Duration,
-    /// Unique within the trace.
+    /// The id, unique within the trace.
     pub id: String,
-    /// Whom it happens to.
+    /// The target: the name of a section of the targets file.
     pub target: String,
-    /// What happens.
+    /// The action to carry out.
     pub action: Action,
 }
 
-/// What a fault does.
+/// The action of a fault.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// An order to whoever started the process, as the word of [`Signal`].
+    /// A signal to a process. It is written to the orders file and delivered by the program that
+    /// started the process.
     Signal(Signal),
-    /// A call of the stand-in's own interface.
+    /// A request to the control interface of the stand-in.
     Post(Post),
 }
 
-/// A call of a stand-in's own interface.
+/// A request to the control interface of a stand-in.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Post {
     /// The path. Invariant: below `/standin/`.
@@ -147,23 +148,23 @@
     pub body: Value,
 }
 
-/// What is done to a process.
+/// A signal that changes the state of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Killed at once.
+    /// Kills the process at once.
     Kill,
-    /// Paused.
+    /// Pauses the process.
     Stop,
-    /// Resumed.
+    /// Resumes a paused process.
     Cont,
-    /// Asked to end.
+    /// Asks the process to terminate.
     Term,
-    /// Started again.
+    /// Starts the process again.
     Start,
 }
 
 impl Signal {
-    /// The word in the orders file.
+    /// The name of the signal in the orders file.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Kill => "kill",
@@ -178,19 +179,19 @@
 /// A stated outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// At most so many violations.
+    /// The check finds at most this many violations.
     AtMost(raw::Check, u64),
-    /// The completed rate is back in time.
+    /// The completed rate recovers from a fault in time.
     Recovery(Recovery),
 }
 
-/// How soon the completed rate must be back after a fault.
+/// The time in which the completed rate must recover from a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovery {
     /// The id of the fault.
     pub fault: String,
-    /// The longest time allowed.
+    /// The maximum recovery time.
     pub max: Duration,
-    /// The length of the compared windows.
+    /// The length of the windows over which the completed rate is measured.
     pub window: Duration,
 }
--- a/crates/replay/src/trace/convert.rs
+++ b/crates/replay/src/trace/convert.rs
@@ -1,4 +1,4 @@
-//! The checks between the lines of a trace and its checked types.
+//! Validates the lines of a trace and converts them into checked types.
 
 use std::time::Duration;
 
@@ -6,8 +6,9 @@
 
 use super::{
     checked::{
-        Action, Arrival, Call, DEFAULT_WINDOW, FAULTS_PATH, Fault, Generation, Header, MAX_ID_LEN,
-        MAX_TOKENS, Method, Outcome, Post, Recovery, Signal, VERSION, Work,
+        Action, Arrival, Call, DEFAULT_FAULTS_PATH, DEFAULT_RECOVERY_WINDOW, FORMAT_VERSION, Fault,
+        Generation, Header, MAX_ID_BYTES, MAX_TOKENS, Method, Outcome, Post, Recovery, Signal,
+        Work,
     },
     error::TraceErrorKind,
     raw,
@@ -17,12 +18,12 @@
     type Error = TraceErrorKind;
 
     fn try_from(raw: raw::Header) -> Result<Self, TraceErrorKind> {
-        if raw.trace != VERSION {
+        if raw.trace != FORMAT_VERSION {
             return Err(TraceErrorKind::Version(raw.trace));
         }
         Ok(Self {
-            deployment: checked("deployment", &raw.deployment, |s| name::Name::try_from(s))?,
-            model: checked("model", &raw.model, |s| TargetName::try_from(s))?,
+            deployment: checked_name("deployment", &raw.deployment, |s| name::Name::try_from(s))?,
+            model: checked_name("model", &raw.model, |s| TargetName::try_from(s))?,
             layers: in_range("layers", raw.layers, 1, 4096, "from 1 to 4096")?,
             seed: raw.seed,
         })
@@ -30,14 +31,14 @@
 }
 
 impl Arrival {
-    /// Checks a request; `header` gives what the line leaves out.
+    /// Converts a request line. `header` supplies the model if the line leaves it out.
     pub fn from_request(raw: raw::Request, header: &Header) -> Result<Self, TraceErrorKind> {
         let model = match &raw.model {
-            Some(model) => checked("model", model, |s| TargetName::try_from(s))?,
+            Some(model) => checked_name("model", model, |s| TargetName::try_from(s))?,
             None => header.model.clone(),
         };
         if model != header.model {
-            return Err(TraceErrorKind::Form {
+            return Err(TraceErrorKind::Format {
                 field: "model",
                 value: model.to_string(),
                 expected: "the header's model, whose layers are known",
@@ -54,11 +55,13 @@
         let id = checked_id("id", raw.id)?;
         Ok(Self {
             at: Duration::from_millis(raw.at_ms),
-            workspace: checked("workspace", &raw.workspace, |s| WorkspaceName::try_from(s))?,
-            class: checked("class", &raw.class, |s| ClassName::try_from(s))?,
+            workspace: checked_name("workspace", &raw.workspace, |s| WorkspaceName::try_from(s))?,
+            class: checked_name("class", &raw.class, |s| ClassName::try_from(s))?,
             deadline: raw.deadline_ms.map(milliseconds),
             repeatable: raw.repeatable,
-            data_centre: checked("data_centre", &raw.data_centre, |s| DataCentre::try_from(s))?,
+            data_centre: checked_name("data_centre", &raw.data_centre, |s| {
+                DataCentre::try_from(s)
+            })?,
             key: checked_key(raw.key, &id)?,
             id,
             work: Work::Generation(generation),
@@ -71,7 +74,7 @@
 
     fn try_from(raw: raw::Call) -> Result<Self, TraceErrorKind> {
         let call = Call {
-            service: checked("service", &raw.service, |s| TargetName::try_from(s))?,
+            service: checked_name("service", &raw.service, |s| TargetName::try_from(s))?,
             method: Method::try_from(raw.method)?,
             path: checked_path(raw.path)?,
             body: raw.body,
@@ -79,11 +82,13 @@
         let id = checked_id("id", raw.id)?;
         Ok(Self {
             at: Duration::from_millis(raw.at_ms),
-            workspace: checked("workspace", &raw.workspace, |s| WorkspaceName::try_from(s))?,
-            class: checked("class", &raw.class, |s| ClassName::try_from(s))?,
+            workspace: checked_name("workspace", &raw.workspace, |s| WorkspaceName::try_from(s))?,
+            class: checked_name("class", &raw.class, |s| ClassName::try_from(s))?,
             deadline: raw.deadline_ms.map(milliseconds),
             repeatable: raw.repeatable,
-            data_centre: checked("data_centre", &raw.data_centre, |s| DataCentre::try_from(s))?,
+            data_centre: checked_name("data_centre", &raw.data_centre, |s| {
+                DataCentre::try_from(s)
+            })?,
             key: checked_key(raw.key, &id)?,
             id,
             work: Work::Call(call),
@@ -100,7 +105,7 @@
             "POST" => Ok(Self::Post),
             "PUT" => Ok(Self::Put),
             "DELETE" => Ok(Self::Delete),
-            _ => Err(TraceErrorKind::Form {
+            _ => Err(TraceErrorKind::Format {
                 field: "method",
                 value: raw,
                 expected: "GET, POST, PUT or DELETE",
@@ -152,7 +157,7 @@
         Ok(Self {
             at: Duration::from_millis(raw.at_ms),
             id: checked_id("id", raw.id)?,
-            target: checked("target", &raw.target, |s| name::Name::try_from(s))?.into(),
+            target: checked_name("target", &raw.target, |s| name::Name::try_from(s))?.into(),
             action,
         })
     }
@@ -166,12 +171,12 @@
             return Recovery::try_from(raw).map(Self::Recovery);
         }
         let reason = "only the check \"recovery\" has it";
-        let stray = [
+        let unexpected = [
             ("fault", raw.fault.is_some()),
             ("max_ms", raw.max_ms.is_some()),
             ("window_ms", raw.window_ms.is_some()),
         ];
-        if let Some((field, _)) = stray.into_iter().find(|(_, present)| *present) {
+        if let Some((field, _)) = unexpected.into_iter().find(|(_, present)| *present) {
             return Err(TraceErrorKind::Unexpected { field, reason });
         }
         Ok(Self::AtMost(raw.check, raw.max.unwrap_or(0)))
@@ -202,7 +207,7 @@
                 });
             }
             Some(ms) => Duration::from_millis(ms),
-            None => DEFAULT_WINDOW,
+            None => DEFAULT_RECOVERY_WINDOW,
         };
         Ok(Self {
             fault: raw.fault.ok_or_else(|| missing("fault"))?,
@@ -216,7 +221,7 @@
     Duration::from_millis(ms.into())
 }
 
-fn checked<T>(
+fn checked_name<T>(
     field: &'static str,
     raw: &str,
     check: impl Fn(&str) -> Result<T, name::NameError>,
@@ -247,10 +252,10 @@
 
 fn checked_id(field: &'static str, raw: String) -> Result<String, TraceErrorKind> {
     let allowed = |b: u8| b.is_ascii_graphic() && b != b'/';
-    if (1..=MAX_ID_LEN).contains(&raw.len()) && raw.bytes().all(allowed) {
+    if (1..=MAX_ID_BYTES).contains(&raw.len()) && raw.bytes().all(allowed) {
         return Ok(raw);
     }
-    Err(TraceErrorKind::Form {
+    Err(TraceErrorKind::Format {
         field,
         value: raw,
         expected: "1 to 128 visible ASCII characters without '/'",
@@ -268,7 +273,7 @@
     if raw.starts_with('/') && raw.bytes().all(|b| b.is_ascii_graphic()) {
         return Ok(raw);
     }
-    Err(TraceErrorKind::Form {
+    Err(TraceErrorKind::Format {
         field: "path",
         value: raw,
         expected: "visible ASCII starting with '/'",
@@ -276,11 +281,11 @@
 }
 
 fn checked_post_path(raw: Option<String>) -> Result<String, TraceErrorKind> {
-    let path = checked_path(raw.unwrap_or_else(|| FAULTS_PATH.to_owned()))?;
+    let path = checked_path(raw.unwrap_or_else(|| DEFAULT_FAULTS_PATH.to_owned()))?;
     if path.starts_with("/standin/") {
         return Ok(path);
     }
-    Err(TraceErrorKind::Form {
+    Err(TraceErrorKind::Format {
         field: "path",
         value: path,
         expected: "below /standin/",
--- a/crates/replay/src/trace/error.rs
+++ b/crates/replay/src/trace/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with a trace.
+//! Errors in the text of a trace.
 
-/// A refused trace: the place and the reason.
+/// The reason a trace was rejected, and the line at fault.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {kind}")]
 pub struct TraceError {
-    /// The file.
+    /// The name of the trace file.
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
@@ -12,69 +12,69 @@
     pub kind: TraceErrorKind,
 }
 
-/// Why a line is refused.
+/// Why a line of a trace was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TraceErrorKind {
-    /// There is no line at all.
+    /// The file has no line that is not blank.
     #[error("the file is empty; its first line must be a header such as {{\"trace\":1,...}}")]
     Empty,
-    /// The line is not JSON of the expected form.
+    /// The line is not valid JSON or does not match the schema of its kind.
     #[error("{0}")]
     Json(String),
-    /// The format has another version.
+    /// The version of the format is not supported.
     #[error("trace version {0} is not known; this tool reads version 1")]
     Version(u32),
-    /// A name is not allowed.
+    /// A name is not valid.
     #[error("{field}: {reason}")]
     Name {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Why.
+        /// Why the name is not valid.
         reason: String,
     },
     /// A number is out of range.
     #[error("{field} = {value}: must be {expected}")]
     Range {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The value found.
+        /// The rejected value.
         value: u64,
-        /// What would be right.
+        /// What the field allows.
         expected: &'static str,
     },
-    /// An id stands twice.
+    /// Two lines have the same id.
     #[error("id {0:?} stands in an earlier line too")]
-    Duplicate(String),
-    /// A key stands for different work.
+    DuplicateId(String),
+    /// Two lines of a workspace have the same idempotency key but different work.
     #[error("key {0:?} stands in an earlier line for other work")]
     KeyReused(String),
-    /// A field that the line needs is missing.
+    /// A required field is missing.
     #[error("{field} is missing: {reason}")]
     Missing {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Why it is needed.
+        /// Why the field is required.
         reason: &'static str,
     },
-    /// A field that the line cannot have.
+    /// A field is present that has no meaning on this line.
     #[error("{field} has no meaning here: {reason}")]
     Unexpected {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Why not.
+        /// Why the field has no meaning.
         reason: &'static str,
     },
-    /// A text that does not have the needed form.
+    /// A text does not have the required format.
     #[error("{field} = {value:?}: must be {expected}")]
-    Form {
-        /// The field.
+    Format {
+        /// The name of the field.
         field: &'static str,
-        /// The value found.
+        /// The rejected value.
         value: String,
-        /// What would be right.
+        /// What the field allows.
         expected: &'static str,
     },
-    /// An outcome names a fault that the trace does not have.
+    /// An outcome names a fault that is not in the trace.
     #[error("fault {0:?} does not stand in this trace")]
     UnknownFault(String),
 }
--- a/crates/replay/src/trace/mod.rs
+++ b/crates/replay/src/trace/mod.rs
@@ -1,7 +1,7 @@
-//! The trace: what is sent, what breaks, and what must come of it.
+//! The trace: the requests to send, the faults to inject and the outcomes that must hold.
 //!
-//! [`raw`] has the lines as they stand in the file, [`checked`] what they become. A [`Trace`] is
-//! parsed once; everything else works on checked types.
+//! [`raw`] defines the lines as they are in the file, [`checked`] the validated types they are
+//! converted to. A [`Trace`] is parsed once; all other modules work on the checked types.
 
 pub mod checked;
 mod convert;
@@ -16,24 +16,24 @@
 pub use checked::{Arrival, Fault, Header, Outcome, Work};
 pub use error::{TraceError, TraceErrorKind};
 
-/// A checked trace.
+/// A validated trace.
 ///
 /// Invariants: `arrivals` and `faults` are ordered by time; ids are unique; each recovery outcome
 /// names a fault of `faults`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Trace {
-    /// What the trace was made for.
+    /// The deployment and the model that the trace is for.
     pub header: Header,
-    /// Requests and calls, by time.
+    /// Requests and calls, ordered by time.
     pub arrivals: Vec<Arrival>,
-    /// Faults, by time.
+    /// Faults, ordered by time.
     pub faults: Vec<Fault>,
     /// Stated outcomes, in the order of the file.
     pub outcomes: Vec<Outcome>,
 }
 
 impl Trace {
-    /// Parses `text`; `file` names it in errors.
+    /// Parses `text`. Errors name `file` as its source.
     pub fn parse(file: &str, text: &str) -> Result<Self, TraceError> {
         let fail = |line, kind| TraceError {
             file: file.to_owned(),
@@ -52,7 +52,7 @@
         builder.finish().map_err(|(n, kind)| fail(n, kind))
     }
 
-    /// The time of the last arrival or fault.
+    /// The time of the last arrival or fault since the start of the trace; zero if there is none.
     pub fn length(&self) -> Duration {
         let arrivals = self.arrivals.iter().map(|a| a.at);
         let faults = self.faults.iter().map(|f| f.at);
@@ -69,13 +69,13 @@
     serde_json::from_str(line).map_err(|e| TraceErrorKind::Json(e.to_string()))
 }
 
-/// Collects checked lines and the checks between lines.
+/// Collects checked lines and applies the checks that compare lines with each other.
 struct Builder {
     trace: Trace,
     ids: BTreeSet<String>,
-    /// The index in `trace.arrivals` of the first with each workspace and key.
+    /// The index in `trace.arrivals` of the first arrival with each workspace and key.
     keys: BTreeMap<(String, String), usize>,
-    /// Lines of outcomes, parallel to `trace.outcomes`.
+    /// The line number of each outcome, parallel to `trace.outcomes`.
     outcome_lines: Vec<usize>,
 }
 
@@ -104,7 +104,7 @@
             raw::Line::Call(raw) => self.add_arrival(Arrival::try_from(raw)?),
             raw::Line::Fault(raw) => {
                 let fault = Fault::try_from(raw)?;
-                self.claim_id(&fault.id)?;
+                self.register_id(&fault.id)?;
                 self.trace.faults.push(fault);
                 Ok(())
             }
@@ -117,7 +117,7 @@
     }
 
     fn add_arrival(&mut self, arrival: Arrival) -> Result<(), TraceErrorKind> {
-        self.claim_id(&arrival.id)?;
+        self.register_id(&arrival.id)?;
         let identity = (arrival.workspace.to_string(), arrival.key.clone());
         let next = self.trace.arrivals.len();
         let first = *self.keys.entry(identity).or_insert(next);
@@ -131,11 +131,11 @@
         Ok(())
     }
 
-    fn claim_id(&mut self, id: &str) -> Result<(), TraceErrorKind> {
+    fn register_id(&mut self, id: &str) -> Result<(), TraceErrorKind> {
         if self.ids.insert(id.to_owned()) {
             return Ok(());
         }
-        Err(TraceErrorKind::Duplicate(id.to_owned()))
+        Err(TraceErrorKind::DuplicateId(id.to_owned()))
     }
 
     fn finish(mut self) -> Result<Trace, (usize, TraceErrorKind)> {
--- a/crates/replay/src/trace/raw.rs
+++ b/crates/replay/src/trace/raw.rs
@@ -1,4 +1,4 @@
-//! The lines of a trace as they stand in the file. Unknown fields are refused.
+//! The lines of a trace as they are in the file. Unknown fields are rejected.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -9,13 +9,13 @@
 pub struct Header {
     /// The version of the format.
     pub trace: u32,
-    /// The deployment the trace was made for.
+    /// The deployment that the trace is for.
     pub deployment: String,
-    /// The model that requests name by default.
+    /// The model of requests that name none.
     pub model: String,
     /// The number of layers of `model`.
     pub layers: u32,
-    /// The seed the trace was made from, if it is synthetic.
+    /// The seed that a synthetic trace was generated from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
 }
@@ -38,35 +38,35 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// When it is sent, in milliseconds since the start of the trace.
+    /// The intended send time, in milliseconds since the start of the trace.
     pub at_ms: u64,
-    /// Its name, unique within the trace.
+    /// The id, unique within the trace.
     pub id: String,
-    /// The owner.
+    /// The workspace that owns the work.
     pub workspace: String,
     /// The class of work.
     pub class: String,
-    /// The model; the header's if left out.
+    /// The model; the one in the header if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// The length of the prompt. The text is made from `id`.
+    /// The length of the prompt in tokens. The text is generated from `workspace` and `key`.
     pub prompt_tokens: u32,
-    /// The length of the answer.
+    /// The length of the answer in tokens.
     pub max_tokens: u32,
-    /// The caller's patience, in milliseconds from the intended send time.
+    /// The caller's deadline, in milliseconds from the intended send time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u32>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether the request is sent as a chat.
+    /// Whether the request is sent as a chat completion.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub chat: bool,
-    /// Whether the request may be run again; not sent if left out.
+    /// Whether the request may be run again; the header is not sent if this is left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
-    /// The data centre whose entry hosts get it.
+    /// The data centre whose entry hosts the caller sends to.
     pub data_centre: String,
-    /// The idempotency key; `id` if left out. Lines with the same key are duplicates.
+    /// The idempotency key; `id` if left out. Lines of a workspace with the same key are duplicates.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
@@ -75,11 +75,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// When it is sent, in milliseconds since the start of the trace.
+    /// The intended send time, in milliseconds since the start of the trace.
     pub at_ms: u64,
-    /// Its name, unique within the trace.
+    /// The id, unique within the trace.
     pub id: String,
-    /// The owner.
+    /// The workspace that owns the work.
     pub workspace: String,
     /// The class of work.
     pub class: String,
@@ -92,15 +92,15 @@
     /// The JSON body.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<Value>,
-    /// The caller's patience, in milliseconds from the intended send time.
+    /// The caller's deadline, in milliseconds from the intended send time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u32>,
-    /// Whether the call may be run again; not sent if left out.
+    /// Whether the call may be run again; the header is not sent if this is left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
-    /// The data centre whose entry hosts get it.
+    /// The data centre whose entry hosts the caller sends to.
     pub data_centre: String,
-    /// The idempotency key; `id` if left out. Lines with the same key are duplicates.
+    /// The idempotency key; `id` if left out. Lines of a workspace with the same key are duplicates.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
@@ -109,38 +109,38 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it happens, in milliseconds since the start of the trace.
+    /// When the fault is injected, in milliseconds since the start of the trace.
     pub at_ms: u64,
-    /// Its name, unique within the trace.
+    /// The id, unique within the trace.
     pub id: String,
-    /// What happens.
+    /// The action to carry out.
     #[serde(rename = "do")]
     pub action: Action,
-    /// Whom it happens to: a section of the targets file.
+    /// The target: the name of a section of the targets file.
     pub target: String,
-    /// Where it is posted, for [`Action::Post`]; `/standin/faults` if left out.
+    /// The path that `body` is posted to, for [`Action::Post`]; `/standin/faults` if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path: Option<String>,
-    /// What is posted to the stand-in, for [`Action::Post`].
+    /// The JSON body that is posted to the stand-in, for [`Action::Post`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<Value>,
 }
 
-/// What a fault does.
+/// The action of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// The process is killed.
+    /// Kills the process.
     Kill,
-    /// The process is paused.
+    /// Pauses the process.
     Stop,
-    /// The process goes on after a pause.
+    /// Resumes a paused process.
     Cont,
-    /// The process is asked to end by itself.
+    /// Asks the process to terminate.
     Term,
-    /// The process is started again.
+    /// Starts the process again.
     Start,
-    /// The body is posted to the stand-in.
+    /// Posts the body to the stand-in.
     Post,
 }
 
@@ -148,40 +148,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outcome {
-    /// What is checked.
+    /// The check to apply.
     pub check: Check,
-    /// The most violations that still keep the outcome; 0 if left out.
+    /// The maximum number of violations with which the outcome is kept; 0 if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max: Option<u64>,
-    /// The fault whose recovery is timed, for [`Check::Recovery`].
+    /// The id of the fault whose recovery is timed, for [`Check::Recovery`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fault: Option<String>,
-    /// The longest recovery in milliseconds, for [`Check::Recovery`].
+    /// The maximum recovery time in milliseconds, for [`Check::Recovery`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_ms: Option<u64>,
-    /// The length of the windows that are compared, for [`Check::Recovery`].
+    /// The length in milliseconds of the windows over which the completed rate is measured, for
+    /// [`Check::Recovery`]; 1000 if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window_ms: Option<u64>,
 }
 
-/// What an outcome checks. Each counts violations.
+/// What an outcome checks. Every check but [`Check::Recovery`] counts violations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Check {
-    /// Answers that are cut, doubled or differ from the reference.
+    /// Answers that are truncated, repeat tokens or differ from the reference.
     AnswersEqual,
     /// Requests refused as not run.
     Refused,
-    /// Requests without an answer that were not refused as not run.
+    /// Requests that failed other than by a refusal as not run, or that got no answer.
     Failed,
-    /// Answers that came after the deadline.
+    /// Answers that were received after the deadline.
     Late,
-    /// Layers of a position that an answered request missed or one attempt ran twice.
+    /// Requests with a position that a layer did not run although the request was answered, or that
+    /// one attempt ran twice in a layer.
     LayersOnce,
-    /// Requests reported as not run that a ledger shows.
+    /// Requests that were reported as not run although a ledger shows that they ran.
     NotRunTrue,
-    /// Not-repeatable work that ran more than once.
+    /// Calls marked as not repeatable that ran more than once.
     AtMostOnce,
-    /// The time from a fault until the completed rate is back.
+    /// The time from a fault until the completed rate has recovered.
     Recovery,
 }
