--- a/crates/replay/src/cli/record.rs
+++ b/crates/replay/src/cli/record.rs
@@ -33,10 +33,10 @@
     let deployment = Deployment::by_name(name)
         .with_context(|| format!("--deployment {name:?}: must be namhae or kiosknetz"))?;
     ensure!(
-        args.rate > 0.0 && args.rate <= generate::MAX_RATE,
+        args.rate > 0.0 && args.rate <= generate::MAX_ARRIVALS_PER_SECOND,
         "--rate {}: must be above 0 and at most {}",
         args.rate,
-        generate::MAX_RATE
+        generate::MAX_ARRIVALS_PER_SECOND
     );
     let plan = generate::Plan {
         deployment,
--- a/crates/replay/src/generate/deployment.rs
+++ b/crates/replay/src/generate/deployment.rs
@@ -1,19 +1,19 @@
-//! The deployments that synthetic traces are made for.
+//! The deployments that synthetic traces can be generated for.
 
-/// What a deployment's traffic looks like.
+/// The traffic of a deployment.
 #[derive(Debug, PartialEq)]
 pub struct Deployment {
-    /// The name in the trace's header.
+    /// The name in the header of the trace.
     pub name: &'static str,
-    /// The model.
+    /// The model of all requests.
     pub model: &'static str,
-    /// The layers of the model.
+    /// The number of layers of the model.
     pub layers: u32,
-    /// The plain service.
+    /// The plain service of all calls.
     pub service: &'static str,
     /// The path whose calls must run at most once.
     pub once_path: &'static str,
-    /// A path whose calls may be repeated.
+    /// The path whose calls may be repeated.
     pub read_path: &'static str,
     /// The data centres.
     pub data_centres: [&'static str; 3],
@@ -21,12 +21,12 @@
     pub workspaces: [Workspace; 10],
 }
 
-/// An owner of work.
+/// A workspace and its weight in the traffic.
 #[derive(Debug, PartialEq)]
 pub struct Workspace {
     /// The name.
     pub name: &'static str,
-    /// Its part of the arrivals, relative to the others.
+    /// The weight of its arrivals, relative to the other workspaces.
     pub weight: u32,
 }
 
@@ -85,7 +85,7 @@
 };
 
 impl Deployment {
-    /// The deployment called `name`.
+    /// The deployment with the name `name`, if there is one.
     pub fn by_name(name: &str) -> Option<&'static Self> {
         [&NAMHAE, &KIOSKNETZ].into_iter().find(|d| d.name == name)
     }
--- a/crates/replay/src/generate/mod.rs
+++ b/crates/replay/src/generate/mod.rs
@@ -1,8 +1,9 @@
-//! Synthetic traces.
+//! Generation of synthetic traces.
 //!
-//! Arrivals are a Poisson process whose rate goes up in regular bursts; owners, data centres and
-//! kinds of work are drawn by weight; lengths are log-normal within bounds. A seed gives the same
-//! trace on every machine of one floating-point arithmetic.
+//! Arrivals are a Poisson process whose rate rises in periodic bursts. Workspaces, data centres and
+//! kinds of work are chosen at random with fixed weights, and lengths follow a clamped log-normal
+//! distribution. The same seed gives the same trace on all machines with the same floating-point
+//! arithmetic.
 
 pub mod deployment;
 
@@ -14,45 +15,45 @@
 use crate::trace::{checked::FORMAT_VERSION, raw};
 use deployment::Deployment;
 
-/// The highest rate that is generated, in arrivals a second.
-pub const MAX_RATE: f64 = 100_000.0;
+/// The maximum mean rate of a generated trace.
+pub const MAX_ARRIVALS_PER_SECOND: f64 = 100_000.0;
 
-/// The time from one burst to the next, in milliseconds.
-const BURST_EVERY_MS: f64 = 5000.0;
+/// The time from the start of one burst to the start of the next, in milliseconds.
+const BURST_PERIOD_MS: f64 = 5000.0;
 /// The length of a burst, in milliseconds.
 const BURST_MS: f64 = 1000.0;
-/// How much higher the rate is in a burst than between bursts.
-const BURST_FACTOR: f64 = 3.0;
-/// The part of plain calls among arrivals.
-const CALLS: f64 = 0.1;
-/// The part of calls that must run at most once.
-const CALLS_ONCE: f64 = 0.4;
-/// The part of requests of the class `batch`.
-const BATCH: f64 = 0.25;
-/// The part of interactive requests that are streamed.
-const STREAMED: f64 = 0.8;
-/// The part of requests sent as a chat.
-const CHATS: f64 = 0.3;
-/// The part of arrivals that the caller sends twice under one key.
-const DUPLICATES: f64 = 0.02;
-/// How much later the duplicate is sent, in milliseconds.
-const DUPLICATE_AFTER_MS: u64 = 150;
+/// The ratio of the rate within a burst to the rate between bursts.
+const BURST_RATE_FACTOR: f64 = 3.0;
+/// The fraction of arrivals that are calls of a plain service.
+const CALL_FRACTION: f64 = 0.1;
+/// The fraction of calls that must run at most once.
+const ONCE_CALL_FRACTION: f64 = 0.4;
+/// The fraction of requests of the class `batch`.
+const BATCH_FRACTION: f64 = 0.25;
+/// The fraction of interactive requests that are streamed.
+const STREAM_FRACTION: f64 = 0.8;
+/// The fraction of requests sent as a chat completion.
+const CHAT_FRACTION: f64 = 0.3;
+/// The fraction of arrivals that the caller sends twice with the same key.
+const DUPLICATE_FRACTION: f64 = 0.02;
+/// The delay of a duplicate after the original, in milliseconds.
+const DUPLICATE_DELAY_MS: u64 = 150;
 
-/// A log-normal length in tokens.
-struct Length {
+/// A log-normal distribution of lengths in tokens, clamped to `min..=max`.
+struct LengthDistribution {
     median: f64,
     sigma: f64,
     min: f64,
     max: f64,
 }
 
-const PROMPT: Length = Length {
+const PROMPT_LENGTH: LengthDistribution = LengthDistribution {
     median: 96.0,
     sigma: 0.8,
     min: 8.0,
     max: 1024.0,
 };
-const ANSWER: Length = Length {
+const ANSWER_LENGTH: LengthDistribution = LengthDistribution {
     median: 24.0,
     sigma: 0.6,
     min: 2.0,
@@ -63,20 +64,21 @@
 const BATCH_DEADLINE_MS: u32 = 30_000;
 const CALL_DEADLINE_MS: u32 = 5_000;
 
-/// What trace is made.
+/// The parameters of a generated trace.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
-    /// For whom.
+    /// The deployment whose traffic is generated.
     pub deployment: &'static Deployment,
-    /// Its length in seconds.
+    /// The length of the trace in seconds.
     pub seconds: u32,
-    /// Mean arrivals a second, above 0 and at most [`MAX_RATE`].
+    /// The mean number of arrivals per second. Above 0 and at most [`MAX_ARRIVALS_PER_SECOND`].
     pub rate: f64,
-    /// The seed.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
-/// The text of the trace, with the outcomes of a run without faults.
+/// Generates the text of a trace, in JSON Lines. It has no faults, and its outcomes allow no
+/// violation.
 pub fn trace(plan: &Plan) -> serde_json::Result<String> {
     let Deployment {
         name,
@@ -108,7 +110,7 @@
     Ok(())
 }
 
-/// Every check but recovery, none of which may find anything.
+/// All checks except the one of recovery, each with a maximum of 0 violations.
 fn outcomes() -> impl Iterator<Item = raw::Outcome> {
     let checks = [
         raw::Check::AnswersEqual,
@@ -131,8 +133,8 @@
 struct Generator<'a> {
     plan: &'a Plan,
     rng: Pcg64,
-    owners: WeightedIndex<u32>,
-    /// Arrivals so far.
+    workspaces: WeightedIndex<u32>,
+    /// The number of arrivals generated so far.
     count: usize,
 }
 
@@ -142,7 +144,7 @@
         Self {
             plan,
             rng: Pcg64::seed_from_u64(plan.seed),
-            owners: WeightedIndex::new(weights).expect("every workspace has a weight"),
+            workspaces: WeightedIndex::new(weights).expect("every workspace has a weight"),
             count: 0,
         }
     }
@@ -150,42 +152,42 @@
     fn lines(mut self) -> Vec<raw::Line> {
         let end = f64::from(self.plan.seconds) * 1000.0;
         let mut lines = Vec::new();
-        let mut at = self.gap_ms(0.0);
+        let mut at = self.next_interval_ms(0.0);
         while at < end {
             self.arrival(at as u64, &mut lines);
-            at += self.gap_ms(at);
+            at += self.next_interval_ms(at);
         }
         lines.sort_by_key(at_ms);
         lines
     }
 
-    /// The time to the next arrival after `at`, in milliseconds.
-    fn gap_ms(&mut self, at: f64) -> f64 {
-        let burst = BURST_MS / BURST_EVERY_MS;
-        let calm = self.plan.rate / (1.0 + burst * (BURST_FACTOR - 1.0));
+    /// The random time from `at` to the next arrival, both in milliseconds.
+    fn next_interval_ms(&mut self, at: f64) -> f64 {
+        let burst = BURST_MS / BURST_PERIOD_MS;
+        let base_rate = self.plan.rate / (1.0 + burst * (BURST_RATE_FACTOR - 1.0));
         // The burst is in the middle of its period.
-        let phase = at % BURST_EVERY_MS - (BURST_EVERY_MS - BURST_MS) / 2.0;
+        let phase = at % BURST_PERIOD_MS - (BURST_PERIOD_MS - BURST_MS) / 2.0;
         let rate = match (0.0..BURST_MS).contains(&phase) {
-            true => calm * BURST_FACTOR,
-            false => calm,
+            true => base_rate * BURST_RATE_FACTOR,
+            false => base_rate,
         };
         -(1.0 - self.rng.random::<f64>()).ln() / rate * 1000.0
     }
 
     fn arrival(&mut self, at_ms: u64, lines: &mut Vec<raw::Line>) {
         self.count += 1;
-        let line = match self.rng.random_bool(CALLS) {
+        let line = match self.rng.random_bool(CALL_FRACTION) {
             true => self.call(at_ms),
             false => self.request(at_ms),
         };
-        if self.rng.random_bool(DUPLICATES) {
+        if self.rng.random_bool(DUPLICATE_FRACTION) {
             lines.push(duplicate(&line));
         }
         lines.push(line);
     }
 
     fn request(&mut self, at_ms: u64) -> raw::Line {
-        let batch = self.rng.random_bool(BATCH);
+        let batch = self.rng.random_bool(BATCH_FRACTION);
         let class = if batch { "batch" } else { "interactive" };
         let deadline_ms = match batch {
             true => BATCH_DEADLINE_MS,
@@ -197,11 +199,11 @@
             workspace: self.workspace(),
             class: class.to_owned(),
             model: None,
-            prompt_tokens: self.length(&PROMPT),
-            max_tokens: self.length(&ANSWER),
+            prompt_tokens: self.length(&PROMPT_LENGTH),
+            max_tokens: self.length(&ANSWER_LENGTH),
             deadline_ms: Some(deadline_ms),
-            stream: !batch && self.rng.random_bool(STREAMED),
-            chat: self.rng.random_bool(CHATS),
+            stream: !batch && self.rng.random_bool(STREAM_FRACTION),
+            chat: self.rng.random_bool(CHAT_FRACTION),
             repeatable: Some(true),
             data_centre: self.data_centre(),
             key: None,
@@ -209,7 +211,7 @@
     }
 
     fn call(&mut self, at_ms: u64) -> raw::Line {
-        let once = self.rng.random_bool(CALLS_ONCE);
+        let once = self.rng.random_bool(ONCE_CALL_FRACTION);
         let lot = self.rng.random_range(1..1000);
         let Deployment {
             service,
@@ -238,7 +240,7 @@
     }
 
     fn workspace(&mut self) -> String {
-        let index = self.owners.sample(&mut self.rng);
+        let index = self.workspaces.sample(&mut self.rng);
         self.plan.deployment.workspaces[index].name.to_owned()
     }
 
@@ -247,12 +249,12 @@
         all[self.rng.random_range(0..all.len())].to_owned()
     }
 
-    fn length(&mut self, length: &Length) -> u32 {
+    fn length(&mut self, length: &LengthDistribution) -> u32 {
         let value = length.median * (length.sigma * self.normal()).exp();
         value.clamp(length.min, length.max).round() as u32
     }
 
-    /// A standard normal value, by the method of Box and Muller.
+    /// A random value of the standard normal distribution, by the Box-Muller transform.
     fn normal(&mut self) -> f64 {
         let radius = (-2.0 * (1.0 - self.rng.random::<f64>()).ln()).sqrt();
         let angle = std::f64::consts::TAU * self.rng.random::<f64>();
@@ -269,7 +271,7 @@
     }
 }
 
-/// The same work under the same key, sent a little later.
+/// The same work with the same key, sent [`DUPLICATE_DELAY_MS`] later.
 fn duplicate(line: &raw::Line) -> raw::Line {
     let mut line = line.clone();
     let (at_ms, id, key) = match &mut line {
@@ -277,7 +279,7 @@
         raw::Line::Call(raw) => (&mut raw.at_ms, &mut raw.id, &mut raw.key),
         raw::Line::Fault(_) | raw::Line::Outcome(_) => return line,
     };
-    *at_ms += DUPLICATE_AFTER_MS;
+    *at_ms += DUPLICATE_DELAY_MS;
     *key = Some(id.clone());
     id.push_str("-again");
     line
--- a/crates/replay/src/reference.rs
+++ b/crates/replay/src/reference.rs
@@ -1,7 +1,8 @@
-//! The right answers.
+//! The expected answers.
 //!
-//! The engine stand-ins run a deterministic model and the service stand-ins echo their call, so
-//! that an answer shows every step that made it. Here is the one place that knows this.
+//! The engine stand-ins run a deterministic model and the service stand-ins echo their call, so an
+//! answer depends on every step that produced it. Only this module depends on how the stand-ins
+//! answer.
 
 use dragonflyrill_standins::reference;
 use serde::Deserialize;
@@ -14,7 +15,7 @@
     },
 };
 
-/// The texts of the tokens of a whole answer.
+/// The texts of all tokens of the expected answer to `generation`.
 pub fn expected_tokens(header: &Header, arrival: &Arrival, generation: &Generation) -> Vec<String> {
     let text = prompt::text(arrival, generation.prompt_tokens);
     let prompt = reference::tokenize(&text);
@@ -28,7 +29,8 @@
 
 /// Splits the text of an answer into the texts of its tokens.
 ///
-/// Every token starts with the only space in it.
+/// Each token starts with a space and has no other. A text that does not start with a space is
+/// returned as one token.
 pub fn split_tokens(text: &str) -> Vec<String> {
     let starts: Vec<usize> = text.match_indices(' ').map(|(i, _)| i).collect();
     if starts.first() != Some(&0) && !text.is_empty() {
@@ -42,12 +44,12 @@
         .collect()
 }
 
-/// What a service answers: the call that it ran.
+/// The answer of a service: the call that it ran.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Echo {
     /// The service.
     pub service: String,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
     /// The path, without the query.
     pub path: String,
@@ -55,7 +57,7 @@
     pub body: String,
 }
 
-/// The whole answer to `call`.
+/// The expected answer to `call`.
 pub fn expected_echo(call: &Call) -> Echo {
     let path = call.path.split('?').next().unwrap_or_default();
     Echo {
