--- a/crates/replay/src/cli/load.rs
+++ b/crates/replay/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: measures throughput and the time that the entry host adds.
+//! `load`: measures the throughput and the latency that the entry host adds.
 
 use anyhow::{Context, ensure};
 use argh::FromArgs;
@@ -8,15 +8,15 @@
     load::{self, Plan, Shape, cpu, direct::Chain},
 };
 
-/// Measure the time that the entry host adds against driving the same chain directly.
+/// Measure the latency that the entry host adds, compared with driving the same chain directly.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "load")]
 pub(super) struct LoadArgs {
     /// entry hosts of one data centre, DC=IP:PORT[,IP:PORT...]
     #[argh(option)]
     entries: String,
-    /// one stage of the chain to drive directly, IP:PORT=FIRST..END; given once for each stage, in
-    /// order; without any only the entry host is measured
+    /// one stage of the chain to drive directly, IP:PORT=FIRST..END; repeated for each stage, in
+    /// order; if left out, only the entry host is measured
     #[argh(option)]
     chain: Vec<String>,
     /// the model
@@ -25,7 +25,7 @@
     /// the layers of the model (32)
     #[argh(option, default = "32")]
     layers: u32,
-    /// requests a second of each kind (20)
+    /// requests per second of each kind (20)
     #[argh(option, default = "20.0")]
     rate: f64,
     /// length of the run in seconds (10)
@@ -43,10 +43,10 @@
     /// the class of work (interactive)
     #[argh(option, default = "String::from(\"interactive\")")]
     class: String,
-    /// the most requests in flight; the run stops there (2000)
+    /// maximum number of requests in flight; the run stops when it is reached (2000)
     #[argh(option, default = "2000")]
     max_in_flight: usize,
-    /// process of an entry host whose processor time is read; may be given again
+    /// process id of an entry host whose processor time is measured; may be repeated
     #[argh(option)]
     pid: Vec<u32>,
 }
--- a/crates/replay/src/cli/mod.rs
+++ b/crates/replay/src/cli/mod.rs
@@ -8,15 +8,16 @@
 
 use argh::FromArgs;
 
-/// Exit code when all stated outcomes are kept.
-pub const KEPT: u8 = 0;
-/// Exit code when a stated outcome is broken or unproved.
-pub const BROKEN: u8 = 1;
-/// Exit code when the run could not be made as asked.
-pub const USAGE: u8 = 2;
+/// The exit code of a successful command: all stated outcomes of the run are kept.
+pub const EXIT_KEPT: u8 = 0;
+/// The exit code of a run that is invalid or has a stated outcome that is broken or unproved, and of
+/// a load measurement with requests that were not sent or not answered correctly.
+pub const EXIT_BROKEN: u8 = 1;
+/// The exit code if the command could not be carried out with the given arguments and files.
+pub const EXIT_USAGE: u8 = 2;
 
-/// The program's name, when the system gives none.
-const NAME: &str = "dragonflyrill-replay";
+/// The name of the program if the operating system passes no arguments.
+const PROGRAM_NAME: &str = "dragonflyrill-replay";
 
 /// Replays recorded traces of requests and faults against stated outcomes.
 ///
@@ -35,32 +36,33 @@
     Load(load::LoadArgs),
 }
 
-/// Parses the command line and runs it.
+/// Parses the command line and runs the subcommand.
 pub fn main() -> ExitCode {
     let args = match parse_args() {
         Ok(args) => args,
         Err(code) => return code,
     };
-    let done = match args.command {
+    let result = match args.command {
         Command::Run(args) => replay::run(&args),
         Command::Record(args) => record::run(&args),
         Command::Load(args) => load::run(&args),
     };
-    match done {
-        Ok(true) => ExitCode::from(KEPT),
-        Ok(false) => ExitCode::from(BROKEN),
+    match result {
+        Ok(true) => ExitCode::from(EXIT_KEPT),
+        Ok(false) => ExitCode::from(EXIT_BROKEN),
         Err(e) => {
-            eprintln!("{NAME}: {e:#}");
-            ExitCode::from(USAGE)
+            eprintln!("{PROGRAM_NAME}: {e:#}");
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
 
-/// Parses the arguments; the exit code when there is nothing to run.
+/// Parses the arguments. Otherwise prints the help text or the usage error and returns the exit code
+/// as the error.
 fn parse_args() -> Result<Args, ExitCode> {
     let args: Vec<String> = std::env::args().collect();
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
-    let (name, rest) = args.split_first().unwrap_or((&NAME, &[]));
+    let (name, rest) = args.split_first().unwrap_or((&PROGRAM_NAME, &[]));
     Args::from_args(&[name], rest).map_err(|exit| match exit.status {
         Ok(()) => {
             println!("{}", exit.output);
@@ -68,7 +70,7 @@
         }
         Err(()) => {
             eprintln!("{}", exit.output);
-            ExitCode::from(USAGE)
+            ExitCode::from(EXIT_USAGE)
         }
     })
 }
--- a/crates/replay/src/cli/record.rs
+++ b/crates/replay/src/cli/record.rs
@@ -1,4 +1,4 @@
-//! `record`: makes a synthetic trace.
+//! `record`: generates a synthetic trace.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 
 use crate::generate::{self, deployment::Deployment};
 
-/// Make a synthetic trace of a deployment.
+/// Generate a synthetic trace of a deployment.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "record")]
 pub(super) struct RecordArgs {
@@ -17,13 +17,13 @@
     /// length of the trace in seconds (20)
     #[argh(option, default = "20")]
     seconds: u32,
-    /// mean arrivals a second (20)
+    /// mean arrivals per second (20)
     #[argh(option, default = "20.0")]
     rate: f64,
     /// seed of the trace (1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// write there instead of to the standard output
+    /// file to write the trace to, instead of the standard output
     #[argh(option)]
     output: Option<PathBuf>,
 }
--- a/crates/replay/src/cli/replay.rs
+++ b/crates/replay/src/cli/replay.rs
@@ -30,11 +30,11 @@
     /// the trace, JSON Lines
     #[argh(positional)]
     trace: PathBuf,
-    /// entry hosts of one data centre, DC=IP:PORT[,IP:PORT...]; may be given again
+    /// entry hosts of one data centre, DC=IP:PORT[,IP:PORT...]; may be repeated
     #[argh(option)]
     entries: Vec<String>,
-    /// INI file of the engines, services and other processes: whose ledgers are read and whom
-    /// faults reach
+    /// INI file with the addresses of the engines, services and other processes, for reading ledgers
+    /// and injecting faults
     #[argh(option)]
     targets: Option<PathBuf>,
     /// file or FIFO to which signals are written as lines "SIGNAL TARGET"
@@ -43,25 +43,25 @@
     /// how many times faster than recorded (1)
     #[argh(option, default = "1.0")]
     speed: f64,
-    /// the most retries of one request (3)
+    /// maximum number of retries of one request (3)
     #[argh(option, default = "3")]
     retries: u32,
-    /// the most requests in flight; the run stops there (2000)
+    /// maximum number of requests in flight; the run stops when it is reached (2000)
     #[argh(option, default = "2000")]
     max_in_flight: usize,
     /// seed of the balancer's choices (1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// put before every idempotency key (random)
+    /// prefix of every idempotency key (random)
     #[argh(option)]
     run_id: Option<String>,
     /// pause before the ledgers are read, in milliseconds (1000)
     #[argh(option, default = "1000")]
     settle_ms: u64,
-    /// write the report there as JSON
+    /// file to write the report to as JSON
     #[argh(option)]
     report_json: Option<PathBuf>,
-    /// write the report there as Markdown
+    /// file to write the report to as Markdown
     #[argh(option)]
     report: Option<PathBuf>,
 }
@@ -77,7 +77,7 @@
     };
     let means = Means::new(targets, args.orders.as_deref(), &trace.faults)?;
     let system = actix_rt::System::new();
-    let report = system.block_on(play(args, &trace, &options, &means));
+    let report = system.block_on(replay(args, &trace, &options, &means));
     let text = markdown::report(&report);
     print!("{text}");
     write(args.report.as_deref(), &text)?;
@@ -88,7 +88,12 @@
     Ok(report.verdict.kept)
 }
 
-async fn play(args: &RunArgs, trace: &Rc<Trace>, options: &run::Options, means: &Means) -> Report {
+async fn replay(
+    args: &RunArgs,
+    trace: &Rc<Trace>,
+    options: &run::Options,
+    means: &Means,
+) -> Report {
     let bar = progress_bar(trace.arrivals.len());
     let played = run::run(trace, options, means, |n| bar.set_position(n as u64)).await;
     bar.finish_and_clear();
@@ -118,9 +123,9 @@
         Some(id) => id.clone(),
         None => uuid::Uuid::new_v4().simple().to_string(),
     };
-    let visible = run_id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+    let is_valid = run_id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
     ensure!(
-        visible,
+        is_valid,
         "--run-id {run_id:?}: must be visible ASCII without '/'"
     );
     Ok(run::Options {
@@ -133,7 +138,7 @@
     })
 }
 
-/// A bar on a terminal, nothing elsewhere.
+/// A progress bar if the standard error stream is a terminal, otherwise a hidden one.
 fn progress_bar(len: usize) -> ProgressBar {
     if io::stderr().is_terminal() {
         return ProgressBar::new(len as u64);
@@ -141,6 +146,7 @@
     ProgressBar::hidden()
 }
 
+/// Writes `text` to `path`, if one is given.
 fn write(path: Option<&Path>, text: &str) -> anyhow::Result<()> {
     let Some(path) = path else {
         return Ok(());
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,14 +1,15 @@
-//! Replay of recorded traces against stated outcomes.
+//! Replays recorded traces against stated outcomes.
 //!
-//! A trace ([`trace`]) lists requests, calls, faults and the outcomes that must hold. It is played
-//! in open loop ([`run`]): each request goes out at its intended time, whatever the others do, and
-//! its caller ([`client`]) retries and resumes as a real one would, while [`faults`] break things.
-//! Afterwards the [`ledger`]s of engines and services are read, and what callers and ledgers show
-//! is judged ([`judge`]) against the reference answers ([`mod@reference`]); the system's own word
-//! is never asked. [`report`] sums it up.
+//! A trace ([`trace`]) lists requests, calls, faults and the outcomes that must hold. It is replayed
+//! in open loop ([`run`]): each request is sent at its intended time, regardless of the state of the
+//! others. Its caller ([`client`]) retries requests and resumes streams as a real client does, while
+//! [`faults`] injects the faults. After the run the [`ledger`]s of engines and services are read.
+//! [`judge`] compares what callers received and what the ledgers show with the reference answers
+//! ([`mod@reference`]) and the stated outcomes; it does not rely on what the system under test
+//! reports about itself. [`report`] summarizes the run.
 //!
-//! Beside that, [`generate`] makes synthetic traces, and [`load`] measures the time that an entry
-//! host adds to a chain of engines.
+//! In addition, [`generate`] generates synthetic traces, and [`load`] measures the latency that an
+//! entry host adds to a chain of engines.
 //!
 //! Start with [`trace::Trace`], then [`run::run`], then [`judge::judge`].
 
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! The `dragonflyrill-replay` program; see the library for what it does.
+//! The `dragonflyrill-replay` program. The library documents what it does.
 
 use std::process::ExitCode;
 
