--- a/crates/replay/src/cli/replay.rs
+++ b/crates/replay/src/cli/replay.rs
@@ -13,7 +13,7 @@
 use indicatif::ProgressBar;
 
 use crate::{
-    faults::Means,
+    faults::FaultInjector,
     hosts::{self, Addresses},
     judge::{self, Evidence},
     ledger::Ledgers,
@@ -75,9 +75,9 @@
         Some(path) => Targets::read(path)?,
         None => Targets::default(),
     };
-    let means = Means::new(targets, args.orders.as_deref(), &trace.faults)?;
+    let injector = FaultInjector::new(targets, args.orders.as_deref(), &trace.faults)?;
     let system = actix_rt::System::new();
-    let report = system.block_on(replay(args, &trace, &options, &means));
+    let report = system.block_on(replay(args, &trace, &options, &injector));
     let text = markdown::report(&report);
     print!("{text}");
     write(args.report.as_deref(), &text)?;
@@ -92,14 +92,14 @@
     args: &RunArgs,
     trace: &Rc<Trace>,
     options: &run::Options,
-    means: &Means,
+    injector: &FaultInjector,
 ) -> Report {
     let bar = progress_bar(trace.arrivals.len());
-    let played = run::run(trace, options, means, |n| bar.set_position(n as u64)).await;
+    let played = run::run(trace, options, injector, |n| bar.set_position(n as u64)).await;
     bar.finish_and_clear();
     actix_rt::time::sleep(Duration::from_millis(args.settle_ms)).await;
     let http = run::http_client(1);
-    let ledgers = Ledgers::gather(&http, &means.targets, &trace.faults).await;
+    let ledgers = Ledgers::fetch(&http, &injector.targets, &trace.faults).await;
     let evidence = Evidence {
         trace,
         played: &played,
--- a/crates/replay/src/faults.rs
+++ b/crates/replay/src/faults.rs
@@ -1,8 +1,8 @@
-//! Carries out the faults of a trace.
+//! Injects the faults of a trace.
 //!
-//! A body is posted to the stand-in itself. This program starts and signals no process: a signal
-//! is written as one line, `SIGNAL TARGET`, to the orders file, a FIFO or a plain file that
-//! whoever started the processes reads and obeys.
+//! Bodies are posted directly to the stand-in. This program neither starts nor signals processes: it
+//! writes each signal as one line, `SIGNAL TARGET`, to the orders file. This is a FIFO or a plain
+//! file, and the program that started the processes reads it and delivers the signals.
 
 use std::{fs, io::Write, path::Path, time::Duration};
 
@@ -14,31 +14,32 @@
     trace::{Fault, checked::Action},
 };
 
-/// The time a stand-in has to accept a fault.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout of posting a fault to a stand-in.
+const POST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What faults are carried out with.
+/// Injects faults into the targets.
 #[derive(Debug, Default)]
-pub struct Means {
-    /// The addresses behind the names.
+pub struct FaultInjector {
+    /// The addresses of the targets by name.
     pub targets: Targets,
-    /// Where signals are ordered.
+    /// The orders file, to which signals are written.
     pub orders: Option<fs::File>,
 }
 
-/// A fault that was carried out, or not.
+/// The result of injecting one fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Done {
-    /// The fault's id.
+pub struct FaultResult {
+    /// The id of the fault.
     pub id: String,
-    /// When it was done, since the start of the run.
+    /// When the injection started, since the start of the run.
     pub at: Duration,
-    /// Why it was not done.
+    /// Why the fault was not injected; `None` if it was.
     pub error: Option<String>,
 }
 
-impl Means {
-    /// Opens the orders file and checks that every fault of `faults` can be carried out.
+impl FaultInjector {
+    /// Opens the orders file. Fails if a fault of `faults` names an unknown target, or is a signal
+    /// while there is no orders file.
     pub fn new(targets: Targets, orders: Option<&Path>, faults: &[Fault]) -> anyhow::Result<Self> {
         for fault in faults {
             let Fault { id, target, .. } = fault;
@@ -53,7 +54,7 @@
         Ok(Self { targets, orders })
     }
 
-    async fn carry_out(&self, http: &awc::Client, fault: &Fault) -> anyhow::Result<()> {
+    async fn inject(&self, http: &awc::Client, fault: &Fault) -> anyhow::Result<()> {
         match &fault.action {
             Action::Signal(signal) => {
                 let mut orders = self.orders.as_ref().context("no orders file")?;
@@ -64,7 +65,7 @@
             Action::Post(post) => {
                 let target = self.targets.get(&fault.target).context("unknown target")?;
                 let uri = format!("http://{}{}", target.address, post.path);
-                let req = http.post(uri).timeout(TIMEOUT);
+                let req = http.post(uri).timeout(POST_TIMEOUT);
                 let sent = req.send_json(&post.body).await;
                 let res = sent.map_err(|e| anyhow::anyhow!("{e}"))?;
                 anyhow::ensure!(res.status().is_success(), "status {}", res.status());
@@ -74,7 +75,8 @@
     }
 }
 
-/// Opens for reading too: a FIFO that nobody reads yet then blocks neither the opening nor the run.
+/// Opens the orders file for writing and also for reading: otherwise opening a FIFO would block
+/// until another process opens it for reading.
 fn open_orders(path: &Path) -> anyhow::Result<fs::File> {
     let file = fs::OpenOptions::new()
         .read(true)
@@ -84,26 +86,30 @@
     file.with_context(|| format!("--orders {}", path.display()))
 }
 
-/// Carries out `faults`, which are ordered by time, each at its time.
+/// Injects `faults`, which must be ordered by time, each at its time after `origin` divided by `speed`.
 pub async fn run(
-    means: &Means,
+    injector: &FaultInjector,
     http: &awc::Client,
     faults: &[Fault],
     origin: Instant,
     speed: f64,
-) -> Vec<Done> {
+) -> Vec<FaultResult> {
     let mut all = Vec::with_capacity(faults.len());
     for fault in faults {
         time::sleep_until(origin + fault.at.div_f64(speed)).await;
         let at = origin.elapsed();
-        let outcome = means.carry_out(http, fault).await;
+        let outcome = injector.inject(http, fault).await;
         let error = outcome.err().map(|e| format!("{e:#}"));
         match &error {
-            None => log::info!("faults: {} done on {}", fault.id, fault.target),
-            Some(e) => log::error!("faults: {} not done on {}: {e}", fault.id, fault.target),
+            None => log::info!("faults: injected {} into {}", fault.id, fault.target),
+            Some(e) => log::error!(
+                "faults: failed to inject {} into {}: {e}",
+                fault.id,
+                fault.target
+            ),
         }
         let id = fault.id.clone();
-        all.push(Done { id, at, error });
+        all.push(FaultResult { id, at, error });
     }
     all
 }
--- a/crates/replay/src/generate/mod.rs
+++ b/crates/replay/src/generate/mod.rs
@@ -133,7 +133,7 @@
 struct Generator<'a> {
     plan: &'a Plan,
     rng: Pcg64,
-    workspaces: WeightedIndex<u32>,
+    workspace_distribution: WeightedIndex<u32>,
     /// The number of arrivals generated so far.
     count: usize,
 }
@@ -144,7 +144,8 @@
         Self {
             plan,
             rng: Pcg64::seed_from_u64(plan.seed),
-            workspaces: WeightedIndex::new(weights).expect("every workspace has a weight"),
+            workspace_distribution: WeightedIndex::new(weights)
+                .expect("every workspace has a weight"),
             count: 0,
         }
     }
@@ -240,7 +241,7 @@
     }
 
     fn workspace(&mut self) -> String {
-        let index = self.workspaces.sample(&mut self.rng);
+        let index = self.workspace_distribution.sample(&mut self.rng);
         self.plan.deployment.workspaces[index].name.to_owned()
     }
 
--- a/crates/replay/src/hosts.rs
+++ b/crates/replay/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The entry hosts, and the choice among them that a balancer makes.
+//! The entry hosts, and a simulated load balancer that chooses among them.
 
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,17 +7,17 @@
 use rand::{SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64;
 
-/// The time between two probes of an entry host.
+/// The pause between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// The time an entry host has to answer a probe.
+/// The timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One entry host as the balancer sees it.
+/// One entry host and its state in the load balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Host {
     data_centre: DataCentre,
     addr: SocketAddr,
-    /// Whether the last probe of `/readyz` went well.
+    /// Whether the last probe of `/readyz` succeeded.
     ready: bool,
 }
 
@@ -31,20 +31,22 @@
 /// Entry hosts as given on the command line: `DC=IP:PORT,...`.
 pub type Addresses = BTreeMap<DataCentre, Vec<SocketAddr>>;
 
-/// Adds one `DC=IP:PORT,...` to `addresses`.
+/// Parses `DC=IP:PORT,...` and adds the entry hosts to `addresses`.
 pub fn parse_entries(addresses: &mut Addresses, text: &str) -> anyhow::Result<()> {
-    let form = || format!("--entries {text:?}: must be DATA_CENTRE=IP:PORT[,IP:PORT...]");
-    let (dc, list) = text.split_once('=').with_context(form)?;
-    let dc = DataCentre::try_from(dc).with_context(form)?;
+    let expected_format =
+        || format!("--entries {text:?}: must be DATA_CENTRE=IP:PORT[,IP:PORT...]");
+    let (dc, list) = text.split_once('=').with_context(expected_format)?;
+    let dc = DataCentre::try_from(dc).with_context(expected_format)?;
     for addr in list.split(',') {
-        let addr: SocketAddr = addr.parse().with_context(form)?;
+        let addr: SocketAddr = addr.parse().with_context(expected_format)?;
         addresses.entry(dc.clone()).or_default().push(addr);
     }
     Ok(())
 }
 
 impl Hosts {
-    /// All of `addresses`, taken as ready until probed.
+    /// The entry hosts at `addresses`, considered ready until the first probe. `seed` is the seed of
+    /// the random choices.
     pub fn new(addresses: &Addresses, seed: u64) -> Self {
         let hosts = addresses
             .iter()
@@ -61,18 +63,22 @@
         }
     }
 
-    /// A random ready host of `data_centre` not in `tried`; failing that, of any data centre;
-    /// failing that, any host of `data_centre` or at all.
+    /// Chooses a random entry host for the next attempt of a request. `tried` lists the hosts of the
+    /// earlier attempts, the most recent last.
+    ///
+    /// The first of these groups that has a host is used: ready hosts of `data_centre` not in
+    /// `tried`; ready hosts of any data centre not in `tried`; ready hosts except the most recent
+    /// one; all hosts of `data_centre`; all hosts. `None` if there is no host at all.
     pub fn pick(&self, data_centre: &DataCentre, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let hosts = self.hosts.borrow();
-        let here = |h: &Host| h.data_centre == *data_centre;
-        let fresh = |h: &Host| h.ready && !tried.contains(&h.addr);
+        let is_local = |h: &Host| h.data_centre == *data_centre;
+        let is_ready_untried = |h: &Host| h.ready && !tried.contains(&h.addr);
         let last = tried.last();
         let choices: [&dyn Fn(&Host) -> bool; 5] = [
-            &|h| here(h) && fresh(h),
-            &|h| fresh(h),
+            &|h| is_local(h) && is_ready_untried(h),
+            &|h| is_ready_untried(h),
             &|h| h.ready && Some(&h.addr) != last,
-            &|h| here(h),
+            &|h| is_local(h),
             &|_| true,
         ];
         choices.iter().find_map(|choice| {
@@ -92,8 +98,8 @@
         }
     }
 
-    /// Probes all hosts for ever, as a balancer does.
-    pub async fn keep_probing(self, client: awc::Client) {
+    /// Probes all hosts periodically. Never returns.
+    pub async fn probe_loop(self, client: awc::Client) {
         loop {
             self.probe(&client).await;
             actix_rt::time::sleep(PROBE_INTERVAL).await;
--- a/crates/replay/src/ledger.rs
+++ b/crates/replay/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledgers of engines and services: what really ran, in their own word.
+//! The ledgers of engines and services, in which they record the work that they ran.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
@@ -13,67 +13,67 @@
     trace::{Fault, checked::Action, checked::Signal},
 };
 
-/// The time a ledger has to come.
-const TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest ledger that is read, in bytes.
-const MAX_LEDGER: usize = 1 << 30;
+/// The timeout of the response head and again of the body of a ledger.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// The maximum size of a ledger.
+const MAX_LEDGER_BYTES: usize = 1 << 30;
 
 /// One step that an engine ran.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct EngineEntry {
-    /// The request, `WORKSPACE/KEY`.
+    /// The id of the request, `WORKSPACE/KEY`.
     pub request: String,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// The layers that ran.
+    /// The layers that the step ran.
     pub layers: Layers,
-    /// The first position.
+    /// The first position that the step ran.
     pub start: u32,
-    /// The number of positions.
+    /// The number of positions that the step ran.
     pub count: u32,
 }
 
-/// The calls of one key that a service ran.
+/// The calls with one idempotency key that a service ran.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ServiceEntry {
     /// The key, `WORKSPACE/KEY`.
     pub key: String,
     /// The path of the last call.
     pub path: String,
-    /// How often calls of this key ran.
+    /// How often a call with this key ran.
     pub count: u64,
 }
 
-/// What one endpoint ran.
+/// The ledger of one endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ledger<E> {
     /// The endpoint's name in the targets file.
     pub endpoint: String,
-    /// Its entries.
+    /// The entries of the ledger.
     pub entries: Vec<E>,
 }
 
-/// All ledgers.
+/// The ledgers of all endpoints, as far as they could be read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ledgers {
-    /// Those of engines.
+    /// The ledgers of the engines.
     pub engines: Vec<Ledger<EngineEntry>>,
-    /// Those of services.
+    /// The ledgers of the services.
     pub services: Vec<Ledger<ServiceEntry>>,
-    /// Why something may be missing of the engines' ledgers; while this is not empty, absence
-    /// proves nothing.
+    /// The reasons why entries of engines may be missing. If this is not empty, a missing entry does
+    /// not prove that work did not run.
     pub engine_gaps: BTreeSet<String>,
-    /// The same for services.
+    /// The reasons why entries of services may be missing.
     pub service_gaps: BTreeSet<String>,
 }
 
 impl Ledgers {
     /// Reads the ledgers of all engines and services of `targets`.
     ///
-    /// A stand-in keeps its ledger in memory, so one that was killed in the run leaves a gap.
-    pub async fn gather(http: &awc::Client, targets: &Targets, faults: &[Fault]) -> Self {
-        let (engines, engine_gaps) = gather_role(http, targets, faults, Role::Engine).await;
-        let (services, service_gaps) = gather_role(http, targets, faults, Role::Service).await;
+    /// A stand-in keeps its ledger in memory, so each fault that terminates one adds a gap.
+    pub async fn fetch(http: &awc::Client, targets: &Targets, faults: &[Fault]) -> Self {
+        let (engines, engine_gaps) = fetch_by_role(http, targets, faults, Role::Engine).await;
+        let (services, service_gaps) = fetch_by_role(http, targets, faults, Role::Service).await;
         Self {
             engines,
             services,
@@ -82,33 +82,36 @@
         }
     }
 
-    /// All gaps.
+    /// The gaps of engines and services.
     pub fn gaps(&self) -> BTreeSet<String> {
         &self.engine_gaps | &self.service_gaps
     }
 }
 
-/// The gap that `fault` leaves in the ledgers of `role`.
-fn lost_ledger(targets: &Targets, fault: &Fault, role: Role) -> Option<String> {
-    let ends = matches!(fault.action, Action::Signal(Signal::Kill | Signal::Term));
-    let concerned = targets.get(&fault.target)?.role == role;
-    (ends && concerned).then(|| format!("{} was ended and may have lost its ledger", fault.target))
+/// The gap that `fault` leaves in the ledgers of `role`, if it terminates a target of that role.
+fn gap_from_fault(targets: &Targets, fault: &Fault, role: Role) -> Option<String> {
+    let terminates = matches!(fault.action, Action::Signal(Signal::Kill | Signal::Term));
+    let has_role = targets.get(&fault.target)?.role == role;
+    (terminates && has_role)
+        .then(|| format!("{} was ended and may have lost its ledger", fault.target))
 }
 
-/// The ledgers of `role` and what is missing of them.
-async fn gather_role<E: DeserializeOwned>(
+/// Reads the ledgers of the targets of `role`. Returns them and their gaps.
+async fn fetch_by_role<E: DeserializeOwned>(
     http: &awc::Client,
     targets: &Targets,
     faults: &[Fault],
     role: Role,
 ) -> (Vec<Ledger<E>>, BTreeSet<String>) {
-    let lost = faults.iter().filter_map(|f| lost_ledger(targets, f, role));
-    let mut gaps: BTreeSet<String> = lost.collect();
+    let from_faults = faults
+        .iter()
+        .filter_map(|f| gap_from_fault(targets, f, role));
+    let mut gaps: BTreeSet<String> = from_faults.collect();
     if targets.of_role(role).next().is_none() {
         gaps.insert(format!("the targets file has no {role}"));
     }
     let reads = targets.of_role(role).map(async |(name, target)| {
-        let entries = read(http, target.address).await;
+        let entries = fetch_one(http, target.address).await;
         (name.to_owned(), entries)
     });
     let mut ledgers = Vec::new();
@@ -123,18 +126,22 @@
     (ledgers, gaps)
 }
 
-async fn read<E: DeserializeOwned>(http: &awc::Client, addr: SocketAddr) -> anyhow::Result<Vec<E>> {
+/// Reads the ledger of the endpoint at `addr`.
+async fn fetch_one<E: DeserializeOwned>(
+    http: &awc::Client,
+    addr: SocketAddr,
+) -> anyhow::Result<Vec<E>> {
     let req = http
         .get(format!("http://{addr}/standin/ledger"))
-        .timeout(TIMEOUT);
+        .timeout(READ_TIMEOUT);
     let mut res = req.send().await.map_err(|e| anyhow::anyhow!("{e}"))?;
     ensure!(res.status().is_success(), "status {}", res.status());
-    let body = time::timeout(TIMEOUT, res.body().limit(MAX_LEDGER)).await?;
+    let body = time::timeout(READ_TIMEOUT, res.body().limit(MAX_LEDGER_BYTES)).await?;
     let body = body.map_err(|e| anyhow::anyhow!("{e}"))?;
     parse(&body)
 }
 
-/// Parses a ledger: a JSON array, or one JSON object per line.
+/// Parses a ledger, which is a JSON array or has one JSON object per line.
 pub fn parse<E: DeserializeOwned>(body: &[u8]) -> anyhow::Result<Vec<E>> {
     if body.trim_ascii_start().starts_with(b"[") {
         return Ok(serde_json::from_slice(body)?);
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     client::{self, Callers},
-    faults::{self, Means},
+    faults::{self, FaultInjector},
     hosts::{Addresses, Hosts},
     record::Record,
     trace::{Arrival, Trace},
@@ -39,7 +39,7 @@
     /// One record for each request that was sent, in the order they ended.
     pub records: Vec<Record>,
     /// The faults that came due, in the order of the trace.
-    pub faults: Vec<faults::Done>,
+    pub faults: Vec<faults::FaultResult>,
     /// The most requests that were in flight.
     pub peak_in_flight: usize,
     /// [`Options::run_id`].
@@ -70,12 +70,12 @@
 pub async fn run(
     trace: &Rc<Trace>,
     options: &Options,
-    means: &Means,
+    injector: &FaultInjector,
     progress: impl Fn(usize),
 ) -> Played {
     let http = http_client(options.max_in_flight);
     let hosts = Hosts::new(&options.entries, options.seed);
-    let probes = actix_rt::spawn(hosts.clone().keep_probing(http.clone()));
+    let probes = actix_rt::spawn(hosts.clone().probe_loop(http.clone()));
     let callers = Callers {
         http: http.clone(),
         hosts,
@@ -92,7 +92,7 @@
         peak_in_flight: 0,
     };
     let arrivals = player.play(options, progress);
-    let faults = faults::run(means, &http, &trace.faults, origin, options.speed);
+    let faults = faults::run(injector, &http, &trace.faults, origin, options.speed);
     let (mut played, faults) = future::join(arrivals, faults).await;
     probes.abort();
     played.faults = faults;
--- a/crates/replay/src/sse.rs
+++ b/crates/replay/src/sse.rs
@@ -1,6 +1,6 @@
-//! Server-sent events, as far as callers need them.
+//! A parser of server-sent events, limited to the fields that callers use.
 
-/// One event.
+/// One server-sent event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Event {
     /// The `id` field; empty if absent.
@@ -11,10 +11,10 @@
     pub data: String,
 }
 
-/// The longest line and event that is kept, in bytes.
-const MAX_EVENT: usize = 1 << 20;
+/// The maximum length of an incomplete line and of the data of an incomplete event.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Collects bytes into events.
+/// An incremental parser of an event stream.
 #[derive(Debug, Default)]
 pub struct Parser {
     buf: Vec<u8>,
@@ -22,29 +22,29 @@
     has_data: bool,
 }
 
-/// The peer sent a line or event that is too long.
+/// A line or the data of an event is longer than [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {MAX_EVENT} bytes")]
-pub struct TooLong;
+#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
+pub struct EventTooLong;
 
 impl Parser {
-    /// Takes `bytes` and appends the events that they complete to `out`.
-    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), TooLong> {
+    /// Parses the next `bytes` of the stream and appends the events that they complete to `out`.
+    pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), EventTooLong> {
         self.buf.extend_from_slice(bytes);
         let mut start = 0;
         while let Some(len) = self.buf[start..].iter().position(|b| *b == b'\n') {
             let line = String::from_utf8_lossy(&self.buf[start..start + len]).into_owned();
             start += len + 1;
-            self.line(line.trim_end_matches('\r'), out);
+            self.parse_line(line.trim_end_matches('\r'), out);
         }
         self.buf.drain(..start);
-        if self.buf.len() > MAX_EVENT || self.event.data.len() > MAX_EVENT {
-            return Err(TooLong);
+        if self.buf.len() > MAX_EVENT_BYTES || self.event.data.len() > MAX_EVENT_BYTES {
+            return Err(EventTooLong);
         }
         Ok(())
     }
 
-    fn line(&mut self, line: &str, out: &mut Vec<Event>) {
+    fn parse_line(&mut self, line: &str, out: &mut Vec<Event>) {
         if line.is_empty() {
             self.dispatch(out);
             return;
@@ -54,12 +54,12 @@
         match field {
             "id" => value.clone_into(&mut self.event.id),
             "event" => value.clone_into(&mut self.event.event),
-            "data" => self.data(value),
+            "data" => self.append_data(value),
             _ => {}
         }
     }
 
-    fn data(&mut self, value: &str) {
+    fn append_data(&mut self, value: &str) {
         if self.has_data {
             self.event.data.push('\n');
         }
--- a/crates/replay/tests/judge.rs
+++ b/crates/replay/tests/judge.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_engines::wire::Layers;
 use dragonflyrill_replay::{
-    faults::Done,
+    faults::FaultResult,
     judge::{self, Evidence, Finding, State, recovery},
     ledger::{self, EngineEntry, Ledger, Ledgers, ServiceEntry},
     record::{Answer, CallAnswer, Ending, Record, Refusal, RunState},
@@ -350,7 +350,7 @@
         r#"{"kind":"fault","at_ms":1,"id":"f","do":"kill","target":"e"}"#
     );
     case.trace = Trace::parse("t", &text).unwrap();
-    case.played.faults.push(Done {
+    case.played.faults.push(FaultResult {
         id: "f".to_owned(),
         at: Duration::ZERO,
         error: Some("refused".to_owned()),
--- a/crates/replay/tests/play.rs
+++ b/crates/replay/tests/play.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use dragonflyrill_replay::{
-    faults::Means,
+    faults::FaultInjector,
     hosts::Addresses,
     judge,
     ledger::Ledgers,
@@ -35,7 +35,7 @@
         seed: 1,
         run_id: "t".to_owned(),
     };
-    let mut played = run::run(&Rc::new(trace), &options, &Means::default(), |_| {}).await;
+    let mut played = run::run(&Rc::new(trace), &options, &FaultInjector::default(), |_| {}).await;
     played.records.remove(0)
 }
 
@@ -55,7 +55,7 @@
         seed: 1,
         run_id: String::new(),
     };
-    let played = run::run(&trace, &options, &Means::default(), |_| {}).await;
+    let played = run::run(&trace, &options, &FaultInjector::default(), |_| {}).await;
     assert_eq!(played.records.len(), 1);
     assert_eq!(played.peak_in_flight, 1);
     assert_eq!(seen.0.borrow().len(), 1);
--- a/crates/replay/tests/standins.rs
+++ b/crates/replay/tests/standins.rs
@@ -8,7 +8,7 @@
 use dragonflyrill_engines::wire::Layers;
 use dragonflyrill_replay::{
     client::Callers,
-    faults::{self, Means},
+    faults::{self, FaultInjector},
     hosts::{Addresses, Hosts},
     ledger::Ledgers,
     load::{
@@ -88,7 +88,7 @@
     assert_eq!(record.ending, Ending::Answered(Answer::Tokens(tokens)));
 
     let targets = targets(&engines, &service);
-    let ledgers = Ledgers::gather(&awc::Client::default(), &targets, &[]).await;
+    let ledgers = Ledgers::fetch(&awc::Client::default(), &targets, &[]).await;
     assert_eq!(ledgers.gaps(), BTreeSet::new());
     let steps: Vec<usize> = ledgers.engines.iter().map(|l| l.entries.len()).collect();
     assert_eq!(steps, [3, 3]);
@@ -103,7 +103,7 @@
     let text =
         format!("[gone]\nrole = engine\naddress = {addr}\n[q]\nrole = service\naddress = {addr}\n");
     let targets = Targets::parse("t", &text).unwrap();
-    let ledgers = Ledgers::gather(&awc::Client::default(), &targets, &[]).await;
+    let ledgers = Ledgers::fetch(&awc::Client::default(), &targets, &[]).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     let reason = "could not be read: status 404 Not Found";
     let expected = ["gone", "q"].map(|name| format!("the ledger of {name} {reason}"));
@@ -124,9 +124,9 @@
     let trace = Trace::parse("t", &lines.join("\n")).unwrap();
     let orders = std::env::temp_dir().join(format!("orders-{}", std::process::id()));
     let targets = targets(&engines, &service);
-    let means = Means::new(targets, Some(&orders), &trace.faults).unwrap();
+    let injector = FaultInjector::new(targets, Some(&orders), &trace.faults).unwrap();
     let http = awc::Client::default();
-    let done = faults::run(&means, &http, &trace.faults, Instant::now(), 1.0).await;
+    let done = faults::run(&injector, &http, &trace.faults, Instant::now(), 1.0).await;
     let errors: Vec<bool> = done.iter().map(|d| d.error.is_some()).collect();
     assert_eq!(errors, [false, false, true]);
     assert_eq!(fs::read_to_string(&orders).unwrap(), "kill b\n");
@@ -134,7 +134,7 @@
     let down = http.get(format!("http://{}/v1/state", engines.addrs()[0]));
     assert!(down.send().await.is_err());
 
-    let ledgers = Ledgers::gather(&http, &means.targets, &trace.faults).await;
+    let ledgers = Ledgers::fetch(&http, &injector.targets, &trace.faults).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     assert_eq!(gaps, ["b was ended and may have lost its ledger"]);
     engines.stop().await;
@@ -143,7 +143,7 @@
 
 #[actix_rt::test]
 async fn without_targets_nothing_is_known_of_what_ran() {
-    let ledgers = Ledgers::gather(&awc::Client::default(), &Targets::default(), &[]).await;
+    let ledgers = Ledgers::fetch(&awc::Client::default(), &Targets::default(), &[]).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     let expected = [
         "the targets file has no engine",
@@ -156,11 +156,11 @@
 fn faults_that_cannot_be_done_are_refused_before_the_run() {
     let line = r#"{"kind":"fault","at_ms":0,"id":"f1","do":"kill","target":"x"}"#;
     let trace = Trace::parse("t", &format!("{HEADER}\n{line}")).unwrap();
-    let error = Means::new(Targets::default(), None, &trace.faults).unwrap_err();
+    let error = FaultInjector::new(Targets::default(), None, &trace.faults).unwrap_err();
     let expected = "fault f1: target x does not stand in the targets file";
     assert_eq!(error.to_string(), expected);
     let targets = Targets::parse("t", "[x]\nrole = entry\naddress = 127.0.0.1:1\n").unwrap();
-    let error = Means::new(targets, None, &trace.faults).unwrap_err();
+    let error = FaultInjector::new(targets, None, &trace.faults).unwrap_err();
     assert_eq!(error.to_string(), "fault f1: signals need --orders");
 }
 
