--- a/crates/replay/src/cli/replay.rs
+++ b/crates/replay/src/cli/replay.rs
@@ -95,14 +95,14 @@
     injector: &FaultInjector,
 ) -> Report {
     let bar = progress_bar(trace.arrivals.len());
-    let played = run::run(trace, options, injector, |n| bar.set_position(n as u64)).await;
+    let run_result = run::run(trace, options, injector, |n| bar.set_position(n as u64)).await;
     bar.finish_and_clear();
     actix_rt::time::sleep(Duration::from_millis(args.settle_ms)).await;
     let http = run::http_client(1);
     let ledgers = Ledgers::fetch(&http, &injector.targets, &trace.faults).await;
     let evidence = Evidence {
         trace,
-        played: &played,
+        run_result: &run_result,
         ledgers: &ledgers,
     };
     Report::new(evidence, judge::judge(evidence), args.speed)
--- a/crates/replay/src/client/attempt.rs
+++ b/crates/replay/src/client/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: one HTTP request to one entry host, and what came of it.
+//! One attempt of a request: it is sent to one entry host, or its stream is resumed there.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
 use futures_util::StreamExt;
 use serde::{Deserialize, Serialize};
 
-use super::stream::Received;
+use super::stream::ReceivedTokens;
 use crate::{
     prompt,
     record::{Answer, CallAnswer, Refusal, RunState},
@@ -22,36 +22,36 @@
     },
 };
 
-/// The longest body of an answer that is read, in bytes.
-const MAX_BODY: usize = 16 << 20;
-/// The data of the last event of a whole stream.
-const DONE: &str = "[DONE]";
+/// The maximum size of the body of an answer that is not streamed.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// The data of the last event of a complete stream.
+const END_OF_STREAM: &str = "[DONE]";
 
-/// What came of one attempt.
+/// The result of one attempt.
 #[derive(Debug)]
-pub enum Attempt {
-    /// An answer that claims to be complete.
+pub enum AttemptResult {
+    /// An answer that the entry host marked as complete.
     Answered(Answer),
-    /// An error, with the pause it asks for.
+    /// An error answer, and the delay of its `Retry-After` header.
     Refused(Refusal, Option<Duration>),
-    /// No connection: nothing was sent.
+    /// The connection could not be opened, so nothing was sent. Holds the reason.
     NotSent(String),
-    /// The connection broke after something was sent.
+    /// There is no complete answer, and the request may have been received. Holds the reason.
     Lost(String),
 }
 
-/// What an attempt is made with.
+/// Sends the HTTP requests of one attempt.
 pub struct Sender<'a> {
     /// The HTTP client.
     pub http: &'a awc::Client,
-    /// What is sent.
+    /// The request or call to send.
     pub arrival: &'a Arrival,
     /// The idempotency key.
     pub key: &'a str,
     /// The entry host.
     pub addr: SocketAddr,
-    /// The caller's deadline.
-    pub until: Instant,
+    /// The time of the caller's deadline.
+    pub deadline: Instant,
 }
 
 #[derive(Serialize)]
@@ -107,16 +107,21 @@
 }
 
 impl Sender<'_> {
-    /// Sends the request and reads its answer.
-    pub async fn send(&self, received: &mut Received, request_id: &mut Option<String>) -> Attempt {
-        received.connection_from(0);
+    /// Sends the request and reads the answer. Adds the tokens of a stream to `received` and stores
+    /// the `X-Request-Id` header of the answer in `request_id`.
+    pub async fn send(
+        &self,
+        received: &mut ReceivedTokens,
+        request_id: &mut Option<String>,
+    ) -> AttemptResult {
+        received.start_connection(0);
         let sent = match &self.arrival.work {
             Work::Generation(generation) => self.send_generation(generation).await,
             Work::Call(call) => self.send_call(call).await,
         };
         let mut res = match sent {
             Ok(res) => res,
-            Err(e) => return failed_to_send(&e),
+            Err(e) => return from_send_error(&e),
         };
         if let Some(id) = res.headers().get("x-request-id") {
             *request_id = id.to_str().ok().map(str::to_owned);
@@ -127,8 +132,9 @@
         }
     }
 
-    /// Resumes a broken stream after the tokens held. `None` if the host knows nothing of it.
-    pub async fn resume(&self, id: &str, received: &mut Received) -> Option<Attempt> {
+    /// Resumes the interrupted stream `id` after the tokens in `received`. Returns `None` if the host
+    /// gives no answer or one other than 200.
+    pub async fn resume(&self, id: &str, received: &mut ReceivedTokens) -> Option<AttemptResult> {
         let uri = format!("http://{}/v1/requests/{id}/events", self.addr);
         let mut req = self.headers(self.http.get(uri));
         if let Some(last) = received.len().checked_sub(1) {
@@ -138,11 +144,11 @@
         if res.status() != StatusCode::OK {
             return None;
         }
-        received.connection_from(received.len());
+        received.start_connection(received.len());
         Some(read_stream(&mut res, received).await)
     }
 
-    async fn send_generation(&self, generation: &Generation) -> Sent {
+    async fn send_generation(&self, generation: &Generation) -> SendResult {
         let text = prompt::text(self.arrival, generation.prompt_tokens);
         let message = Message {
             role: "user",
@@ -163,7 +169,7 @@
         self.headers(self.http.post(uri)).send_json(&body).await
     }
 
-    async fn send_call(&self, call: &Call) -> Sent {
+    async fn send_call(&self, call: &Call) -> SendResult {
         let Call { service, path, .. } = call;
         let uri = format!("http://{}/services/{service}{path}", self.addr);
         let method = match call.method {
@@ -180,7 +186,7 @@
     }
 
     fn headers(&self, req: ClientRequest) -> ClientRequest {
-        let left = self.until.saturating_duration_since(Instant::now());
+        let left = self.deadline.saturating_duration_since(Instant::now());
         let mut req = req
             .insert_header(("X-Workspace", self.arrival.workspace.as_str()))
             .insert_header(("X-Class", self.arrival.class.as_str()))
@@ -195,21 +201,21 @@
     }
 }
 
-type Sent = Result<ClientResponse, SendRequestError>;
+type SendResult = Result<ClientResponse, SendRequestError>;
 
-fn failed_to_send(e: &SendRequestError) -> Attempt {
+fn from_send_error(e: &SendRequestError) -> AttemptResult {
     match e {
-        SendRequestError::Connect(ConnectError::Disconnected) => Attempt::Lost(e.to_string()),
-        SendRequestError::Connect(_) => Attempt::NotSent(e.to_string()),
-        _ => Attempt::Lost(e.to_string()),
+        SendRequestError::Connect(ConnectError::Disconnected) => AttemptResult::Lost(e.to_string()),
+        SendRequestError::Connect(_) => AttemptResult::NotSent(e.to_string()),
+        _ => AttemptResult::Lost(e.to_string()),
     }
 }
 
 async fn read_generation(
     res: &mut ClientResponse,
     generation: &Generation,
-    received: &mut Received,
-) -> Attempt {
+    received: &mut ReceivedTokens,
+) -> AttemptResult {
     if res.status() != StatusCode::OK {
         return read_refusal(res).await;
     }
@@ -218,47 +224,48 @@
     }
     let body = match read_body(res).await {
         Ok(body) => body,
-        Err(reason) => return Attempt::Lost(reason),
+        Err(reason) => return AttemptResult::Lost(reason),
     };
     let text = serde_json::from_slice(&body)
         .ok()
         .and_then(|completion: Completion| completion.choices.into_iter().next())
         .and_then(Choice::into_text);
     match text {
-        Some(text) => Attempt::Answered(Answer::Tokens(reference::split_tokens(&text))),
-        None => Attempt::Lost("the answer is not a completion".to_owned()),
+        Some(text) => AttemptResult::Answered(Answer::Tokens(reference::split_tokens(&text))),
+        None => AttemptResult::Lost("the answer is not a completion".to_owned()),
     }
 }
 
-async fn read_call(res: &mut ClientResponse) -> Attempt {
+async fn read_call(res: &mut ClientResponse) -> AttemptResult {
     let status = res.status();
     let body = match read_body(res).await {
         Ok(body) => body,
-        Err(reason) => return Attempt::Lost(reason),
+        Err(reason) => return AttemptResult::Lost(reason),
     };
     if status.is_success() {
         let status = status.as_u16();
-        return Attempt::Answered(Answer::Call(CallAnswer { status, body }));
+        return AttemptResult::Answered(Answer::Call(CallAnswer { status, body }));
     }
-    refusal(res, &body)
+    parse_refusal(res, &body)
 }
 
-async fn read_refusal(res: &mut ClientResponse) -> Attempt {
+async fn read_refusal(res: &mut ClientResponse) -> AttemptResult {
     match read_body(res).await {
-        Ok(body) => refusal(res, &body),
-        Err(reason) => Attempt::Lost(reason),
+        Ok(body) => parse_refusal(res, &body),
+        Err(reason) => AttemptResult::Lost(reason),
     }
 }
 
-/// An error answer. One that doesn't say whether the work ran may have run it.
-fn refusal(res: &ClientResponse, body: &[u8]) -> Attempt {
+/// Parses an error answer. The run state is [`RunState::MayHaveRun`] if the answer does not state
+/// one.
+fn parse_refusal(res: &ClientResponse, body: &[u8]) -> AttemptResult {
     let detail = serde_json::from_slice(body).ok();
     let (code, run) = match detail {
         Some(ErrorBody { error }) => (error.code, error.run),
         None => ("unreadable".to_owned(), RunState::MayHaveRun),
     };
     let status = res.status().as_u16();
-    Attempt::Refused(Refusal { status, code, run }, retry_after(res))
+    AttemptResult::Refused(Refusal { status, code, run }, retry_after(res))
 }
 
 fn retry_after(res: &ClientResponse) -> Option<Duration> {
@@ -271,58 +278,58 @@
     while let Some(chunk) = res.next().await {
         let chunk = chunk.map_err(|e| e.to_string())?;
         body.extend_from_slice(&chunk);
-        if body.len() > MAX_BODY {
-            return Err(format!("the answer is longer than {MAX_BODY} bytes"));
+        if body.len() > MAX_BODY_BYTES {
+            return Err(format!("the answer is longer than {MAX_BODY_BYTES} bytes"));
         }
     }
     Ok(body)
 }
 
-async fn read_stream(res: &mut ClientResponse, received: &mut Received) -> Attempt {
+async fn read_stream(res: &mut ClientResponse, received: &mut ReceivedTokens) -> AttemptResult {
     let mut parser = sse::Parser::default();
     let mut events = Vec::new();
     while let Some(chunk) = res.next().await {
         let pushed = match chunk {
             Ok(chunk) => parser.push(&chunk, &mut events),
-            Err(e) => return Attempt::Lost(e.to_string()),
+            Err(e) => return AttemptResult::Lost(e.to_string()),
         };
         if let Err(e) = pushed {
-            return Attempt::Lost(e.to_string());
+            return AttemptResult::Lost(e.to_string());
         }
         for event in events.drain(..) {
-            if let Some(attempt) = take_event(&event, received) {
+            if let Some(attempt) = handle_event(&event, received) {
                 return attempt;
             }
         }
     }
-    Attempt::Lost("the stream ended before its last event".to_owned())
+    AttemptResult::Lost("the stream ended before its last event".to_owned())
 }
 
-/// Takes one event in; the last of a stream gives its outcome.
-fn take_event(event: &sse::Event, received: &mut Received) -> Option<Attempt> {
+/// Processes one event of a stream. Returns the result of the attempt if it is the last event.
+fn handle_event(event: &sse::Event, received: &mut ReceivedTokens) -> Option<AttemptResult> {
     if event.event == "error" {
         return Some(stream_error(&event.data));
     }
-    if event.data == DONE {
+    if event.data == END_OF_STREAM {
         let tokens = received.tokens().to_vec();
-        return Some(Attempt::Answered(Answer::Tokens(tokens)));
+        return Some(AttemptResult::Answered(Answer::Tokens(tokens)));
     }
     let text = serde_json::from_str(&event.data)
         .ok()
         .and_then(|completion: Completion| completion.choices.into_iter().next())
         .and_then(Choice::into_text);
     match (event.id.parse(), text) {
-        (Ok(index), Some(text)) => received.token(index, &text),
-        _ => received.fault(format!("event {:?} is not a token", event.id)),
+        (Ok(index), Some(text)) => received.add_token(index, &text),
+        _ => received.add_protocol_error(format!("event {:?} is not a token", event.id)),
     }
     None
 }
 
-fn stream_error(data: &str) -> Attempt {
+fn stream_error(data: &str) -> AttemptResult {
     let (code, run) = match serde_json::from_str(data) {
         Ok(ErrorBody { error }) => (error.code, error.run),
         Err(_) => ("unreadable".to_owned(), RunState::MayHaveRun),
     };
     let status = StatusCode::OK.as_u16();
-    Attempt::Refused(Refusal { status, code, run }, None)
+    AttemptResult::Refused(Refusal { status, code, run }, None)
 }
--- a/crates/replay/src/client/mod.rs
+++ b/crates/replay/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! One caller: sends its request, retries and resumes as a real client does.
+//! A caller: it sends one request, retries it and resumes its stream as a real client does.
 
 pub mod attempt;
 pub mod stream;
@@ -9,171 +9,177 @@
 
 use crate::{
     hosts::Hosts,
-    record::{Ending, Record, Refusal, RunState},
+    record::{Record, Refusal, RequestOutcome, RunState},
     run,
     trace::Arrival,
 };
-use attempt::{Attempt, Sender};
-use stream::Received;
+use attempt::{AttemptResult, Sender};
+use stream::ReceivedTokens;
 
-/// The patience of a caller that states no deadline.
-pub const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
-/// How long after its deadline a caller still listens for the honest last word.
-pub const GRACE: Duration = Duration::from_secs(1);
-/// The pause before a retry when the answer names none.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The deadline of a caller whose arrival has none, from the intended send time.
+pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+/// The time after its deadline for which a caller still waits for the final answer.
+pub const DEADLINE_GRACE: Duration = Duration::from_secs(1);
+/// The delay before a retry if the answer has no `Retry-After` header.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What all callers share.
+/// The state that all callers share.
 #[derive(Clone)]
-pub struct Callers {
+pub struct CallerContext {
     /// The HTTP client.
     pub http: awc::Client,
     /// The entry hosts.
     pub hosts: Hosts,
-    /// The start of the run.
+    /// The time of the start of the run.
     pub origin: Instant,
-    /// The most retries of one request.
+    /// The maximum number of retries of one request.
     pub retries: u32,
-    /// Put before every key.
+    /// The prefix of every idempotency key.
     pub run_id: String,
 }
 
-/// Sends `arrival` and follows it to its end.
-pub async fn call(
-    callers: &Callers,
+/// Runs the caller of `arrival`, whose index in `Trace::arrivals` is `index`, until its request ended.
+/// `intended` is the send time since the start of the run.
+pub async fn run_request(
+    context: &CallerContext,
     index: usize,
     arrival: &Arrival,
     intended: Duration,
 ) -> Record {
-    let mut caller = Caller::new(callers, arrival, intended);
-    let ending = caller.run().await;
+    let mut caller = Caller::new(context, arrival, intended);
+    let outcome = caller.run().await;
     Record {
         arrival: index,
         intended,
-        first_token: caller.received.first(),
+        first_token: caller.received.first_token_at(),
         streamed: caller.received.tokens().to_vec(),
-        gaps: caller.received.take_gaps(),
-        ended: callers.origin.elapsed(),
+        inter_token_gaps: caller.received.take_inter_token_gaps(),
+        ended: context.origin.elapsed(),
         attempts: caller.attempts,
-        faults: caller.received.take_faults(),
-        ending,
+        protocol_errors: caller.received.take_protocol_errors(),
+        outcome,
     }
 }
 
-/// One request on its way.
+/// The state of one request in flight.
 struct Caller<'a> {
-    callers: &'a Callers,
+    context: &'a CallerContext,
     arrival: &'a Arrival,
     /// The idempotency key of all attempts.
     key: String,
-    /// When the caller gives up.
-    until: Instant,
+    /// The time after which no further attempt starts.
+    deadline: Instant,
+    /// The entry hosts of all attempts so far, the most recent last.
     tried: Vec<SocketAddr>,
     attempts: u32,
-    /// Whether the fate of an earlier attempt is unknown.
-    lost_one: bool,
-    /// The request id that the system gave, from the latest answer.
+    /// Whether an earlier attempt was lost, so that it is unknown whether the work ran.
+    attempt_lost: bool,
+    /// The request id in the most recent answer that had one.
     request_id: Option<String>,
-    received: Received,
+    received: ReceivedTokens,
 }
 
 impl<'a> Caller<'a> {
-    fn new(callers: &'a Callers, arrival: &'a Arrival, intended: Duration) -> Self {
-        let patience = arrival.deadline.unwrap_or(DEFAULT_PATIENCE);
+    fn new(context: &'a CallerContext, arrival: &'a Arrival, intended: Duration) -> Self {
+        let timeout = arrival.deadline.unwrap_or(DEFAULT_DEADLINE);
         Self {
-            callers,
+            context,
             arrival,
-            key: run::key(&callers.run_id, arrival),
-            until: callers.origin + intended + patience,
+            key: run::idempotency_key(&context.run_id, arrival),
+            deadline: context.origin + intended + timeout,
             tried: Vec::new(),
             attempts: 0,
-            lost_one: false,
+            attempt_lost: false,
             request_id: None,
-            received: Received::new(callers.origin),
+            received: ReceivedTokens::new(context.origin),
         }
     }
 
-    async fn run(&mut self) -> Ending {
+    async fn run(&mut self) -> RequestOutcome {
         loop {
             let Some(addr) = self
-                .callers
+                .context
                 .hosts
                 .pick(&self.arrival.data_centre, &self.tried)
             else {
-                return Ending::Lost("there is no entry host".to_owned());
+                return RequestOutcome::Lost("there is no entry host".to_owned());
             };
             self.tried.push(addr);
             self.attempts += 1;
-            let outcome = self.attempt(addr).await;
-            log::debug!("caller: {} at {addr}: {outcome:?}", self.arrival.id);
-            let (ending, pause) = match outcome {
-                Attempt::Answered(answer) => return Ending::Answered(answer),
-                Attempt::Refused(refusal, retry_after) => {
-                    let again = refusal.status == 503 && refusal.run == RunState::NotRun;
-                    let ending = Ending::Refused(self.weaken(refusal));
-                    if !again {
-                        return ending;
+            let result = self.attempt(addr).await;
+            log::debug!("caller: {} at {addr}: {result:?}", self.arrival.id);
+            let (outcome, delay) = match result {
+                AttemptResult::Answered(answer) => return RequestOutcome::Answered(answer),
+                AttemptResult::Refused(refusal, retry_after) => {
+                    let retryable = refusal.status == 503 && refusal.run == RunState::NotRun;
+                    let outcome = RequestOutcome::Refused(self.weaken_run_state(refusal));
+                    if !retryable {
+                        return outcome;
                     }
-                    (ending, retry_after.unwrap_or(RETRY_PAUSE))
+                    (outcome, retry_after.unwrap_or(DEFAULT_RETRY_DELAY))
                 }
-                Attempt::NotSent(reason) => (self.not_sent(reason), RETRY_PAUSE),
-                Attempt::Lost(reason) => {
-                    self.lost_one = true;
-                    (Ending::Lost(reason), RETRY_PAUSE)
+                AttemptResult::NotSent(reason) => {
+                    (self.not_sent_outcome(reason), DEFAULT_RETRY_DELAY)
+                }
+                AttemptResult::Lost(reason) => {
+                    self.attempt_lost = true;
+                    (RequestOutcome::Lost(reason), DEFAULT_RETRY_DELAY)
                 }
             };
-            if self.attempts > self.callers.retries || Instant::now() + pause >= self.until {
-                return ending;
+            if self.attempts > self.context.retries || Instant::now() + delay >= self.deadline {
+                return outcome;
             }
-            time::sleep(pause).await;
+            time::sleep(delay).await;
         }
     }
 
-    async fn attempt(&mut self, addr: SocketAddr) -> Attempt {
+    async fn attempt(&mut self, addr: SocketAddr) -> AttemptResult {
         let sender = Sender {
-            http: &self.callers.http,
+            http: &self.context.http,
             arrival: self.arrival,
             key: &self.key,
             addr,
-            until: self.until,
+            deadline: self.deadline,
         };
-        let limit = (self.until + GRACE).saturating_duration_since(Instant::now());
-        if let Some(id) = self.resumable() {
+        let limit = (self.deadline + DEADLINE_GRACE).saturating_duration_since(Instant::now());
+        if let Some(id) = self.resumable_request_id() {
             let resumed = time::timeout(limit, sender.resume(&id, &mut self.received)).await;
             match resumed {
-                Ok(Some(outcome)) => return outcome,
+                Ok(Some(result)) => return result,
                 Ok(None) => {}
-                Err(_) => return Attempt::Lost("no answer before the deadline".to_owned()),
+                Err(_) => return AttemptResult::Lost("no answer before the deadline".to_owned()),
             }
         }
         let sent = sender.send(&mut self.received, &mut self.request_id);
         match time::timeout(limit, sent).await {
-            Ok(outcome) => outcome,
-            Err(_) => Attempt::Lost("no answer before the deadline".to_owned()),
+            Ok(result) => result,
+            Err(_) => AttemptResult::Lost("no answer before the deadline".to_owned()),
         }
     }
 
-    /// The id of a stream that broke off.
-    fn resumable(&self) -> Option<String> {
+    /// The id of the interrupted stream, if a token of it was received.
+    fn resumable_request_id(&self) -> Option<String> {
         if self.received.is_empty() {
             return None;
         }
         self.request_id.clone()
     }
 
-    fn not_sent(&self, reason: String) -> Ending {
-        if self.lost_one {
-            return Ending::Lost(reason);
+    /// The outcome if the last attempt could not be sent.
+    fn not_sent_outcome(&self, reason: String) -> RequestOutcome {
+        if self.attempt_lost {
+            return RequestOutcome::Lost(reason);
         }
-        Ending::Refused(Refusal {
+        RequestOutcome::Refused(Refusal {
             status: 0,
             code: "unreached".to_owned(),
             run: RunState::NotRun,
         })
     }
 
-    fn weaken(&self, mut refusal: Refusal) -> Refusal {
-        if self.lost_one {
+    /// Changes [`RunState::NotRun`] to [`RunState::MayHaveRun`] if an earlier attempt was lost.
+    fn weaken_run_state(&self, mut refusal: Refusal) -> Refusal {
+        if self.attempt_lost {
             refusal.run = refusal.run.max(RunState::MayHaveRun);
         }
         refusal
--- a/crates/replay/src/client/stream.rs
+++ b/crates/replay/src/client/stream.rs
@@ -1,63 +1,65 @@
-//! What came of a streamed answer, over all attempts of one caller.
+//! The tokens of a streamed answer, over all attempts of one caller.
 
 use std::time::Duration;
 
 use actix_rt::time::Instant;
 
-/// Tokens received so far.
+/// The tokens received so far, and the errors in the order or content of the received events.
 ///
-/// Invariant: `tokens` holds the tokens `0..tokens.len()`, each as it came first.
+/// Invariant: `tokens` holds the tokens `0..tokens.len()`, each as it was first received.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedTokens {
     origin: Instant,
     tokens: Vec<String>,
-    first: Option<Duration>,
-    last: Option<Duration>,
-    gaps: Vec<Duration>,
-    faults: Vec<String>,
-    /// The index that the current connection must bring next.
-    next: usize,
+    first_token_at: Option<Duration>,
+    last_token_at: Option<Duration>,
+    inter_token_gaps: Vec<Duration>,
+    protocol_errors: Vec<String>,
+    /// The index of the next token expected on the current connection.
+    next_index: usize,
 }
 
-impl Received {
-    /// Nothing yet; times count from `origin`.
+impl ReceivedTokens {
+    /// An empty state. Times are relative to `origin`.
     pub fn new(origin: Instant) -> Self {
         Self {
             origin,
             tokens: Vec::new(),
-            first: None,
-            last: None,
-            gaps: Vec::new(),
-            faults: Vec::new(),
-            next: 0,
+            first_token_at: None,
+            last_token_at: None,
+            inter_token_gaps: Vec::new(),
+            protocol_errors: Vec::new(),
+            next_index: 0,
         }
     }
 
-    /// A new connection begins, whose first token must be `next`.
-    pub fn connection_from(&mut self, next: usize) {
-        self.next = next;
+    /// Starts a new connection, whose first token must have the index `next_index`.
+    pub fn start_connection(&mut self, next_index: usize) {
+        self.next_index = next_index;
     }
 
-    /// The number of tokens held.
+    /// The number of tokens received.
     pub fn len(&self) -> usize {
         self.tokens.len()
     }
 
-    /// Whether no token is held.
+    /// Whether no token was received.
     pub fn is_empty(&self) -> bool {
         self.tokens.is_empty()
     }
 
-    /// Takes token `index`. Within a connection indices must follow each other; a token that an
-    /// earlier connection brought must be the same again.
-    pub fn token(&mut self, index: usize, text: &str) {
-        if index != self.next {
-            let expected = self.next;
-            self.fault(format!("token {index} came where {expected} was due"));
+    /// Adds the token `index`. Within a connection indices must be consecutive, and a token that an
+    /// earlier connection delivered must have the same text; otherwise a protocol error is added.
+    pub fn add_token(&mut self, index: usize, text: &str) {
+        if index != self.next_index {
+            let expected = self.next_index;
+            self.add_protocol_error(format!("token {index} came where {expected} was due"));
         }
-        self.next = index + 1;
+        self.next_index = index + 1;
         match self.tokens.get(index) {
-            Some(held) if held != text => self.fault(format!("token {index} came twice, changed")),
+            Some(earlier) if earlier != text => {
+                self.add_protocol_error(format!("token {index} came twice, changed"))
+            }
             Some(_) => {}
             None if index == self.tokens.len() => self.append(text),
             None => {}
@@ -67,38 +69,38 @@
     fn append(&mut self, text: &str) {
         let now = self.origin.elapsed();
         self.tokens.push(text.to_owned());
-        self.first.get_or_insert(now);
-        if let Some(last) = self.last.replace(now) {
-            self.gaps.push(now.saturating_sub(last));
+        self.first_token_at.get_or_insert(now);
+        if let Some(last) = self.last_token_at.replace(now) {
+            self.inter_token_gaps.push(now.saturating_sub(last));
         }
     }
 
-    /// Notes a fault in the form of what came.
-    pub fn fault(&mut self, fault: String) {
-        /// More faults of one request say nothing new.
-        const MAX_FAULTS: usize = 8;
-        if self.faults.len() < MAX_FAULTS {
-            self.faults.push(fault);
+    /// Records a protocol error.
+    pub fn add_protocol_error(&mut self, error: String) {
+        /// The first errors of a request suffice to judge and report it.
+        const MAX_PROTOCOL_ERRORS: usize = 8;
+        if self.protocol_errors.len() < MAX_PROTOCOL_ERRORS {
+            self.protocol_errors.push(error);
         }
     }
 
-    /// When the first token came.
-    pub fn first(&self) -> Option<Duration> {
-        self.first
+    /// When the first token was received.
+    pub fn first_token_at(&self) -> Option<Duration> {
+        self.first_token_at
     }
 
-    /// The tokens so far.
+    /// The tokens received so far.
     pub fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// Gives the times between tokens away.
-    pub fn take_gaps(&mut self) -> Vec<Duration> {
-        std::mem::take(&mut self.gaps)
+    /// Removes and returns the times between consecutive tokens.
+    pub fn take_inter_token_gaps(&mut self) -> Vec<Duration> {
+        std::mem::take(&mut self.inter_token_gaps)
     }
 
-    /// Gives the faults away.
-    pub fn take_faults(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.faults)
+    /// Removes and returns the protocol errors.
+    pub fn take_protocol_errors(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.protocol_errors)
     }
 }
--- a/crates/replay/src/judge/answers.rs
+++ b/crates/replay/src/judge/answers.rs
@@ -2,7 +2,7 @@
 
 use super::{Evidence, Violations};
 use crate::{
-    record::{Answer, CallAnswer, Ending, Record, RunState},
+    record::{Answer, CallAnswer, Record, RequestOutcome, RunState},
     reference,
     trace::{Arrival, Header, Work, checked::Call, raw::Check},
 };
@@ -10,7 +10,7 @@
 /// The violations of a check that needs no ledger.
 pub fn violations(evidence: Evidence<'_>, check: Check) -> Violations {
     let mut violations = Violations::default();
-    for record in &evidence.played.records {
+    for record in &evidence.run_result.records {
         let arrival = &evidence.trace.arrivals[record.arrival];
         let fault = match check {
             Check::AnswersEqual => fault(&evidence.trace.header, arrival, record),
@@ -27,16 +27,16 @@
 }
 
 fn refused(record: &Record) -> Option<String> {
-    match &record.ending {
-        Ending::Refused(r) if r.run == RunState::NotRun => Some(r.code.clone()),
+    match &record.outcome {
+        RequestOutcome::Refused(r) if r.run == RunState::NotRun => Some(r.code.clone()),
         _ => None,
     }
 }
 
 fn failed(record: &Record) -> Option<String> {
-    match &record.ending {
-        Ending::Refused(r) if r.run != RunState::NotRun => Some(r.code.clone()),
-        Ending::Lost(reason) => Some(reason.clone()),
+    match &record.outcome {
+        RequestOutcome::Refused(r) if r.run != RunState::NotRun => Some(r.code.clone()),
+        RequestOutcome::Lost(reason) => Some(reason.clone()),
         _ => None,
     }
 }
@@ -44,14 +44,14 @@
 fn late(arrival: &Arrival, record: &Record) -> Option<String> {
     let took = record.ended.saturating_sub(record.intended);
     let deadline = arrival.deadline?;
-    let answered = matches!(record.ending, Ending::Answered(_));
+    let answered = matches!(record.outcome, RequestOutcome::Answered(_));
     (answered && took > deadline)
         .then(|| format!("{} ms of {}", took.as_millis(), deadline.as_millis()))
 }
 
 /// What is wrong with the answer of `record`, if there is one.
 pub(crate) fn fault(header: &Header, arrival: &Arrival, record: &Record) -> Option<String> {
-    if let Some(fault) = record.faults.first() {
+    if let Some(fault) = record.protocol_errors.first() {
         return Some(fault.clone());
     }
     match &arrival.work {
@@ -59,10 +59,12 @@
             let expected = reference::expected_tokens(header, arrival, generation);
             tokens_fault(record, &expected)
         }
-        Work::Call(call) => match &record.ending {
-            Ending::Answered(Answer::Call(answer)) => call_fault(call, answer),
-            Ending::Answered(Answer::Tokens(_)) => Some("the answer is of another kind".to_owned()),
-            Ending::Refused(_) | Ending::Lost(_) => None,
+        Work::Call(call) => match &record.outcome {
+            RequestOutcome::Answered(Answer::Call(answer)) => call_fault(call, answer),
+            RequestOutcome::Answered(Answer::Tokens(_)) => {
+                Some("the answer is of another kind".to_owned())
+            }
+            RequestOutcome::Refused(_) | RequestOutcome::Lost(_) => None,
         },
     }
 }
@@ -70,15 +72,15 @@
 /// What is wrong with the tokens of a generation, answered or not.
 fn tokens_fault(record: &Record, expected: &[String]) -> Option<String> {
     let of = expected.len();
-    let tokens = match &record.ending {
-        Ending::Answered(Answer::Tokens(tokens)) if tokens.len() != of => {
+    let tokens = match &record.outcome {
+        RequestOutcome::Answered(Answer::Tokens(tokens)) if tokens.len() != of => {
             return Some(format!("{} tokens of {of}", tokens.len()));
         }
-        Ending::Answered(Answer::Tokens(tokens)) => tokens,
-        Ending::Answered(Answer::Call(_)) => {
+        RequestOutcome::Answered(Answer::Tokens(tokens)) => tokens,
+        RequestOutcome::Answered(Answer::Call(_)) => {
             return Some("the answer is of another kind".to_owned());
         }
-        Ending::Refused(_) | Ending::Lost(_) => &record.streamed,
+        RequestOutcome::Refused(_) | RequestOutcome::Lost(_) => &record.streamed,
     };
     if tokens.len() > of {
         return Some(format!("{} tokens streamed of {of}", tokens.len()));
--- a/crates/replay/src/judge/layers.rs
+++ b/crates/replay/src/judge/layers.rs
@@ -9,7 +9,7 @@
 use super::{Evidence, Violations};
 use crate::{
     ledger::EngineEntry,
-    record::Ending,
+    record::RequestOutcome,
     trace::{Work, checked::Generation},
 };
 
@@ -37,14 +37,14 @@
     let layers = evidence.trace.header.layers;
     let mut violations = Violations::default();
     let mut seen = BTreeSet::new();
-    for record in &evidence.played.records {
+    for record in &evidence.run_result.records {
         let arrival = &evidence.trace.arrivals[record.arrival];
         let Work::Generation(generation) = &arrival.work else {
             continue;
         };
-        let id = evidence.played.ledger_id(arrival);
+        let id = evidence.run_result.ledger_id(arrival);
         let steps = steps.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-        let answered = matches!(record.ending, Ending::Answered(_));
+        let answered = matches!(record.outcome, RequestOutcome::Answered(_));
         let missed = answered.then(|| missed(steps, layers, positions(generation)));
         let doubled = seen.insert(id).then(|| doubled(steps, layers));
         violations.looked_at += 1;
@@ -61,7 +61,7 @@
 pub fn rebuilt(evidence: Evidence<'_>) -> u64 {
     let steps = steps(evidence);
     let arrivals = evidence.trace.arrivals.iter();
-    let ids: BTreeSet<String> = arrivals.map(|a| evidence.played.ledger_id(a)).collect();
+    let ids: BTreeSet<String> = arrivals.map(|a| evidence.run_result.ledger_id(a)).collect();
     let of_run = ids.iter().filter_map(|id| steps.get(id.as_str()));
     of_run
         .map(|steps| rebuilt_of(steps, evidence.trace.header.layers))
--- a/crates/replay/src/judge/mod.rs
+++ b/crates/replay/src/judge/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     ledger::Ledgers,
-    run::Played,
+    run::RunResult,
     trace::{Outcome, Trace, checked, raw::Check},
 };
 
@@ -25,7 +25,7 @@
     /// What was to be played.
     pub trace: &'a Trace,
     /// What the callers saw.
-    pub played: &'a Played,
+    pub run_result: &'a RunResult,
     /// What ran.
     pub ledgers: &'a Ledgers,
 }
@@ -113,13 +113,22 @@
 
 /// Why the run is not the one that the trace describes.
 fn invalid(evidence: Evidence<'_>) -> Vec<String> {
-    let Evidence { trace, played, .. } = evidence;
+    let Evidence {
+        trace, run_result, ..
+    } = evidence;
     let mut reasons = Vec::new();
-    let missing = trace.arrivals.len().saturating_sub(played.records.len());
+    let missing = trace
+        .arrivals
+        .len()
+        .saturating_sub(run_result.records.len());
     if missing > 0 {
         reasons.push(format!("{missing} requests were not sent or not followed"));
     }
-    let done = played.faults.iter().filter(|f| f.error.is_none()).count();
+    let done = run_result
+        .faults
+        .iter()
+        .filter(|f| f.error.is_none())
+        .count();
     if done < trace.faults.len() {
         let of = trace.faults.len();
         reasons.push(format!("{done} of {of} faults were done"));
--- a/crates/replay/src/judge/recovery.rs
+++ b/crates/replay/src/judge/recovery.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::{Evidence, Finding, State};
-use crate::{record::Ending, trace::checked};
+use crate::{record::RequestOutcome, trace::checked};
 
 /// The rate must be back to at least this part of the rate before.
 const BACK: f64 = 0.95;
@@ -104,16 +104,16 @@
 /// Judges a stated recovery.
 pub fn judge(evidence: Evidence<'_>, stated: &checked::Recovery) -> Finding {
     let mut finding = Finding::from(stated);
-    let faults = &evidence.played.faults;
+    let faults = &evidence.run_result.faults;
     let Some(fault) = faults.iter().find(|f| f.id == stated.fault) else {
         finding.examples.push("the fault was not done".to_owned());
         return finding;
     };
-    let records = evidence.played.records.iter();
+    let records = evidence.run_result.records.iter();
     let samples: Vec<Sample> = records
         .map(|record| Sample {
             intended: record.intended,
-            answered: matches!(record.ending, Ending::Answered(_)).then_some(record.ended),
+            answered: matches!(record.outcome, RequestOutcome::Answered(_)).then_some(record.ended),
         })
         .collect();
     finding.looked_at = samples.len() as u64;
--- a/crates/replay/src/judge/runs.rs
+++ b/crates/replay/src/judge/runs.rs
@@ -4,7 +4,7 @@
 
 use super::{Evidence, Violations};
 use crate::{
-    record::{Ending, RunState},
+    record::{RequestOutcome, RunState},
     trace::{Arrival, Work},
 };
 
@@ -37,12 +37,14 @@
     /// Steps or calls that ran for `arrival`. A service may have been given the key with or without
     /// its workspace.
     fn of(&self, arrival: &Arrival) -> u64 {
-        let played = self.evidence.played;
-        let id = played.ledger_id(arrival);
+        let run_result = self.evidence.run_result;
+        let id = run_result.ledger_id(arrival);
         let found = |runs: &BTreeMap<&str, u64>, id: &str| runs.get(id).copied().unwrap_or(0);
         match arrival.work {
             Work::Generation(_) => found(&self.steps, &id),
-            Work::Call(_) => found(&self.calls, &id) + found(&self.calls, &played.key(arrival)),
+            Work::Call(_) => {
+                found(&self.calls, &id) + found(&self.calls, &run_result.idempotency_key(arrival))
+            }
         }
     }
 }
@@ -51,10 +53,10 @@
 pub fn false_not_run(evidence: Evidence<'_>) -> Violations {
     let runs = Runs::new(evidence);
     let mut not_run = BTreeMap::new();
-    for record in &evidence.played.records {
+    for record in &evidence.run_result.records {
         let arrival = &evidence.trace.arrivals[record.arrival];
-        let told = match &record.ending {
-            Ending::Refused(refusal) => refusal.run == RunState::NotRun,
+        let told = match &record.outcome {
+            RequestOutcome::Refused(refusal) => refusal.run == RunState::NotRun,
             _ => false,
         };
         let identity = (arrival.workspace.as_str(), arrival.key.as_str());
--- a/crates/replay/src/load/direct.rs
+++ b/crates/replay/src/load/direct.rs
@@ -7,9 +7,9 @@
 use dragonflyrill_standins::reference;
 
 use crate::{
-    client::{Callers, stream::Received},
+    client::{CallerContext, stream::ReceivedTokens},
     prompt,
-    record::{Answer, Ending, Record},
+    record::{Answer, Record, RequestOutcome},
     trace::{Arrival, Work, checked::Generation},
 };
 
@@ -48,47 +48,47 @@
 }
 
 /// Generates the answer to `arrival`, which must be a generation.
-pub async fn call(
-    callers: &Callers,
+pub async fn run_request(
+    context: &CallerContext,
     chain: &Chain,
     index: usize,
     arrival: &Arrival,
     intended: Duration,
 ) -> Record {
-    let mut received = Received::new(callers.origin);
+    let mut received = ReceivedTokens::new(context.origin);
     let request = format!(
         "{}/{}-direct-{}",
-        arrival.workspace, callers.run_id, arrival.key
+        arrival.workspace, context.run_id, arrival.key
     );
     let driver = Driver {
-        http: &callers.http,
+        http: &context.http,
         chain,
         request: &request,
         model: arrival_model(arrival),
     };
-    let ending = match &arrival.work {
+    let outcome = match &arrival.work {
         Work::Generation(generation) => {
             let prompt = prompt::text(arrival, generation.prompt_tokens);
             let done = driver.generate(generation, &prompt, &mut received).await;
             match done {
-                Ok(()) => Ending::Answered(Answer::Tokens(received.tokens().to_vec())),
-                Err(e) => Ending::Lost(format!("{e:#}")),
+                Ok(()) => RequestOutcome::Answered(Answer::Tokens(received.tokens().to_vec())),
+                Err(e) => RequestOutcome::Lost(format!("{e:#}")),
             }
         }
-        Work::Call(_) => Ending::Lost("a call has no chain".to_owned()),
+        Work::Call(_) => RequestOutcome::Lost("a call has no chain".to_owned()),
     };
-    let ended = callers.origin.elapsed();
+    let ended = context.origin.elapsed();
     driver.cancel().await;
     Record {
         arrival: index,
         intended,
-        first_token: received.first(),
+        first_token: received.first_token_at(),
         streamed: received.tokens().to_vec(),
-        gaps: received.take_gaps(),
+        inter_token_gaps: received.take_inter_token_gaps(),
         ended,
         attempts: 1,
-        faults: received.take_faults(),
-        ending,
+        protocol_errors: received.take_protocol_errors(),
+        outcome,
     }
 }
 
@@ -111,7 +111,7 @@
         &self,
         generation: &Generation,
         prompt: &str,
-        received: &mut Received,
+        received: &mut ReceivedTokens,
     ) -> anyhow::Result<()> {
         let mut inputs = reference::tokenize(prompt);
         let mut start = 0;
@@ -119,7 +119,7 @@
             let count = inputs.len() as u32;
             let outputs = self.position(start, inputs).await?;
             let token = *outputs.last().context("a step without outputs")?;
-            received.token(index, &reference::detokenize(token));
+            received.add_token(index, &reference::detokenize(token));
             start += count;
             inputs = vec![token];
         }
--- a/crates/replay/src/load/mod.rs
+++ b/crates/replay/src/load/mod.rs
@@ -18,10 +18,10 @@
 use dragonflyrill_engines::wire::Layers;
 
 use crate::{
-    client::{self, Callers},
+    client::{self, CallerContext},
     hosts::{Addresses, Hosts},
     judge::answers,
-    record::{Ending, Record},
+    record::{Record, RequestOutcome},
     run,
     trace::{Arrival, Header, Work, checked::Generation},
 };
@@ -68,7 +68,7 @@
 /// Measures `plan`.
 pub async fn measure(plan: &Plan) -> Measured {
     let http = run::http_client(plan.max_in_flight);
-    let callers = Callers {
+    let context = CallerContext {
         hosts: Hosts::new(&plan.entries, 1),
         http,
         origin: Instant::now(),
@@ -77,14 +77,14 @@
     };
     let shared = Rc::new(Shared {
         plan: plan.clone(),
-        callers,
+        context,
         measured: RefCell::default(),
     });
     let interval = Duration::from_secs_f64(1.0 / plan.rate);
     let mut tasks = Vec::new();
     for index in 0..plan.count {
         let at = interval.mul_f64(index as f64);
-        time::sleep_until(shared.callers.origin + at).await;
+        time::sleep_until(shared.context.origin + at).await;
         let in_flight = tasks.len() - shared.measured.borrow().ended;
         if in_flight >= plan.max_in_flight {
             log::error!("load: stopped, {in_flight} requests in flight is the bound");
@@ -105,14 +105,14 @@
     let mut measured = shared.measured.take();
     let kinds = 1 + usize::from(plan.chain.is_some());
     measured.not_sent = plan.count * kinds - sent;
-    measured.elapsed = shared.callers.origin.elapsed();
+    measured.elapsed = shared.context.origin.elapsed();
     measured
 }
 
 /// What all tasks share.
 struct Shared {
     plan: Plan,
-    callers: Callers,
+    context: CallerContext,
     measured: RefCell<Measured>,
 }
 
@@ -129,8 +129,8 @@
 
     /// Why the answer of `record` is not the whole right one.
     fn fault(&self, arrival: &Arrival, record: &Record) -> Option<String> {
-        match &record.ending {
-            Ending::Answered(_) => answers::fault(&self.plan.header, arrival, record),
+        match &record.outcome {
+            RequestOutcome::Answered(_) => answers::fault(&self.plan.header, arrival, record),
             other => Some(format!("{other:?}")),
         }
     }
@@ -142,7 +142,7 @@
 
 async fn by_entry(shared: Rc<Shared>, index: usize, at: Duration) {
     let arrival = shared.arrival(index, at);
-    let record = client::call(&shared.callers, index, &arrival, at).await;
+    let record = client::run_request(&shared.context, index, &arrival, at).await;
     let fault = shared.fault(&arrival, &record);
     let counted = shared.counted(index);
     let mut measured = shared.measured.borrow_mut();
@@ -155,9 +155,9 @@
     let Some(chain) = &shared.plan.chain else {
         return;
     };
-    time::sleep_until(shared.callers.origin + at).await;
+    time::sleep_until(shared.context.origin + at).await;
     let arrival = shared.arrival(index, at);
-    let record = direct::call(&shared.callers, chain, index, &arrival, at).await;
+    let record = direct::run_request(&shared.context, chain, index, &arrival, at).await;
     let fault = shared.fault(&arrival, &record);
     let counted = shared.counted(index);
     let mut measured = shared.measured.borrow_mut();
--- a/crates/replay/src/load/table.rs
+++ b/crates/replay/src/load/table.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    record::{Answer, Ending, Record},
+    record::{Answer, Record, RequestOutcome},
     report::latency::Durations,
 };
 
@@ -57,7 +57,7 @@
             return;
         }
         self.right += 1;
-        if let Ending::Answered(Answer::Tokens(tokens)) = &record.ending {
+        if let RequestOutcome::Answered(Answer::Tokens(tokens)) = &record.outcome {
             self.tokens += tokens.len() as u64;
         }
         if !counted {
@@ -67,7 +67,7 @@
         if let Some(first) = record.first_token {
             self.first_token.add(first.saturating_sub(record.intended));
         }
-        for gap in &record.gaps {
+        for gap in &record.inter_token_gaps {
             self.between_tokens.add(*gap);
         }
     }
--- a/crates/replay/src/report/latency.rs
+++ b/crates/replay/src/report/latency.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::record::{Ending, Record};
+use crate::record::{Record, RequestOutcome};
 
 /// The longest latency told apart, in microseconds: ten minutes.
 const MAX_US: u64 = 600_000_000;
@@ -85,7 +85,7 @@
 
 impl Latencies {
     pub(crate) fn add(&mut self, record: &Record, call: bool) {
-        if !matches!(record.ending, Ending::Answered(_)) {
+        if !matches!(record.outcome, RequestOutcome::Answered(_)) {
             return;
         }
         let since = |at: Duration| at.saturating_sub(record.intended);
@@ -97,7 +97,7 @@
         if let Some(first) = record.first_token {
             self.first_token.add(since(first));
         }
-        for gap in &record.gaps {
+        for gap in &record.inter_token_gaps {
             self.between_tokens.add(*gap);
         }
     }
--- a/crates/replay/src/report/mod.rs
+++ b/crates/replay/src/report/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     judge::{Evidence, Verdict, layers},
-    record::{Answer, Ending, Record, RunState},
+    record::{Answer, Record, RequestOutcome, RunState},
     trace::Work,
 };
 use latency::{Latencies, Latency};
@@ -97,41 +97,41 @@
     pub fn new(evidence: Evidence<'_>, verdict: Verdict, speed: f64) -> Self {
         let Evidence {
             trace,
-            played,
+            run_result,
             ledgers,
         } = evidence;
         let mut counts = Counts::default();
         let mut workspaces: BTreeMap<String, Counts> = BTreeMap::new();
         let mut codes = BTreeMap::new();
         let mut latencies = Latencies::default();
-        for record in &played.records {
+        for record in &run_result.records {
             let arrival = &trace.arrivals[record.arrival];
             counts.add(record);
             let workspace = arrival.workspace.to_string();
             workspaces.entry(workspace).or_default().add(record);
-            if let Ending::Refused(refusal) = &record.ending {
+            if let RequestOutcome::Refused(refusal) = &record.outcome {
                 *codes.entry(refusal.code.clone()).or_default() += 1;
             }
             let call = matches!(arrival.work, Work::Call(_));
             latencies.add(record, call);
         }
-        let faults = played.faults.iter().map(|f| FaultLine {
+        let faults = run_result.faults.iter().map(|f| FaultLine {
             id: f.id.clone(),
             at_ms: f.at.as_millis() as u64,
             error: f.error.clone(),
         });
         Self {
             deployment: trace.header.deployment.to_string(),
-            run_id: played.run_id.clone(),
+            run_id: run_result.run_id.clone(),
             speed,
             verdict,
             counts,
             workspaces,
             codes,
             latency: latencies.summary(),
-            rates: Rates::new(&counts, &played.records),
+            rates: Rates::new(&counts, &run_result.records),
             faults: faults.collect(),
-            peak_in_flight: played.peak_in_flight,
+            peak_in_flight: run_result.peak_in_flight,
             rebuilt_layer_positions: layers::rebuilt(evidence),
             ledger_gaps: ledgers.gaps(),
         }
@@ -142,16 +142,18 @@
     fn add(&mut self, record: &Record) {
         self.sent += 1;
         self.retried += u64::from(record.attempts > 1);
-        match &record.ending {
-            Ending::Answered(answer) => {
+        match &record.outcome {
+            RequestOutcome::Answered(answer) => {
                 self.answered += 1;
                 if let Answer::Tokens(tokens) = answer {
                     self.tokens += tokens.len() as u64;
                 }
             }
-            Ending::Refused(refusal) if refusal.run == RunState::NotRun => self.not_run += 1,
-            Ending::Refused(_) => self.failed += 1,
-            Ending::Lost(_) => self.lost += 1,
+            RequestOutcome::Refused(refusal) if refusal.run == RunState::NotRun => {
+                self.not_run += 1
+            }
+            RequestOutcome::Refused(_) => self.failed += 1,
+            RequestOutcome::Lost(_) => self.lost += 1,
         }
     }
 }
--- a/crates/replay/tests/judge.rs
+++ b/crates/replay/tests/judge.rs
@@ -7,9 +7,9 @@
     faults::FaultResult,
     judge::{self, Evidence, Finding, State, recovery},
     ledger::{self, EngineEntry, Ledger, Ledgers, ServiceEntry},
-    record::{Answer, CallAnswer, Ending, Record, Refusal, RunState},
+    record::{Answer, CallAnswer, Record, Refusal, RequestOutcome, RunState},
     reference,
-    run::Played,
+    run::RunResult,
     trace::{Trace, Work},
 };
 
@@ -28,7 +28,7 @@
 /// Evidence of a run in which all is well, to be spoiled.
 struct Case {
     trace: Trace,
-    played: Played,
+    run_result: RunResult,
     ledgers: Ledgers,
 }
 
@@ -45,8 +45,8 @@
             body: echo.into(),
         };
         let records = vec![
-            record(0, Ending::Answered(Answer::Tokens(tokens))),
-            record(1, Ending::Answered(Answer::Call(call))),
+            record(0, RequestOutcome::Answered(Answer::Tokens(tokens))),
+            record(1, RequestOutcome::Answered(Answer::Call(call))),
         ];
         let engine = |endpoint: &str, entries| Ledger {
             endpoint: endpoint.to_owned(),
@@ -64,13 +64,13 @@
             }],
             ..Ledgers::default()
         };
-        let played = Played {
+        let run_result = RunResult {
             records,
-            ..Played::default()
+            ..RunResult::default()
         };
         Self {
             trace,
-            played,
+            run_result,
             ledgers,
         }
     }
@@ -78,7 +78,7 @@
     fn evidence(&self) -> Evidence<'_> {
         Evidence {
             trace: &self.trace,
-            played: &self.played,
+            run_result: &self.run_result,
             ledgers: &self.ledgers,
         }
     }
@@ -93,8 +93,8 @@
     }
 
     fn tokens(&mut self) -> &mut Vec<String> {
-        match &mut self.played.records[0].ending {
-            Ending::Answered(Answer::Tokens(tokens)) => tokens,
+        match &mut self.run_result.records[0].outcome {
+            RequestOutcome::Answered(Answer::Tokens(tokens)) => tokens,
             other => panic!("{other:?}"),
         }
     }
@@ -110,17 +110,17 @@
     format!("{check:?} {state:?} {}", examples.join("; "))
 }
 
-fn record(arrival: usize, ending: Ending) -> Record {
+fn record(arrival: usize, outcome: RequestOutcome) -> Record {
     Record {
         arrival,
         intended: Duration::ZERO,
         first_token: None,
         streamed: Vec::new(),
-        gaps: Vec::new(),
+        inter_token_gaps: Vec::new(),
         ended: Duration::from_millis(10),
         attempts: 1,
-        faults: Vec::new(),
-        ending,
+        protocol_errors: Vec::new(),
+        outcome,
     }
 }
 
@@ -142,8 +142,8 @@
     }
 }
 
-fn refusal(run: RunState) -> Ending {
-    Ending::Refused(Refusal {
+fn refusal(run: RunState) -> RequestOutcome {
+    RequestOutcome::Refused(Refusal {
         status: 503,
         code: "overloaded".to_owned(),
         run,
@@ -174,7 +174,9 @@
 fn a_doubled_token_is_found() {
     let mut case = Case::new();
     let fault = "token 0 came where 1 was due";
-    case.played.records[0].faults.push(fault.to_owned());
+    case.run_result.records[0]
+        .protocol_errors
+        .push(fault.to_owned());
     assert_eq!(case.broken(), [format!("AnswersEqual Broken r: {fault}")]);
 }
 
@@ -182,14 +184,14 @@
 fn a_wrong_token_of_a_stream_that_failed_later_is_found() {
     let mut case = Case::new();
     let right = case.tokens()[0].clone();
-    let record = &mut case.played.records[0];
-    record.ending = refusal(RunState::Ran);
+    let record = &mut case.run_result.records[0];
+    record.outcome = refusal(RunState::Ran);
     record.streamed = vec![right.clone()];
     assert_eq!(case.broken(), ["Failed Broken r: overloaded"]);
-    case.played.records[0].streamed = vec![right.clone() + "0"];
+    case.run_result.records[0].streamed = vec![right.clone() + "0"];
     let expected = "AnswersEqual Broken r: token 0 differs from the reference";
     assert_eq!(case.broken()[0], expected);
-    case.played.records[0].streamed = vec![right; 3];
+    case.run_result.records[0].streamed = vec![right; 3];
     let expected = "AnswersEqual Broken r: 3 tokens streamed of 2";
     assert_eq!(case.broken()[0], expected);
 }
@@ -203,7 +205,7 @@
         status: 200,
         body: echo.into(),
     };
-    case.played.records[1].ending = Ending::Answered(Answer::Call(answer));
+    case.run_result.records[1].outcome = RequestOutcome::Answered(Answer::Call(answer));
     let broken = case.broken();
     assert_eq!(broken.len(), 1);
     assert!(broken[0].starts_with("AnswersEqual Broken c: the answer is to another call"));
@@ -252,7 +254,7 @@
 #[test]
 fn a_false_not_run_of_a_generation_is_found() {
     let mut case = Case::new();
-    case.played.records[0].ending = refusal(RunState::NotRun);
+    case.run_result.records[0].outcome = refusal(RunState::NotRun);
     let expected = [
         "NotRunTrue Broken r: reported as not run, ran 4 steps or calls",
         "Refused Broken r: overloaded",
@@ -263,7 +265,7 @@
 #[test]
 fn a_true_not_run_counts_as_a_refusal_only() {
     let mut case = Case::new();
-    case.played.records[0].ending = refusal(RunState::NotRun);
+    case.run_result.records[0].outcome = refusal(RunState::NotRun);
     case.ledgers.engines.clear();
     assert_eq!(case.broken(), ["Refused Broken r: overloaded"]);
 }
@@ -271,7 +273,7 @@
 #[test]
 fn a_false_not_run_of_a_call_is_found_under_the_bare_key_too() {
     let mut case = Case::new();
-    case.played.records[1].ending = refusal(RunState::NotRun);
+    case.run_result.records[1].outcome = refusal(RunState::NotRun);
     case.ledgers.services[0].entries[0] = service("c", 1);
     let found = "NotRunTrue Broken c: reported as not run, ran 1 steps or calls";
     assert!(case.broken().contains(&found.to_owned()));
@@ -297,14 +299,14 @@
 #[test]
 fn work_that_may_have_run_counts_as_failed() {
     let mut case = Case::new();
-    case.played.records[1].ending = refusal(RunState::MayHaveRun);
+    case.run_result.records[1].outcome = refusal(RunState::MayHaveRun);
     assert_eq!(case.broken(), ["Failed Broken c: overloaded"]);
 }
 
 #[test]
 fn an_answer_after_the_deadline_is_found() {
     let mut case = Case::new();
-    case.played.records[0].ended = Duration::from_millis(1001);
+    case.run_result.records[0].ended = Duration::from_millis(1001);
     assert_eq!(case.broken(), ["Late Broken r: 1001 ms of 1000"]);
 }
 
@@ -336,7 +338,7 @@
 #[test]
 fn a_run_that_sent_too_little_is_not_kept() {
     let mut case = Case::new();
-    case.played.records.pop();
+    case.run_result.records.pop();
     let verdict = judge::judge(case.evidence());
     assert!(!verdict.kept);
     assert_eq!(verdict.invalid.len(), 1);
@@ -350,7 +352,7 @@
         r#"{"kind":"fault","at_ms":1,"id":"f","do":"kill","target":"e"}"#
     );
     case.trace = Trace::parse("t", &text).unwrap();
-    case.played.faults.push(FaultResult {
+    case.run_result.faults.push(FaultResult {
         id: "f".to_owned(),
         at: Duration::ZERO,
         error: Some("refused".to_owned()),
--- a/crates/replay/tests/play.rs
+++ b/crates/replay/tests/play.rs
@@ -9,7 +9,7 @@
     hosts::Addresses,
     judge,
     ledger::Ledgers,
-    record::{Answer, Ending, Record, RunState},
+    record::{Answer, Record, RequestOutcome, RunState},
     run::{self, Options},
     trace::Trace,
 };
@@ -35,8 +35,9 @@
         seed: 1,
         run_id: "t".to_owned(),
     };
-    let mut played = run::run(&Rc::new(trace), &options, &FaultInjector::default(), |_| {}).await;
-    played.records.remove(0)
+    let mut run_result =
+        run::run(&Rc::new(trace), &options, &FaultInjector::default(), |_| {}).await;
+    run_result.records.remove(0)
 }
 
 #[actix_rt::test]
@@ -55,13 +56,13 @@
         seed: 1,
         run_id: String::new(),
     };
-    let played = run::run(&trace, &options, &FaultInjector::default(), |_| {}).await;
-    assert_eq!(played.records.len(), 1);
-    assert_eq!(played.peak_in_flight, 1);
+    let run_result = run::run(&trace, &options, &FaultInjector::default(), |_| {}).await;
+    assert_eq!(run_result.records.len(), 1);
+    assert_eq!(run_result.peak_in_flight, 1);
     assert_eq!(seen.0.borrow().len(), 1);
     let evidence = judge::Evidence {
         trace: &trace,
-        played: &played,
+        run_result: &run_result,
         ledgers: &Ledgers::default(),
     };
     let verdict = judge::judge(evidence);
@@ -72,9 +73,9 @@
     );
 }
 
-fn tokens(texts: &[&str]) -> Ending {
+fn tokens(texts: &[&str]) -> RequestOutcome {
     let texts = texts.iter().map(|t| (*t).to_owned()).collect();
-    Ending::Answered(Answer::Tokens(texts))
+    RequestOutcome::Answered(Answer::Tokens(texts))
 }
 
 #[actix_rt::test]
@@ -82,7 +83,7 @@
     let body = r#"{"choices":[{"index":0,"text":" ab 1","finish_reason":"length"}]}"#;
     let (addr, seen) = fake_host(vec![Reply::Whole(json("200 OK", "", body))]).await;
     let record = play(&request(false), &[addr]).await;
-    assert_eq!(record.ending, tokens(&[" ab", " 1"]));
+    assert_eq!(record.outcome, tokens(&[" ab", " 1"]));
     let seen = seen.0.borrow();
     assert!(seen[0].starts_with("POST /v1/completions HTTP/1.1"));
     assert!(seen[0].to_lowercase().contains("idempotency-key: t.r\r\n"));
@@ -95,8 +96,8 @@
     let rest = stream(&(token(1, " 1") + "data: [DONE]\n\n"));
     let (addr, seen) = fake_host(vec![Reply::Cut(cut), Reply::Cut(rest)]).await;
     let record = play(&request(true), &[addr]).await;
-    assert_eq!(record.ending, tokens(&[" ab", " 1"]));
-    assert_eq!(record.faults, Vec::<String>::new());
+    assert_eq!(record.outcome, tokens(&[" ab", " 1"]));
+    assert_eq!(record.protocol_errors, Vec::<String>::new());
     assert_eq!(record.attempts, 2);
     let seen = seen.0.borrow();
     assert!(
@@ -115,8 +116,8 @@
     let replies = vec![Reply::Cut(cut), Reply::Whole(unknown), Reply::Cut(whole)];
     let (addr, seen) = fake_host(replies).await;
     let record = play(&request(true), &[addr]).await;
-    assert_eq!(record.ending, tokens(&[" ab", " 1"]));
-    assert_eq!(record.faults, Vec::<String>::new());
+    assert_eq!(record.outcome, tokens(&[" ab", " 1"]));
+    assert_eq!(record.protocol_errors, Vec::<String>::new());
     assert!(seen.0.borrow()[2].starts_with("POST /v1/completions"));
 }
 
@@ -126,7 +127,7 @@
         stream(&(token(0, " ab") + &token(0, " ab") + &token(1, " 1") + "data: [DONE]\n\n"));
     let (addr, _) = fake_host(vec![Reply::Cut(whole)]).await;
     let record = play(&request(true), &[addr]).await;
-    assert_eq!(record.faults, ["token 0 came where 1 was due"]);
+    assert_eq!(record.protocol_errors, ["token 0 came where 1 was due"]);
 }
 
 #[actix_rt::test]
@@ -136,7 +137,7 @@
     let answer = json("200 OK", "", r#"{"choices":[{"index":0,"text":" 1 2"}]}"#);
     let (addr, _) = fake_host(vec![Reply::Whole(refused), Reply::Whole(answer)]).await;
     let record = play(&request(false), &[addr]).await;
-    assert_eq!(record.ending, tokens(&[" 1", " 2"]));
+    assert_eq!(record.outcome, tokens(&[" 1", " 2"]));
     assert_eq!(record.attempts, 2);
 }
 
@@ -146,8 +147,8 @@
     let refused = json("429 Too Many Requests", "", body);
     let (addr, _) = fake_host(vec![Reply::Cut(String::new()), Reply::Whole(refused)]).await;
     let record = play(&request(false), &[addr]).await;
-    let Ending::Refused(refusal) = record.ending else {
-        panic!("{:?}", record.ending);
+    let RequestOutcome::Refused(refusal) = record.outcome else {
+        panic!("{:?}", record.outcome);
     };
     assert_eq!((refusal.status, refusal.run), (429, RunState::MayHaveRun));
 }
--- a/crates/replay/tests/standins.rs
+++ b/crates/replay/tests/standins.rs
@@ -7,7 +7,7 @@
 use actix_rt::time::Instant;
 use dragonflyrill_engines::wire::Layers;
 use dragonflyrill_replay::{
-    client::Callers,
+    client::CallerContext,
     faults::{self, FaultInjector},
     hosts::{Addresses, Hosts},
     ledger::Ledgers,
@@ -15,7 +15,7 @@
         self, Shape, cpu,
         direct::{self, Chain, Stage},
     },
-    record::{Answer, Ending},
+    record::{Answer, RequestOutcome},
     reference,
     targets::Targets,
     trace::{Trace, Work},
@@ -48,8 +48,8 @@
     Targets::parse("targets.ini", &text).unwrap()
 }
 
-fn callers() -> Callers {
-    Callers {
+fn context() -> CallerContext {
+    CallerContext {
         http: awc::Client::default(),
         hosts: Hosts::new(&Addresses::new(), 1),
         origin: Instant::now(),
@@ -80,12 +80,15 @@
         layers: Layers { first, end },
     });
     let chain = Chain::new(stages.collect(), 8).unwrap();
-    let record = direct::call(&callers(), &chain, 0, &arrival, Duration::ZERO).await;
+    let record = direct::run_request(&context(), &chain, 0, &arrival, Duration::ZERO).await;
     let Work::Generation(generation) = &arrival.work else {
         panic!("not a generation");
     };
     let tokens = reference::expected_tokens(&header, &arrival, generation);
-    assert_eq!(record.ending, Ending::Answered(Answer::Tokens(tokens)));
+    assert_eq!(
+        record.outcome,
+        RequestOutcome::Answered(Answer::Tokens(tokens))
+    );
 
     let targets = targets(&engines, &service);
     let ledgers = Ledgers::fetch(&awc::Client::default(), &targets, &[]).await;
