--- a/crates/replay/src/judge/answers.rs
+++ b/crates/replay/src/judge/answers.rs
@@ -1,4 +1,4 @@
-//! Checks of what callers received.
+//! Checks of the answers that callers received.
 
 use super::{Evidence, Violations};
 use crate::{
@@ -7,20 +7,20 @@
     trace::{Arrival, Header, Work, checked::Call, raw::Check},
 };
 
-/// The violations of a check that needs no ledger.
+/// The violations of `check`, which must be one that needs no ledger.
 pub fn violations(evidence: Evidence<'_>, check: Check) -> Violations {
     let mut violations = Violations::default();
     for record in &evidence.run_result.records {
         let arrival = &evidence.trace.arrivals[record.arrival];
-        let fault = match check {
-            Check::AnswersEqual => fault(&evidence.trace.header, arrival, record),
+        let error = match check {
+            Check::AnswersEqual => answer_error(&evidence.trace.header, arrival, record),
             Check::Refused => refused(record),
             Check::Failed => failed(record),
             Check::Late => late(arrival, record),
             _ => None,
         };
         violations.looked_at += 1;
-        let line = fault.map(|fault| format!("{}: {fault}", arrival.id));
+        let line = error.map(|error| format!("{}: {error}", arrival.id));
         violations.lines.extend(line);
     }
     violations
@@ -42,25 +42,25 @@
 }
 
 fn late(arrival: &Arrival, record: &Record) -> Option<String> {
-    let took = record.ended.saturating_sub(record.intended);
+    let latency = record.ended.saturating_sub(record.intended);
     let deadline = arrival.deadline?;
     let answered = matches!(record.outcome, RequestOutcome::Answered(_));
-    (answered && took > deadline)
-        .then(|| format!("{} ms of {}", took.as_millis(), deadline.as_millis()))
+    (answered && latency > deadline)
+        .then(|| format!("{} ms of {}", latency.as_millis(), deadline.as_millis()))
 }
 
-/// What is wrong with the answer of `record`, if there is one.
-pub(crate) fn fault(header: &Header, arrival: &Arrival, record: &Record) -> Option<String> {
-    if let Some(fault) = record.protocol_errors.first() {
-        return Some(fault.clone());
+/// Describes the error in the answer of `record`, if there is an answer and it has an error.
+pub(crate) fn answer_error(header: &Header, arrival: &Arrival, record: &Record) -> Option<String> {
+    if let Some(error) = record.protocol_errors.first() {
+        return Some(error.clone());
     }
     match &arrival.work {
         Work::Generation(generation) => {
             let expected = reference::expected_tokens(header, arrival, generation);
-            tokens_fault(record, &expected)
+            tokens_error(record, &expected)
         }
         Work::Call(call) => match &record.outcome {
-            RequestOutcome::Answered(Answer::Call(answer)) => call_fault(call, answer),
+            RequestOutcome::Answered(Answer::Call(answer)) => call_error(call, answer),
             RequestOutcome::Answered(Answer::Tokens(_)) => {
                 Some("the answer is of another kind".to_owned())
             }
@@ -69,8 +69,9 @@
     }
 }
 
-/// What is wrong with the tokens of a generation, answered or not.
-fn tokens_fault(record: &Record, expected: &[String]) -> Option<String> {
+/// Describes the error in the tokens of a generation, if any. For a generation that was not answered
+/// these are the tokens that were streamed.
+fn tokens_error(record: &Record, expected: &[String]) -> Option<String> {
     let of = expected.len();
     let tokens = match &record.outcome {
         RequestOutcome::Answered(Answer::Tokens(tokens)) if tokens.len() != of => {
@@ -85,11 +86,13 @@
     if tokens.len() > of {
         return Some(format!("{} tokens streamed of {of}", tokens.len()));
     }
-    let differs = tokens.iter().zip(expected).position(|(a, b)| a != b)?;
-    Some(format!("token {differs} differs from the reference"))
+    let first_difference = tokens.iter().zip(expected).position(|(a, b)| a != b)?;
+    Some(format!(
+        "token {first_difference} differs from the reference"
+    ))
 }
 
-fn call_fault(call: &Call, answer: &CallAnswer) -> Option<String> {
+fn call_error(call: &Call, answer: &CallAnswer) -> Option<String> {
     let expected = reference::expected_echo(call);
     match serde_json::from_slice::<reference::Echo>(&answer.body) {
         Ok(echo) if echo == expected => None,
--- a/crates/replay/src/judge/mod.rs
+++ b/crates/replay/src/judge/mod.rs
@@ -1,8 +1,8 @@
-//! Judges what callers and ledgers show against the stated outcomes.
+//! Judges the stated outcomes by the records of callers and the ledgers.
 //!
-//! The system under test is not asked. [`answers`] looks at what callers received, [`layers`] and
-//! [`runs`] compare it with what the ledgers say was run, [`recovery`] times the way back to the
-//! full rate after a fault.
+//! The status that the system under test reports is not used. [`answers`] checks the answers that
+//! callers received, [`layers`] and [`runs`] compare them with the work in the ledgers, and
+//! [`recovery`] measures the time until the completed rate has recovered from a fault.
 
 pub mod answers;
 pub mod layers;
@@ -19,26 +19,26 @@
     trace::{Outcome, Trace, checked, raw::Check},
 };
 
-/// All that is judged.
+/// The evidence of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Evidence<'a> {
-    /// What was to be played.
+    /// The trace that was replayed.
     pub trace: &'a Trace,
-    /// What the callers saw.
+    /// The records of the callers and the results of the faults.
     pub run_result: &'a RunResult,
-    /// What ran.
+    /// The ledgers, which show the work that ran.
     pub ledgers: &'a Ledgers,
 }
 
-/// What became of a stated outcome.
+/// The verdict on a stated outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
-    /// It holds.
+pub enum FindingState {
+    /// The outcome holds.
     Kept,
-    /// It does not hold.
+    /// The outcome does not hold.
     Broken,
-    /// Nothing shows that it is broken, but evidence is missing.
+    /// The evidence does not show that the outcome is broken, but it is incomplete.
     Unproved,
 }
 
@@ -46,64 +46,65 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// Violations.
+    /// A number of violations.
     Violations,
-    /// Milliseconds.
+    /// A time in milliseconds.
     Milliseconds,
 }
 
-/// One stated outcome, judged.
+/// The finding on one stated outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// What was checked.
+    /// The check of the outcome.
     pub check: Check,
-    /// The fault, for [`Check::Recovery`].
+    /// The id of the fault, for [`Check::Recovery`].
     pub fault: Option<String>,
-    /// What became of it.
-    pub state: State,
-    /// What was found; absent if it never came, such as a recovery.
+    /// The verdict on the outcome.
+    pub state: FindingState,
+    /// The value found, in `unit`; `None` for a recovery that was not observed.
     pub found: Option<u64>,
-    /// The most that is allowed.
+    /// The maximum value allowed, in `unit`.
     pub max: u64,
-    /// The unit of both.
+    /// The unit of `found` and `max`.
     pub unit: Unit,
-    /// Requests or calls that the check looked at.
+    /// The number of requests and calls that the check examined.
     pub looked_at: u64,
-    /// Violations and remarks, to read.
+    /// Descriptions of the violations, and remarks.
     pub examples: Vec<String>,
 }
 
-/// What one check found.
+/// The violations that one check found.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Requests or calls looked at.
+    /// The number of requests and calls that the check examined.
     pub looked_at: u64,
-    /// One line each.
+    /// A description of each violation, one line each.
     pub lines: Vec<String>,
 }
 
-/// The whole verdict.
+/// The verdict on a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Whether the run was made as the trace says and every stated outcome is kept.
+    /// Whether the run is valid and every stated outcome is kept.
     pub kept: bool,
-    /// Why the run itself proves nothing: requests not sent, faults not done, no outcome stated.
+    /// The reasons why the run is invalid: requests were not sent, faults were not injected or the
+    /// trace states no outcome. Empty for a valid run.
     pub invalid: Vec<String>,
     /// One finding for each stated outcome.
     pub findings: Vec<Finding>,
 }
 
-/// Judges each stated outcome.
+/// Judges a run and each stated outcome of its trace.
 pub fn judge(evidence: Evidence<'_>) -> Verdict {
     let outcomes = evidence.trace.outcomes.iter();
     let findings: Vec<Finding> = outcomes
         .map(|outcome| match outcome {
-            Outcome::AtMost(check, max) => at_most(evidence, *check, *max),
+            Outcome::AtMost(check, max) => judge_violations(evidence, *check, *max),
             Outcome::Recovery(stated) => recovery::judge(evidence, stated),
         })
         .collect();
-    let invalid = invalid(evidence);
-    let kept = invalid.is_empty() && findings.iter().all(|f| f.state == State::Kept);
+    let invalid = invalid_reasons(evidence);
+    let kept = invalid.is_empty() && findings.iter().all(|f| f.state == FindingState::Kept);
     Verdict {
         kept,
         invalid,
@@ -111,8 +112,8 @@
     }
 }
 
-/// Why the run is not the one that the trace describes.
-fn invalid(evidence: Evidence<'_>) -> Vec<String> {
+/// The reasons why the run is invalid, see [`Verdict::invalid`].
+fn invalid_reasons(evidence: Evidence<'_>) -> Vec<String> {
     let Evidence {
         trace, run_result, ..
     } = evidence;
@@ -139,19 +140,19 @@
     reasons
 }
 
-fn at_most(evidence: Evidence<'_>, check: Check, max: u64) -> Finding {
+fn judge_violations(evidence: Evidence<'_>, check: Check, max: u64) -> Finding {
     let violations = match check {
         Check::LayersOnce => layers::violations(evidence),
         Check::NotRunTrue => runs::false_not_run(evidence),
-        Check::AtMostOnce => runs::repeated(evidence),
+        Check::AtMostOnce => runs::repeated_calls(evidence),
         _ => answers::violations(evidence, check),
     };
     let found = violations.lines.len() as u64;
-    let gaps = gaps(evidence, check);
+    let gaps = ledger_gaps(evidence, check);
     let state = match (found > max, gaps.is_empty()) {
-        (true, _) => State::Broken,
-        (false, true) => State::Kept,
-        (false, false) => State::Unproved,
+        (true, _) => FindingState::Broken,
+        (false, true) => FindingState::Kept,
+        (false, false) => FindingState::Unproved,
     };
     let mut examples = violations.lines;
     examples.extend(gaps.iter().cloned());
@@ -167,8 +168,8 @@
     }
 }
 
-/// The gaps in the ledgers that `check` rests on.
-fn gaps(evidence: Evidence<'_>, check: Check) -> BTreeSet<String> {
+/// The gaps in the ledgers that `check` uses.
+fn ledger_gaps(evidence: Evidence<'_>, check: Check) -> BTreeSet<String> {
     match check {
         Check::LayersOnce => evidence.ledgers.engine_gaps.clone(),
         Check::AtMostOnce => evidence.ledgers.service_gaps.clone(),
@@ -178,12 +179,12 @@
 }
 
 impl From<&checked::Recovery> for Finding {
-    /// A recovery that never came, until found.
+    /// The finding of a recovery that was not observed, to be updated if it was.
     fn from(stated: &checked::Recovery) -> Self {
         Self {
             check: Check::Recovery,
             fault: Some(stated.fault.clone()),
-            state: State::Broken,
+            state: FindingState::Broken,
             found: None,
             max: stated.max.as_millis() as u64,
             unit: Unit::Milliseconds,
--- a/crates/replay/src/judge/recovery.rs
+++ b/crates/replay/src/judge/recovery.rs
@@ -1,71 +1,76 @@
-//! The time from a fault until the completed rate is back.
+//! Measures the time from a fault until the completed rate has recovered.
 //!
-//! Arrivals come in bursts, so the completed rate is taken as a share of the offered rate of the
-//! same window. An answer that took longer than every answer that ended before the fault does not
-//! count as completed: else the flush of a backlog would hide the stall that caused it. The
-//! resolution is the window, and a window with few arrivals is noise: state the outcome accordingly.
+//! Arrivals come in bursts, so the rate of completed requests is divided by the rate of offered
+//! requests in the same window. An answer with a higher latency than all answers that were received
+//! before the fault does not count as completed; otherwise the answers to a backlog would hide the
+//! stall that caused it. The resolution is the length of the window, and windows with few arrivals
+//! are noisy: choose the window and the maximum of the outcome accordingly.
 
 use std::time::Duration;
 
-use super::{Evidence, Finding, State};
+use super::{Evidence, Finding, FindingState};
 use crate::{record::RequestOutcome, trace::checked};
 
-/// The rate must be back to at least this part of the rate before.
-const BACK: f64 = 0.95;
-/// The rate before is taken over at most this many windows.
-const WINDOWS_BEFORE: u32 = 5;
-/// Windows are tried this many times within their own length.
-const STEPS: u32 = 20;
+/// The minimum completed ratio of a recovered window, relative to the ratio before the fault.
+const MIN_RECOVERED_RATIO: f64 = 0.95;
+/// The maximum number of windows before the fault over which the baseline is measured.
+const MAX_BASELINE_WINDOWS: u32 = 5;
+/// The number of window positions tested per window length.
+const STEPS_PER_WINDOW: u32 = 20;
 
-/// One request, for the rates.
+/// One request, as far as the rates need it. Times are relative to the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sample {
     /// The intended send time.
     pub intended: Duration,
-    /// When it was answered, if it was.
+    /// When the request was answered; `None` if it was not.
     pub answered: Option<Duration>,
 }
 
-/// What was found of a recovery.
+/// The measured recovery from a fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Found {
-    /// Completed requests a second before the fault.
-    pub rate_before: f64,
-    /// The time from the fault until the rate was back; `None` if that did not come before the end
-    /// of the arrivals.
+pub struct MeasuredRecovery {
+    /// Completed requests per second before the fault.
+    pub baseline_rate: f64,
+    /// The time from the fault until the rate had recovered; `None` if it did not recover before the
+    /// end of the arrivals.
     pub recovered: Option<Duration>,
 }
 
-/// Times the recovery from a fault at `fault`. `None` if nothing was completed before it.
-pub fn find(samples: &[Sample], fault: Duration, window: Duration) -> Option<Found> {
-    let before = fault.min(window * WINDOWS_BEFORE);
-    let usual = slowest_before(samples, fault)?;
-    let rates = Rates { samples, usual };
+/// Measures the recovery from a fault at the time `fault`. Returns `None` if no request was completed
+/// before it.
+pub fn measure(samples: &[Sample], fault: Duration, window: Duration) -> Option<MeasuredRecovery> {
+    let before = fault.min(window * MAX_BASELINE_WINDOWS);
+    let max_latency = max_latency_before(samples, fault)?;
+    let throughput = Throughput {
+        samples,
+        max_latency,
+    };
     let from = fault - before;
-    let share_before = rates.share(from, fault)?;
-    if share_before == 0.0 {
+    let baseline_ratio = throughput.completed_ratio(from, fault)?;
+    if baseline_ratio == 0.0 {
         return None;
     }
-    let rate_before = rates.completed(from, fault) as f64 / before.as_secs_f64();
+    let baseline_rate = throughput.completed(from, fault) as f64 / before.as_secs_f64();
     let end = samples.iter().map(|s| s.intended).max()?;
     let mut start = fault;
     let mut recovered = None;
     while start + window <= end {
-        let back = rates.share(start, start + window);
-        if back.is_some_and(|share| share >= BACK * share_before) {
+        let window_ratio = throughput.completed_ratio(start, start + window);
+        if window_ratio.is_some_and(|ratio| ratio >= MIN_RECOVERED_RATIO * baseline_ratio) {
             recovered = Some(start - fault);
             break;
         }
-        start += (window / STEPS).max(Duration::from_millis(1));
+        start += (window / STEPS_PER_WINDOW).max(Duration::from_millis(1));
     }
-    Some(Found {
-        rate_before,
+    Some(MeasuredRecovery {
+        baseline_rate,
         recovered,
     })
 }
 
-/// The longest that an answer which ended before `fault` took.
-fn slowest_before(samples: &[Sample], fault: Duration) -> Option<Duration> {
+/// The maximum latency of the answers received before `fault`.
+fn max_latency_before(samples: &[Sample], fault: Duration) -> Option<Duration> {
     let ended = samples
         .iter()
         .filter_map(|s| Some((s.intended, s.answered?)));
@@ -75,13 +80,15 @@
         .max()
 }
 
-struct Rates<'a> {
+/// Counts completed and offered requests.
+struct Throughput<'a> {
     samples: &'a [Sample],
-    /// Slower answers don't count.
-    usual: Duration,
+    /// Answers with a higher latency do not count as completed.
+    max_latency: Duration,
 }
 
-impl Rates<'_> {
+impl Throughput<'_> {
+    /// The number of requests completed in `from..to`.
     fn completed(&self, from: Duration, to: Duration) -> usize {
         let answered = self
             .samples
@@ -89,19 +96,20 @@
             .filter_map(|s| Some((s.intended, s.answered?)));
         answered
             .filter(|(_, answered)| (from..to).contains(answered))
-            .filter(|(intended, answered)| answered.saturating_sub(*intended) <= self.usual)
+            .filter(|(intended, answered)| answered.saturating_sub(*intended) <= self.max_latency)
             .count()
     }
 
-    /// Completed over offered requests; `None` if none were offered.
-    fn share(&self, from: Duration, to: Duration) -> Option<f64> {
+    /// The number of completed requests divided by that of offered requests in `from..to`; `None` if
+    /// no request was offered.
+    fn completed_ratio(&self, from: Duration, to: Duration) -> Option<f64> {
         let intended = self.samples.iter().map(|s| s.intended);
         let offered = intended.filter(|at| (from..to).contains(at)).count();
         (offered > 0).then(|| self.completed(from, to) as f64 / offered as f64)
     }
 }
 
-/// Judges a stated recovery.
+/// Judges a stated outcome about the recovery from a fault.
 pub fn judge(evidence: Evidence<'_>, stated: &checked::Recovery) -> Finding {
     let mut finding = Finding::from(stated);
     let faults = &evidence.run_result.faults;
@@ -117,17 +125,17 @@
         })
         .collect();
     finding.looked_at = samples.len() as u64;
-    let Some(found) = find(&samples, fault.at, stated.window) else {
-        finding.state = State::Unproved;
+    let Some(found) = measure(&samples, fault.at, stated.window) else {
+        finding.state = FindingState::Unproved;
         let reason = "nothing was completed before the fault";
         finding.examples.push(reason.to_owned());
         return finding;
     };
-    let rate = format!("{:.1} requests/s completed before", found.rate_before);
+    let rate = format!("{:.1} requests/s completed before", found.baseline_rate);
     finding.examples.push(rate);
     finding.found = found.recovered.map(|time| time.as_millis() as u64);
     if finding.found.is_some_and(|ms| ms <= finding.max) {
-        finding.state = State::Kept;
+        finding.state = FindingState::Kept;
     }
     finding
 }
--- a/crates/replay/src/judge/runs.rs
+++ b/crates/replay/src/judge/runs.rs
@@ -1,4 +1,5 @@
-//! Whether work ran that was reported as not run, or ran more often than it may.
+//! Checks in the ledgers that work reported as not run did not run, and that calls marked as not
+//! repeatable ran at most once.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +9,16 @@
     trace::{Arrival, Work},
 };
 
-/// How often the work of each key ran, by the ledgers.
-struct Runs<'a> {
+/// The number of runs of the work of each key, according to the ledgers.
+struct RunCounts<'a> {
     evidence: Evidence<'a>,
-    /// Steps of engines by request id.
+    /// The number of steps of engines, by request id.
     steps: BTreeMap<&'a str, u64>,
-    /// Calls of services by key.
+    /// The number of calls of services, by key.
     calls: BTreeMap<&'a str, u64>,
 }
 
-impl<'a> Runs<'a> {
+impl<'a> RunCounts<'a> {
     fn new(evidence: Evidence<'a>) -> Self {
         let mut steps = BTreeMap::new();
         for entry in evidence.ledgers.engines.iter().flat_map(|l| &l.entries) {
@@ -34,9 +35,9 @@
         }
     }
 
-    /// Steps or calls that ran for `arrival`. A service may have been given the key with or without
-    /// its workspace.
-    fn of(&self, arrival: &Arrival) -> u64 {
+    /// The number of steps or calls that ran for `arrival`. A service may have received the key with or
+    /// without the workspace, so both forms are counted.
+    fn count(&self, arrival: &Arrival) -> u64 {
         let run_result = self.evidence.run_result;
         let id = run_result.ledger_id(arrival);
         let found = |runs: &BTreeMap<&str, u64>, id: &str| runs.get(id).copied().unwrap_or(0);
@@ -49,24 +50,24 @@
     }
 }
 
-/// Work that every caller of its key was told had not run, and that a ledger shows.
+/// Work that a ledger shows although it was reported as not run to every caller of its key.
 pub fn false_not_run(evidence: Evidence<'_>) -> Violations {
-    let runs = Runs::new(evidence);
+    let runs = RunCounts::new(evidence);
     let mut not_run = BTreeMap::new();
     for record in &evidence.run_result.records {
         let arrival = &evidence.trace.arrivals[record.arrival];
-        let told = match &record.outcome {
+        let reported_not_run = match &record.outcome {
             RequestOutcome::Refused(refusal) => refusal.run == RunState::NotRun,
             _ => false,
         };
         let identity = (arrival.workspace.as_str(), arrival.key.as_str());
         let (all, _) = not_run.entry(identity).or_insert((true, arrival));
-        *all &= told;
+        *all &= reported_not_run;
     }
     let mut violations = Violations::default();
     for (_, arrival) in not_run.into_values().filter(|(all, _)| *all) {
         violations.looked_at += 1;
-        let ran = runs.of(arrival);
+        let ran = runs.count(arrival);
         if ran > 0 {
             let line = format!(
                 "{}: reported as not run, ran {ran} steps or calls",
@@ -78,9 +79,9 @@
     violations
 }
 
-/// Calls that may not be repeated and ran more than once.
-pub fn repeated(evidence: Evidence<'_>) -> Violations {
-    let runs = Runs::new(evidence);
+/// Calls marked as not repeatable that ran more than once.
+pub fn repeated_calls(evidence: Evidence<'_>) -> Violations {
+    let runs = RunCounts::new(evidence);
     let mut once = BTreeMap::new();
     for arrival in &evidence.trace.arrivals {
         if arrival.repeatable == Some(false) && matches!(arrival.work, Work::Call(_)) {
@@ -90,7 +91,7 @@
     let mut violations = Violations::default();
     for arrival in once.into_values() {
         violations.looked_at += 1;
-        let ran = runs.of(arrival);
+        let ran = runs.count(arrival);
         if ran > 1 {
             violations
                 .lines
--- a/crates/replay/src/load/mod.rs
+++ b/crates/replay/src/load/mod.rs
@@ -130,7 +130,9 @@
     /// Why the answer of `record` is not the whole right one.
     fn fault(&self, arrival: &Arrival, record: &Record) -> Option<String> {
         match &record.outcome {
-            RequestOutcome::Answered(_) => answers::fault(&self.plan.header, arrival, record),
+            RequestOutcome::Answered(_) => {
+                answers::answer_error(&self.plan.header, arrival, record)
+            }
             other => Some(format!("{other:?}")),
         }
     }
--- a/crates/replay/src/report/markdown.rs
+++ b/crates/replay/src/report/markdown.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Write};
 
 use super::{Counts, Report, latency::Quantiles};
-use crate::judge::{Finding, State, Unit};
+use crate::judge::{Finding, FindingState, Unit};
 
 /// Violations shown for each outcome.
 const EXAMPLES: usize = 5;
@@ -50,9 +50,9 @@
 /// One finding as one line.
 pub fn finding_line(finding: &Finding) -> String {
     let state = match finding.state {
-        State::Kept => "kept",
-        State::Broken => "BROKEN",
-        State::Unproved => "unproved",
+        FindingState::Kept => "kept",
+        FindingState::Broken => "BROKEN",
+        FindingState::Unproved => "unproved",
     };
     let check = check_name(finding);
     let Finding { max, looked_at, .. } = finding;
--- a/crates/replay/src/report/mod.rs
+++ b/crates/replay/src/report/mod.rs
@@ -132,7 +132,7 @@
             rates: Rates::new(&counts, &run_result.records),
             faults: faults.collect(),
             peak_in_flight: run_result.peak_in_flight,
-            rebuilt_layer_positions: layers::rebuilt(evidence),
+            rebuilt_layer_positions: layers::rebuilt_layer_positions(evidence),
             ledger_gaps: ledgers.gaps(),
         }
     }
--- a/crates/replay/tests/judge.rs
+++ b/crates/replay/tests/judge.rs
@@ -5,7 +5,7 @@
 use dragonflyrill_engines::wire::Layers;
 use dragonflyrill_replay::{
     faults::FaultResult,
-    judge::{self, Evidence, Finding, State, recovery},
+    judge::{self, Evidence, Finding, FindingState, recovery},
     ledger::{self, EngineEntry, Ledger, Ledgers, ServiceEntry},
     record::{Answer, CallAnswer, Record, Refusal, RequestOutcome, RunState},
     reference,
@@ -86,7 +86,10 @@
     /// The lines of all findings that are not kept.
     fn broken(&self) -> Vec<String> {
         let verdict = judge::judge(self.evidence());
-        let findings = verdict.findings.iter().filter(|f| f.state != State::Kept);
+        let findings = verdict
+            .findings
+            .iter()
+            .filter(|f| f.state != FindingState::Kept);
         let lines: Vec<String> = findings.map(line).collect();
         assert_eq!(verdict.kept, lines.is_empty());
         lines
@@ -248,7 +251,7 @@
     let mut case = Case::new();
     case.ledgers.engines[0].entries[1] = step(2, 0, 2, 0, 5);
     assert_eq!(case.broken(), Vec::<String>::new());
-    assert_eq!(judge::layers::rebuilt(case.evidence()), 8);
+    assert_eq!(judge::layers::rebuilt_layer_positions(case.evidence()), 8);
 }
 
 #[test]
@@ -388,7 +391,7 @@
 
 fn recovered(samples: &[recovery::Sample]) -> Option<u64> {
     let window = Duration::from_millis(500);
-    let found = recovery::find(samples, Duration::from_secs(1), window).unwrap();
+    let found = recovery::measure(samples, Duration::from_secs(1), window).unwrap();
     found.recovered.map(|time| time.as_millis() as u64)
 }
 
@@ -422,7 +425,7 @@
     }];
     let window = Duration::from_millis(500);
     assert_eq!(
-        recovery::find(&samples, Duration::from_secs(1), window),
+        recovery::measure(&samples, Duration::from_secs(1), window),
         None
     );
 }
