--- a/crates/replay/src/cli/load.rs
+++ b/crates/replay/src/cli/load.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     hosts::{self, Addresses},
-    load::{self, Plan, Shape, cpu, direct::Chain},
+    load::{self, Plan, RequestSpec, cpu, direct::Chain},
 };
 
 /// Measure the latency that the entry host adds, compared with driving the same chain directly.
@@ -53,14 +53,14 @@
 
 pub(super) fn run(args: &LoadArgs) -> anyhow::Result<bool> {
     let plan = plan(args)?;
-    let before = cpu::used(&args.pid)?;
+    let before = cpu::processor_time(&args.pid)?;
     let system = actix_rt::System::new();
     let mut measured = system.block_on(load::measure(&plan));
     if !args.pid.is_empty() {
-        measured.cpu = Some(cpu::used(&args.pid)?.saturating_sub(before));
+        measured.cpu = Some(cpu::processor_time(&args.pid)?.saturating_sub(before));
     }
     print!("{}", measured.table());
-    Ok(measured.is_whole())
+    Ok(measured.is_all_correct())
 }
 
 fn plan(args: &LoadArgs) -> anyhow::Result<Plan> {
@@ -74,7 +74,7 @@
     let data_centre = entries.keys().next().context("--entries is empty")?;
     ensure!(args.prompt_tokens > 0, "--prompt-tokens must be above 0");
     ensure!(args.max_tokens > 0, "--max-tokens must be above 0");
-    let shape = Shape {
+    let spec = RequestSpec {
         model: args.model.clone(),
         layers: args.layers,
         prompt_tokens: args.prompt_tokens,
@@ -83,7 +83,7 @@
         class: args.class.clone(),
         data_centre: data_centre.to_string(),
     };
-    let (header, request) = load::request(&shape)?;
+    let (header, template) = load::request_template(&spec)?;
     let stages: anyhow::Result<Vec<_>> = args.chain.iter().map(|s| load::parse_stage(s)).collect();
     let chain = match args.chain.is_empty() {
         true => None,
@@ -93,7 +93,7 @@
         header,
         entries,
         chain,
-        request,
+        template,
         rate: args.rate,
         count: (args.rate * f64::from(args.seconds)) as usize,
         max_in_flight: args.max_in_flight,
--- a/crates/replay/src/cli/mod.rs
+++ b/crates/replay/src/cli/mod.rs
@@ -10,8 +10,8 @@
 
 /// The exit code of a successful command: all stated outcomes of the run are kept.
 pub const EXIT_KEPT: u8 = 0;
-/// The exit code of a run that is invalid or has a stated outcome that is broken or unproved, and of
-/// a load measurement with requests that were not sent or not answered correctly.
+/// The exit code of a run that is invalid or has a stated outcome that is broken or unproved, and
+/// of a load measurement with requests that were not sent or not answered correctly.
 pub const EXIT_BROKEN: u8 = 1;
 /// The exit code if the command could not be carried out with the given arguments and files.
 pub const EXIT_USAGE: u8 = 2;
@@ -57,8 +57,8 @@
     }
 }
 
-/// Parses the arguments. Otherwise prints the help text or the usage error and returns the exit code
-/// as the error.
+/// Parses the arguments. If there is no command to run, prints the help text or the usage error and
+/// returns the exit code as the error.
 fn parse_args() -> Result<Args, ExitCode> {
     let args: Vec<String> = std::env::args().collect();
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
--- a/crates/replay/src/cli/replay.rs
+++ b/crates/replay/src/cli/replay.rs
@@ -33,8 +33,8 @@
     /// entry hosts of one data centre, DC=IP:PORT[,IP:PORT...]; may be repeated
     #[argh(option)]
     entries: Vec<String>,
-    /// INI file with the addresses of the engines, services and other processes, for reading ledgers
-    /// and injecting faults
+    /// INI file with the addresses of the engines, services and other processes, for reading
+    /// ledgers and injecting faults
     #[argh(option)]
     targets: Option<PathBuf>,
     /// file or FIFO to which signals are written as lines "SIGNAL TARGET"
--- a/crates/replay/src/client/attempt.rs
+++ b/crates/replay/src/client/attempt.rs
@@ -51,7 +51,7 @@
     /// The entry host.
     pub addr: SocketAddr,
     /// The time of the caller's deadline.
-    pub deadline: Instant,
+    pub deadline_at: Instant,
 }
 
 #[derive(Serialize)]
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Resumes the interrupted stream `id` after the tokens in `received`. Returns `None` if the host
-    /// gives no answer or one other than 200.
+    /// Resumes the interrupted stream `id` after the tokens in `received`. Returns `None` if the
+    /// host gives no answer or one other than 200.
     pub async fn resume(&self, id: &str, received: &mut ReceivedTokens) -> Option<AttemptResult> {
         let uri = format!("http://{}/v1/requests/{id}/events", self.addr);
         let mut req = self.headers(self.http.get(uri));
@@ -186,7 +186,7 @@
     }
 
     fn headers(&self, req: ClientRequest) -> ClientRequest {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let left = self.deadline_at.saturating_duration_since(Instant::now());
         let mut req = req
             .insert_header(("X-Workspace", self.arrival.workspace.as_str()))
             .insert_header(("X-Class", self.arrival.class.as_str()))
--- a/crates/replay/src/client/mod.rs
+++ b/crates/replay/src/client/mod.rs
@@ -38,8 +38,8 @@
     pub run_id: String,
 }
 
-/// Runs the caller of `arrival`, whose index in `Trace::arrivals` is `index`, until its request ended.
-/// `intended` is the send time since the start of the run.
+/// Runs the caller of `arrival`, whose index in `Trace::arrivals` is `index`, until its request
+/// ended. `intended` is the send time since the start of the run.
 pub async fn run_request(
     context: &CallerContext,
     index: usize,
@@ -68,7 +68,7 @@
     /// The idempotency key of all attempts.
     key: String,
     /// The time after which no further attempt starts.
-    deadline: Instant,
+    deadline_at: Instant,
     /// The entry hosts of all attempts so far, the most recent last.
     tried: Vec<SocketAddr>,
     attempts: u32,
@@ -86,7 +86,7 @@
             context,
             arrival,
             key: run::idempotency_key(&context.run_id, arrival),
-            deadline: context.origin + intended + timeout,
+            deadline_at: context.origin + intended + timeout,
             tried: Vec::new(),
             attempts: 0,
             attempt_lost: false,
@@ -126,7 +126,7 @@
                     (RequestOutcome::Lost(reason), DEFAULT_RETRY_DELAY)
                 }
             };
-            if self.attempts > self.context.retries || Instant::now() + delay >= self.deadline {
+            if self.attempts > self.context.retries || Instant::now() + delay >= self.deadline_at {
                 return outcome;
             }
             time::sleep(delay).await;
@@ -139,9 +139,9 @@
             arrival: self.arrival,
             key: &self.key,
             addr,
-            deadline: self.deadline,
+            deadline_at: self.deadline_at,
         };
-        let limit = (self.deadline + DEADLINE_GRACE).saturating_duration_since(Instant::now());
+        let limit = (self.deadline_at + DEADLINE_GRACE).saturating_duration_since(Instant::now());
         if let Some(id) = self.resumable_request_id() {
             let resumed = time::timeout(limit, sender.resume(&id, &mut self.received)).await;
             match resumed {
--- a/crates/replay/src/faults.rs
+++ b/crates/replay/src/faults.rs
@@ -1,8 +1,8 @@
 //! Injects the faults of a trace.
 //!
-//! Bodies are posted directly to the stand-in. This program neither starts nor signals processes: it
-//! writes each signal as one line, `SIGNAL TARGET`, to the orders file. This is a FIFO or a plain
-//! file, and the program that started the processes reads it and delivers the signals.
+//! Bodies are posted directly to the stand-in. This program neither starts nor signals processes:
+//! it writes each signal as one line, `SIGNAL TARGET`, to the orders file. This is a FIFO or a
+//! plain file, and the program that started the processes reads it and delivers the signals.
 
 use std::{fs, io::Write, path::Path, time::Duration};
 
@@ -75,8 +75,8 @@
     }
 }
 
-/// Opens the orders file for writing and also for reading: otherwise opening a FIFO would block
-/// until another process opens it for reading.
+/// Opens the orders file for writing and also for reading, so that a FIFO without another reader
+/// blocks neither the opening nor the run.
 fn open_orders(path: &Path) -> anyhow::Result<fs::File> {
     let file = fs::OpenOptions::new()
         .read(true)
@@ -86,7 +86,8 @@
     file.with_context(|| format!("--orders {}", path.display()))
 }
 
-/// Injects `faults`, which must be ordered by time, each at its time after `origin` divided by `speed`.
+/// Injects `faults`, which must be ordered by time, each at its time after `origin` divided by
+/// `speed`.
 pub async fn run(
     injector: &FaultInjector,
     http: &awc::Client,
--- a/crates/replay/src/hosts.rs
+++ b/crates/replay/src/hosts.rs
@@ -45,8 +45,8 @@
 }
 
 impl Hosts {
-    /// The entry hosts at `addresses`, considered ready until the first probe. `seed` is the seed of
-    /// the random choices.
+    /// The entry hosts at `addresses`, considered ready until the first probe. `seed` is the seed
+    /// of the random choices.
     pub fn new(addresses: &Addresses, seed: u64) -> Self {
         let hosts = addresses
             .iter()
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Chooses a random entry host for the next attempt of a request. `tried` lists the hosts of the
-    /// earlier attempts, the most recent last.
+    /// Chooses a random entry host for the next attempt of a request. `tried` lists the hosts of
+    /// the earlier attempts, the most recent last.
     ///
     /// The first of these groups that has a host is used: ready hosts of `data_centre` not in
     /// `tried`; ready hosts of any data centre not in `tried`; ready hosts except the most recent
--- a/crates/replay/src/judge/answers.rs
+++ b/crates/replay/src/judge/answers.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Describes the error in the tokens of a generation, if any. For a generation that was not answered
-/// these are the tokens that were streamed.
+/// Describes the error in the tokens of a generation, if any. For a generation that was not
+/// answered these are the tokens that were streamed.
 fn tokens_error(record: &Record, expected: &[String]) -> Option<String> {
     let of = expected.len();
     let tokens = match &record.outcome {
--- a/crates/replay/src/judge/layers.rs
+++ b/crates/replay/src/judge/layers.rs
@@ -1,9 +1,9 @@
 //! Checks in the ledgers of the engines that each layer ran each position once.
 //!
-//! When the chain of a request changes, the attempt number increases and the new chain may run again
-//! the positions that the previous one ran (a rebuild). Therefore, over all attempts every layer must
-//! have run each position of an answered request, and within one attempt no layer may have run a
-//! position twice.
+//! When the chain of a request changes, the attempt number increases and the new chain may run
+//! again the positions that the previous one ran (a rebuild). Therefore, over all attempts every
+//! layer must have run each position of an answered request, and within one attempt no layer may
+//! have run a position twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,8 +17,8 @@
 /// The ledger entries of each request id.
 type Steps<'a> = BTreeMap<&'a str, Vec<&'a EngineEntry>>;
 
-/// A contiguous range of layers within which no step begins or ends, so that each step ran either all
-/// of its layers or none.
+/// A contiguous range of layers within which no step begins or ends, so that each step ran either
+/// all of its layers or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LayerRange {
     first: u32,
@@ -108,10 +108,10 @@
     layer_ranges(steps, layers).into_iter().find_map(|range| {
         let mut spans = spans(steps, range);
         spans.sort_unstable();
-        let overlap = spans
+        let overlapping_pair = spans
             .windows(2)
             .find(|pair| pair[0].attempt == pair[1].attempt && pair[1].start < pair[0].end)?;
-        let PositionSpan { attempt, start, .. } = overlap[1];
+        let PositionSpan { attempt, start, .. } = overlapping_pair[1];
         let LayerRange { first, end } = range;
         Some(format!(
             "layers {first}..{end} ran position {start} twice in attempt {attempt}"
--- a/crates/replay/src/judge/recovery.rs
+++ b/crates/replay/src/judge/recovery.rs
@@ -32,13 +32,13 @@
 pub struct MeasuredRecovery {
     /// Completed requests per second before the fault.
     pub baseline_rate: f64,
-    /// The time from the fault until the rate had recovered; `None` if it did not recover before the
-    /// end of the arrivals.
+    /// The time from the fault until the rate had recovered; `None` if it did not recover before
+    /// the end of the arrivals.
     pub recovered: Option<Duration>,
 }
 
-/// Measures the recovery from a fault at the time `fault`. Returns `None` if no request was completed
-/// before it.
+/// Measures the recovery from a fault at the time `fault`. Returns `None` if no request was
+/// completed before it.
 pub fn measure(samples: &[Sample], fault: Duration, window: Duration) -> Option<MeasuredRecovery> {
     let before = fault.min(window * MAX_BASELINE_WINDOWS);
     let max_latency = max_latency_before(samples, fault)?;
@@ -100,8 +100,8 @@
             .count()
     }
 
-    /// The number of completed requests divided by that of offered requests in `from..to`; `None` if
-    /// no request was offered.
+    /// The number of completed requests divided by that of offered requests in `from..to`; `None`
+    /// if no request was offered.
     fn completed_ratio(&self, from: Duration, to: Duration) -> Option<f64> {
         let intended = self.samples.iter().map(|s| s.intended);
         let offered = intended.filter(|at| (from..to).contains(at)).count();
--- a/crates/replay/src/judge/runs.rs
+++ b/crates/replay/src/judge/runs.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// The number of steps or calls that ran for `arrival`. A service may have received the key with or
-    /// without the workspace, so both forms are counted.
+    /// The number of steps or calls that ran for `arrival`. A service may have received the key
+    /// with or without the workspace, so both forms are counted.
     fn count(&self, arrival: &Arrival) -> u64 {
         let run_result = self.evidence.run_result;
         let id = run_result.ledger_id(arrival);
--- a/crates/replay/src/ledger.rs
+++ b/crates/replay/src/ledger.rs
@@ -60,8 +60,8 @@
     pub engines: Vec<Ledger<EngineEntry>>,
     /// The ledgers of the services.
     pub services: Vec<Ledger<ServiceEntry>>,
-    /// The reasons why entries of engines may be missing. If this is not empty, a missing entry does
-    /// not prove that work did not run.
+    /// The reasons why entries of engines may be missing. If this is not empty, a missing entry
+    /// does not prove that work did not run.
     pub engine_gaps: BTreeSet<String>,
     /// The reasons why entries of services may be missing.
     pub service_gaps: BTreeSet<String>,
--- a/crates/replay/src/load/cpu.rs
+++ b/crates/replay/src/load/cpu.rs
@@ -1,30 +1,34 @@
-//! Processor time of other processes, from `/proc`.
+//! The processor time of other processes, read from `/proc`.
 
 use std::{fs, time::Duration};
 
 use anyhow::Context;
 
-/// Ticks a second in `/proc/PID/stat`; the same on every Linux.
+/// The number of clock ticks per second in `/proc/PID/stat`, which is the same on all Linux
+/// systems.
 const TICKS_PER_SECOND: u64 = 100;
-/// Positions of the user and system time among the fields after the command.
+/// The index of the user time among the fields after the command.
 const USER_FIELD: usize = 11;
+/// The index of the system time among the fields after the command.
 const SYSTEM_FIELD: usize = 12;
 
-/// The processor time that the processes `pids` have used, in sum.
-pub fn used(pids: &[u32]) -> anyhow::Result<Duration> {
-    let times: anyhow::Result<Vec<Duration>> = pids.iter().map(|pid| used_by(*pid)).collect();
+/// The sum of the processor time that the processes `pids` have used so far.
+pub fn processor_time(pids: &[u32]) -> anyhow::Result<Duration> {
+    let times: anyhow::Result<Vec<Duration>> =
+        pids.iter().map(|pid| processor_time_of(*pid)).collect();
     Ok(times?.into_iter().sum())
 }
 
-fn used_by(pid: u32) -> anyhow::Result<Duration> {
+fn processor_time_of(pid: u32) -> anyhow::Result<Duration> {
     let path = format!("/proc/{pid}/stat");
     let text = fs::read_to_string(&path).with_context(|| path.clone())?;
-    parse(&text).with_context(|| format!("{path}: not understood"))
+    parse_stat(&text).with_context(|| format!("{path}: unexpected format"))
 }
 
-/// The processor time in the text of a `/proc/PID/stat`.
-pub fn parse(text: &str) -> Option<Duration> {
-    // The command may contain anything, but ends with the last parenthesis.
+/// The user and system time in the text of a `/proc/PID/stat` file. `None` if the format is not the
+/// expected one.
+pub fn parse_stat(text: &str) -> Option<Duration> {
+    // The command may contain any characters, including `)`, but it ends at the last `)`.
     let (_, fields) = text.rsplit_once(')')?;
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |n: usize| fields.get(n)?.parse::<u64>().ok();
--- a/crates/replay/src/load/direct.rs
+++ b/crates/replay/src/load/direct.rs
@@ -1,4 +1,4 @@
-//! Drives a chain of engines by their own protocol, without the system.
+//! Drives a chain of engines directly through their HTTP interface, without an entry host.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,17 +13,17 @@
     trace::{Arrival, Work, checked::Generation},
 };
 
-/// The only attempt of a request.
+/// The attempt number of all steps. A request is attempted once.
 const ATTEMPT: u32 = 1;
-/// The time that each step is given.
-const DEADLINE: Duration = Duration::from_secs(30);
+/// The deadline of each step.
+const STEP_DEADLINE: Duration = Duration::from_secs(30);
 
-/// One engine and the layers it is to run.
+/// One stage of a chain: an engine and the layers that it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stage {
-    /// The engine.
+    /// The address of the engine.
     pub addr: SocketAddr,
-    /// The layers.
+    /// The layers of the stage.
     pub layers: Layers,
 }
 
@@ -34,7 +34,7 @@
 pub struct Chain(Vec<Stage>);
 
 impl Chain {
-    /// Checks that `stages` cover the `layers` of a model.
+    /// Creates a chain. Fails if `stages` do not cover the layers `0..layers` in order.
     pub fn new(stages: Vec<Stage>, layers: u32) -> anyhow::Result<Self> {
         let mut next = 0;
         for stage in &stages {
@@ -47,24 +47,25 @@
     }
 }
 
-/// Generates the answer to `arrival`, which must be a generation.
+/// Runs the generation of `arrival` on `chain` and returns its record. The outcome is
+/// [`RequestOutcome::Lost`] if `arrival` is a call.
 pub async fn run_request(
-    context: &CallerContext,
+    caller_context: &CallerContext,
     chain: &Chain,
     index: usize,
     arrival: &Arrival,
     intended: Duration,
 ) -> Record {
-    let mut received = ReceivedTokens::new(context.origin);
+    let mut received = ReceivedTokens::new(caller_context.origin);
     let request = format!(
         "{}/{}-direct-{}",
-        arrival.workspace, context.run_id, arrival.key
+        arrival.workspace, caller_context.run_id, arrival.key
     );
     let driver = Driver {
-        http: &context.http,
+        http: &caller_context.http,
         chain,
         request: &request,
-        model: arrival_model(arrival),
+        model: model_of(arrival),
     };
     let outcome = match &arrival.work {
         Work::Generation(generation) => {
@@ -77,7 +78,7 @@
         }
         Work::Call(_) => RequestOutcome::Lost("a call has no chain".to_owned()),
     };
-    let ended = context.origin.elapsed();
+    let ended = caller_context.origin.elapsed();
     driver.cancel().await;
     Record {
         arrival: index,
@@ -92,13 +93,15 @@
     }
 }
 
-fn arrival_model(arrival: &Arrival) -> &str {
+/// The model of a generation; empty for a call.
+fn model_of(arrival: &Arrival) -> &str {
     match &arrival.work {
         Work::Generation(generation) => generation.model.as_str(),
         Work::Call(_) => "",
     }
 }
 
+/// Drives the steps of one request.
 struct Driver<'a> {
     http: &'a awc::Client,
     chain: &'a Chain,
@@ -117,7 +120,7 @@
         let mut start = 0;
         for index in 0..generation.max_tokens as usize {
             let count = inputs.len() as u32;
-            let outputs = self.position(start, inputs).await?;
+            let outputs = self.run_chain(start, inputs).await?;
             let token = *outputs.last().context("a step without outputs")?;
             received.add_token(index, &reference::detokenize(token));
             start += count;
@@ -126,15 +129,20 @@
         Ok(())
     }
 
-    /// Runs all stages over the positions from `start`.
-    async fn position(&self, start: u32, mut values: Vec<u64>) -> anyhow::Result<Vec<u64>> {
+    /// Runs all stages on the positions from `start` and returns the outputs of the last stage.
+    async fn run_chain(&self, start: u32, mut values: Vec<u64>) -> anyhow::Result<Vec<u64>> {
         for stage in &self.chain.0 {
-            values = self.step(stage, start, values).await?;
+            values = self.run_step(stage, start, values).await?;
         }
         Ok(values)
     }
 
-    async fn step(&self, stage: &Stage, start: u32, inputs: Vec<u64>) -> anyhow::Result<Vec<u64>> {
+    async fn run_step(
+        &self,
+        stage: &Stage,
+        start: u32,
+        inputs: Vec<u64>,
+    ) -> anyhow::Result<Vec<u64>> {
         let step = Step {
             request: self.request.to_owned(),
             attempt: ATTEMPT,
@@ -144,12 +152,12 @@
             inputs,
             prefix: Vec::new(),
             priority: 0,
-            deadline_ms: DEADLINE.as_millis() as u32,
+            deadline_ms: STEP_DEADLINE.as_millis() as u32,
         };
         let req = self
             .http
             .post(format!("http://{}/v1/steps", stage.addr))
-            .timeout(DEADLINE);
+            .timeout(STEP_DEADLINE);
         let sent = req.send_body(serde_json::to_vec(&step)?).await;
         let mut res = sent.map_err(|e| anyhow::anyhow!("{e}"))?;
         ensure!(res.status().is_success(), "step: status {}", res.status());
@@ -163,7 +171,8 @@
         }
     }
 
-    /// Frees the slots. An engine that does not hear of it frees them by itself.
+    /// Releases the resources of the request on all engines. An engine that does not receive the
+    /// cancellation releases them by itself.
     async fn cancel(&self) {
         let cancel = Cancel {
             request: self.request.to_owned(),
@@ -172,7 +181,7 @@
         for stage in &self.chain.0 {
             let req = self.http.post(format!("http://{}/v1/cancel", stage.addr));
             if let Err(e) = req.send_json(&cancel).await {
-                log::debug!("load: cancel at {}: {e}", stage.addr);
+                log::debug!("load: failed to cancel at {}: {e}", stage.addr);
             }
         }
     }
--- a/crates/replay/src/load/mod.rs
+++ b/crates/replay/src/load/mod.rs
@@ -1,11 +1,13 @@
-//! Load: the time that the entry host adds against driving the same chain of engines directly.
+//! Measures the latency that the entry host adds, compared with driving the same chain of engines
+//! directly.
 //!
-//! Both kinds of requests are sent in one run at one open-loop rate, taking turns: a request by the
-//! entry host, and half an interval later its twin directly. Every answer is checked against the
-//! reference. The first tenth warms up and is not counted.
+//! Requests are sent on both paths in one run at the same open-loop rate and in alternation: one
+//! through the entry host, and half an interval later the same request directly. Every answer is
+//! compared with the reference. The first tenth of the requests warms up the system, and its
+//! latencies are not recorded.
 //!
-//! The engines should answer at once (time scale 0), and the entry host should have no other chain
-//! than the one that is driven directly.
+//! The engines should answer without delay (time scale 0), and the entry host should have no chain
+//! other than the one that is driven directly.
 
 pub mod cpu;
 pub mod direct;
@@ -26,47 +28,47 @@
     trace::{Arrival, Header, Work, checked::Generation},
 };
 use direct::Chain;
-use table::Measured;
+use table::LoadMeasurement;
 
-/// The part of the requests that only warm up, as a divisor.
-const WARM_UP: usize = 10;
+/// The number of requests divided by this is the number of warm-up requests.
+const WARM_UP_DIVISOR: usize = 10;
 
-/// What is measured.
+/// The parameters of a load measurement.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The model and its layers.
+    /// The trace header with the model and its layers.
     pub header: Header,
     /// The entry hosts.
     pub entries: Addresses,
-    /// The chain that is driven directly; without it only the entry host is measured.
+    /// The chain to drive directly. If it is `None`, only the entry host is measured.
     pub chain: Option<Chain>,
-    /// What every request looks like, but for its id, key and time.
-    pub request: Arrival,
-    /// Requests a second of each kind. Above 0.
+    /// The template of every request, which has all values except the id, key and time.
+    pub template: Arrival,
+    /// The number of requests per second on each path. Above 0.
     pub rate: f64,
-    /// Requests of each kind.
+    /// The number of requests on each path.
     pub count: usize,
-    /// The most requests in flight; beyond it none are sent.
+    /// The maximum number of requests in flight. The run stops when it is reached.
     pub max_in_flight: usize,
-    /// Put before every key.
+    /// The prefix of every idempotency key.
     pub run_id: String,
 }
 
-/// One stage of a chain, as `IP:PORT=FIRST..END`.
+/// Parses one stage of a chain in the form `IP:PORT=FIRST..END`.
 pub fn parse_stage(text: &str) -> anyhow::Result<direct::Stage> {
-    let form = || format!("--chain {text:?}: must be IP:PORT=FIRST..END");
-    let (addr, layers) = text.split_once('=').with_context(form)?;
-    let (first, end) = layers.split_once("..").with_context(form)?;
-    let addr: SocketAddr = addr.parse().with_context(form)?;
-    let first = first.parse().with_context(form)?;
-    let end = end.parse().with_context(form)?;
-    ensure!(first < end, form());
+    let expected_format = || format!("--chain {text:?}: must be IP:PORT=FIRST..END");
+    let (addr, layers) = text.split_once('=').with_context(expected_format)?;
+    let (first, end) = layers.split_once("..").with_context(expected_format)?;
+    let addr: SocketAddr = addr.parse().with_context(expected_format)?;
+    let first = first.parse().with_context(expected_format)?;
+    let end = end.parse().with_context(expected_format)?;
+    ensure!(first < end, expected_format());
     let layers = Layers { first, end };
     Ok(direct::Stage { addr, layers })
 }
 
-/// Measures `plan`.
-pub async fn measure(plan: &Plan) -> Measured {
+/// Runs the load measurement `plan`.
+pub async fn measure(plan: &Plan) -> LoadMeasurement {
     let http = run::http_client(plan.max_in_flight);
     let context = CallerContext {
         hosts: Hosts::new(&plan.entries, 1),
@@ -87,13 +89,21 @@
         time::sleep_until(shared.context.origin + at).await;
         let in_flight = tasks.len() - shared.measured.borrow().ended;
         if in_flight >= plan.max_in_flight {
-            log::error!("load: stopped, {in_flight} requests in flight is the bound");
+            log::error!("load: stopped, {in_flight} requests in flight have reached the limit");
             break;
         }
-        tasks.push(actix_rt::spawn(by_entry(Rc::clone(&shared), index, at)));
+        tasks.push(actix_rt::spawn(send_through_entry(
+            Rc::clone(&shared),
+            index,
+            at,
+        )));
         if plan.chain.is_some() {
             let at = at + interval / 2;
-            tasks.push(actix_rt::spawn(directly(Rc::clone(&shared), index, at)));
+            tasks.push(actix_rt::spawn(send_directly(
+                Rc::clone(&shared),
+                index,
+                at,
+            )));
         }
     }
     let sent = tasks.len();
@@ -109,11 +119,11 @@
     measured
 }
 
-/// What all tasks share.
+/// The state that all tasks share.
 struct Shared {
     plan: Plan,
     context: CallerContext,
-    measured: RefCell<Measured>,
+    measured: RefCell<LoadMeasurement>,
 }
 
 impl Shared {
@@ -123,12 +133,12 @@
             at,
             key: id.clone(),
             id,
-            ..self.plan.request.clone()
+            ..self.plan.template.clone()
         }
     }
 
-    /// Why the answer of `record` is not the whole right one.
-    fn fault(&self, arrival: &Arrival, record: &Record) -> Option<String> {
+    /// Describes why the answer of `record` is not complete and correct; `None` if it is.
+    fn answer_error(&self, arrival: &Arrival, record: &Record) -> Option<String> {
         match &record.outcome {
             RequestOutcome::Answered(_) => {
                 answers::answer_error(&self.plan.header, arrival, record)
@@ -137,79 +147,81 @@
         }
     }
 
-    fn counted(&self, index: usize) -> bool {
-        index >= self.plan.count / WARM_UP
+    /// Whether the latencies of request `index` are recorded, that is, whether it is no warm-up
+    /// request.
+    fn is_measured(&self, index: usize) -> bool {
+        index >= self.plan.count / WARM_UP_DIVISOR
     }
 }
 
-async fn by_entry(shared: Rc<Shared>, index: usize, at: Duration) {
+async fn send_through_entry(shared: Rc<Shared>, index: usize, at: Duration) {
     let arrival = shared.arrival(index, at);
     let record = client::run_request(&shared.context, index, &arrival, at).await;
-    let fault = shared.fault(&arrival, &record);
-    let counted = shared.counted(index);
+    let error = shared.answer_error(&arrival, &record);
+    let is_measured = shared.is_measured(index);
     let mut measured = shared.measured.borrow_mut();
-    let Measured { ended, entry, .. } = &mut *measured;
+    let LoadMeasurement { ended, entry, .. } = &mut *measured;
     *ended += 1;
-    entry.add(&record, fault, counted);
+    entry.add(&record, error, is_measured);
 }
 
-async fn directly(shared: Rc<Shared>, index: usize, at: Duration) {
+async fn send_directly(shared: Rc<Shared>, index: usize, at: Duration) {
     let Some(chain) = &shared.plan.chain else {
         return;
     };
     time::sleep_until(shared.context.origin + at).await;
     let arrival = shared.arrival(index, at);
     let record = direct::run_request(&shared.context, chain, index, &arrival, at).await;
-    let fault = shared.fault(&arrival, &record);
-    let counted = shared.counted(index);
+    let error = shared.answer_error(&arrival, &record);
+    let is_measured = shared.is_measured(index);
     let mut measured = shared.measured.borrow_mut();
-    let Measured { ended, direct, .. } = &mut *measured;
+    let LoadMeasurement { ended, direct, .. } = &mut *measured;
     *ended += 1;
-    direct.add(&record, fault, counted);
+    direct.add(&record, error, is_measured);
 }
 
-/// The request that every request of a load looks like.
-pub fn request(shape: &Shape) -> anyhow::Result<(Header, Arrival)> {
-    let model = shape.model.as_str().try_into().context("--model")?;
+/// The trace header and the template of all requests of a load measurement.
+pub fn request_template(spec: &RequestSpec) -> anyhow::Result<(Header, Arrival)> {
+    let model = spec.model.as_str().try_into().context("--model")?;
     let header = Header {
         deployment: "load".try_into()?,
         model,
-        layers: shape.layers,
+        layers: spec.layers,
         seed: None,
     };
     let generation = Generation {
         model: header.model.clone(),
-        prompt_tokens: shape.prompt_tokens,
-        max_tokens: shape.max_tokens,
+        prompt_tokens: spec.prompt_tokens,
+        max_tokens: spec.max_tokens,
         stream: true,
         chat: false,
     };
     let arrival = Arrival {
         at: Duration::ZERO,
         id: String::new(),
-        workspace: shape.workspace.as_str().try_into().context("--workspace")?,
-        class: shape.class.as_str().try_into().context("--class")?,
+        workspace: spec.workspace.as_str().try_into().context("--workspace")?,
+        class: spec.class.as_str().try_into().context("--class")?,
         deadline: None,
         repeatable: Some(true),
-        data_centre: shape.data_centre.as_str().try_into().context("--entries")?,
+        data_centre: spec.data_centre.as_str().try_into().context("--entries")?,
         key: String::new(),
         work: Work::Generation(generation),
     };
     Ok((header, arrival))
 }
 
-/// The raw settings of [`request`].
+/// The unchecked parameters of [`request_template`].
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct RequestSpec {
     /// The model.
     pub model: String,
-    /// Its layers.
+    /// The number of layers of the model.
     pub layers: u32,
-    /// The length of each prompt.
+    /// The length of each prompt in tokens.
     pub prompt_tokens: u32,
-    /// The length of each answer.
+    /// The length of each answer in tokens.
     pub max_tokens: u32,
-    /// The owner.
+    /// The workspace that owns the work.
     pub workspace: String,
     /// The class of work.
     pub class: String,
--- a/crates/replay/src/load/table.rs
+++ b/crates/replay/src/load/table.rs
@@ -1,4 +1,4 @@
-//! The figures of a load and their table.
+//! The results of a load measurement, and their table.
 
 use std::{
     fmt::{self, Write},
@@ -7,63 +7,64 @@
 
 use crate::{
     record::{Answer, Record, RequestOutcome},
-    report::latency::Durations,
+    report::latency::DurationHistogram,
 };
 
-/// What one kind of requests gave.
+/// The results of the requests on one path: through the entry host or directly along the chain.
 #[derive(Debug, Clone, Default)]
-pub struct Side {
-    /// Requests ended.
+pub struct PathStats {
+    /// The number of requests that ended.
     pub ended: u64,
-    /// Whole right answers.
-    pub right: u64,
-    /// Tokens of those.
+    /// The number of complete and correct answers.
+    pub correct: u64,
+    /// The number of tokens of the correct answers.
     pub tokens: u64,
-    /// The first few faults.
-    pub faults: Vec<String>,
-    first_token: Durations,
-    between_tokens: Durations,
-    whole: Durations,
+    /// The first `MAX_ERRORS` errors.
+    pub errors: Vec<String>,
+    first_token: DurationHistogram,
+    between_tokens: DurationHistogram,
+    total: DurationHistogram,
 }
 
-/// What a load gave.
+/// The results of a load measurement.
 #[derive(Debug, Clone, Default)]
-pub struct Measured {
-    /// By the entry host.
-    pub entry: Side,
-    /// Directly along the chain.
-    pub direct: Side,
-    /// Requests ended, of both kinds.
+pub struct LoadMeasurement {
+    /// The requests through the entry host.
+    pub entry: PathStats,
+    /// The requests sent directly along the chain.
+    pub direct: PathStats,
+    /// The number of requests that ended, on both paths.
     pub ended: usize,
-    /// Requests not sent because of the bound in flight.
+    /// The number of requests not sent because the limit of requests in flight was reached.
     pub not_sent: usize,
-    /// From the start to the last end.
+    /// The time from the start of the measurement to the end of its last request.
     pub elapsed: Duration,
-    /// Processor time that the entry hosts used, if asked for.
+    /// The processor time that the entry hosts used, if it was measured.
     pub cpu: Option<Duration>,
 }
 
-/// Faults kept to show.
-const MAX_FAULTS: usize = 5;
+/// The maximum number of errors kept for the report.
+const MAX_ERRORS: usize = 5;
 
-impl Side {
-    /// Adds one request; its times only if `counted` and its answer is right.
-    pub(super) fn add(&mut self, record: &Record, fault: Option<String>, counted: bool) {
+impl PathStats {
+    /// Adds one request. Its latencies are added only if `is_measured` and its answer is correct,
+    /// that is, if `error` is `None`.
+    pub(super) fn add(&mut self, record: &Record, error: Option<String>, is_measured: bool) {
         self.ended += 1;
-        if let Some(fault) = fault {
-            if self.faults.len() < MAX_FAULTS {
-                self.faults.push(fault);
+        if let Some(error) = error {
+            if self.errors.len() < MAX_ERRORS {
+                self.errors.push(error);
             }
             return;
         }
-        self.right += 1;
+        self.correct += 1;
         if let RequestOutcome::Answered(Answer::Tokens(tokens)) = &record.outcome {
             self.tokens += tokens.len() as u64;
         }
-        if !counted {
+        if !is_measured {
             return;
         }
-        self.whole.add(record.ended.saturating_sub(record.intended));
+        self.total.add(record.ended.saturating_sub(record.intended));
         if let Some(first) = record.first_token {
             self.first_token.add(first.saturating_sub(record.intended));
         }
@@ -73,14 +74,14 @@
     }
 }
 
-impl Measured {
-    /// Whether every request was sent and answered right.
-    pub fn is_whole(&self) -> bool {
-        let right = |side: &Side| side.right == side.ended;
-        self.not_sent == 0 && right(&self.entry) && right(&self.direct)
+impl LoadMeasurement {
+    /// Whether every request was sent and answered correctly.
+    pub fn is_all_correct(&self) -> bool {
+        let correct = |path: &PathStats| path.correct == path.ended;
+        self.not_sent == 0 && correct(&self.entry) && correct(&self.direct)
     }
 
-    /// The figures as a Markdown table.
+    /// Formats the results as a Markdown table.
     pub fn table(&self) -> String {
         let mut out = String::new();
         // Writing to a string cannot fail.
@@ -102,10 +103,10 @@
             &entry.between_tokens,
             &direct.between_tokens,
         )?;
-        write_row(f, "whole request", &entry.whole, &direct.whole)?;
+        write_row(f, "whole request", &entry.total, &direct.total)?;
         writeln!(f)?;
-        self.write_side(f, "entry", entry)?;
-        self.write_side(f, "direct", direct)?;
+        self.write_path(f, "entry", entry)?;
+        self.write_path(f, "direct", direct)?;
         if self.not_sent > 0 {
             writeln!(
                 f,
@@ -116,18 +117,18 @@
         self.write_cpu(f)
     }
 
-    fn write_side(&self, f: &mut String, name: &str, side: &Side) -> fmt::Result {
+    fn write_path(&self, f: &mut String, name: &str, path: &PathStats) -> fmt::Result {
         let seconds = self.elapsed.as_secs_f64();
         writeln!(
             f,
             "{name}: {} of {} answers right, {:.1} requests/s, {:.0} tokens/s",
-            side.right,
-            side.ended,
-            side.right as f64 / seconds,
-            side.tokens as f64 / seconds,
+            path.correct,
+            path.ended,
+            path.correct as f64 / seconds,
+            path.tokens as f64 / seconds,
         )?;
-        for fault in &side.faults {
-            writeln!(f, "    {fault}")?;
+        for error in &path.errors {
+            writeln!(f, "    {error}")?;
         }
         Ok(())
     }
@@ -141,13 +142,18 @@
             f,
             "entry hosts used {seconds:.2} s of processor time: {:.0} requests/s and {:.0} tokens/s \
              per core",
-            self.entry.right as f64 / seconds,
+            self.entry.correct as f64 / seconds,
             self.entry.tokens as f64 / seconds,
         )
     }
 }
 
-fn write_row(f: &mut String, name: &str, entry: &Durations, direct: &Durations) -> fmt::Result {
+fn write_row(
+    f: &mut String,
+    name: &str,
+    entry: &DurationHistogram,
+    direct: &DurationHistogram,
+) -> fmt::Result {
     let (e50, e99) = (entry.quantile_ms(0.5), entry.quantile_ms(0.99));
     let (d50, d99) = (direct.quantile_ms(0.5), direct.quantile_ms(0.99));
     let (a50, a99) = (e50 - d50, e99 - d99);
--- a/crates/replay/src/report/latency.rs
+++ b/crates/replay/src/report/latency.rs
@@ -7,34 +7,34 @@
 
 use crate::record::{Record, RequestOutcome};
 
-/// The longest latency told apart, in microseconds: ten minutes.
+/// The maximum duration of a histogram, in microseconds (ten minutes).
 const MAX_US: u64 = 600_000_000;
-/// Three digits: values are kept to a thousandth.
-const DIGITS: u8 = 3;
+/// The number of significant decimal digits of a recorded value.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of durations in microseconds; longer ones count as the longest.
+/// A histogram of durations in microseconds. Durations above `MAX_US` are recorded as `MAX_US`.
 #[derive(Debug, Clone)]
-pub struct Durations(Histogram<u64>);
+pub struct DurationHistogram(Histogram<u64>);
 
-impl Default for Durations {
+impl Default for DurationHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_max(MAX_US, DIGITS);
+        let histogram = Histogram::new_with_max(MAX_US, SIGNIFICANT_DIGITS);
         Self(histogram.expect("the constants are in the accepted range"))
     }
 }
 
-impl Durations {
+impl DurationHistogram {
     /// Adds one duration.
     pub fn add(&mut self, duration: Duration) {
         self.0.saturating_record(duration.as_micros() as u64);
     }
 
-    /// The quantile `q` in milliseconds; 0 if empty.
+    /// The quantile `q` (from 0 to 1) in milliseconds; 0 if the histogram is empty.
     pub fn quantile_ms(&self, q: f64) -> f64 {
         self.0.value_at_quantile(q) as f64 / 1000.0
     }
 
-    /// The customary quantiles.
+    /// The quantiles that a report contains.
     pub fn summary(&self) -> Quantiles {
         Quantiles {
             count: self.0.len(),
@@ -49,51 +49,53 @@
 /// Quantiles of one kind of latency, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Values counted.
+    /// The number of values.
     pub count: u64,
     /// The median.
     pub p50_ms: f64,
-    /// Nine in ten are no longer.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 99 in a hundred are no longer.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
-/// The latencies of answered requests.
+/// Histograms of the latencies of answered requests.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Latencies {
-    first_token: Durations,
-    between_tokens: Durations,
-    generation: Durations,
-    call: Durations,
+pub(crate) struct LatencyHistograms {
+    first_token: DurationHistogram,
+    between_tokens: DurationHistogram,
+    generation: DurationHistogram,
+    call: DurationHistogram,
 }
 
-/// The latencies of answered requests, summed up.
+/// The quantiles of the latencies of answered requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct Latency {
+pub struct LatencySummary {
     /// From the intended send time to the first streamed token.
     pub first_token: Quantiles,
-    /// Between streamed tokens.
+    /// Between consecutive streamed tokens.
     pub between_tokens: Quantiles,
     /// From the intended send time to the end of a generation.
     pub generation: Quantiles,
-    /// From the intended send time to the end of a plain call.
+    /// From the intended send time to the end of a call of a plain service.
     pub call: Quantiles,
 }
 
-impl Latencies {
+impl LatencyHistograms {
+    /// Adds the latencies of an answered request; does nothing for other outcomes. `call` states
+    /// whether it is a call of a plain service.
     pub(crate) fn add(&mut self, record: &Record, call: bool) {
         if !matches!(record.outcome, RequestOutcome::Answered(_)) {
             return;
         }
         let since = |at: Duration| at.saturating_sub(record.intended);
-        let whole = match call {
+        let request = match call {
             true => &mut self.call,
             false => &mut self.generation,
         };
-        whole.add(since(record.ended));
+        request.add(since(record.ended));
         if let Some(first) = record.first_token {
             self.first_token.add(since(first));
         }
@@ -102,8 +104,8 @@
         }
     }
 
-    pub(crate) fn summary(&self) -> Latency {
-        Latency {
+    pub(crate) fn summary(&self) -> LatencySummary {
+        LatencySummary {
             first_token: self.first_token.summary(),
             between_tokens: self.between_tokens.summary(),
             generation: self.generation.summary(),
--- a/crates/replay/src/report/markdown.rs
+++ b/crates/replay/src/report/markdown.rs
@@ -1,14 +1,14 @@
-//! The report to read, in Markdown.
+//! The report as Markdown text.
 
 use std::fmt::{self, Write};
 
 use super::{Counts, Report, latency::Quantiles};
 use crate::judge::{Finding, FindingState, Unit};
 
-/// Violations shown for each outcome.
-const EXAMPLES: usize = 5;
+/// The maximum number of examples shown for each outcome.
+const MAX_EXAMPLES: usize = 5;
 
-/// The whole report.
+/// Formats `report` as Markdown.
 pub fn report(report: &Report) -> String {
     let mut out = String::new();
     // Writing to a string cannot fail.
@@ -32,10 +32,10 @@
     let verdict = &report.verdict;
     for finding in &verdict.findings {
         writeln!(f, "- {}", finding_line(finding))?;
-        for example in finding.examples.iter().take(EXAMPLES) {
+        for example in finding.examples.iter().take(MAX_EXAMPLES) {
             writeln!(f, "    - {example}")?;
         }
-        let more = finding.examples.len().saturating_sub(EXAMPLES);
+        let more = finding.examples.len().saturating_sub(MAX_EXAMPLES);
         if more > 0 {
             writeln!(f, "    - and {more} more")?;
         }
@@ -43,11 +43,11 @@
     for reason in &verdict.invalid {
         writeln!(f, "- invalid: {reason}")?;
     }
-    let word = if verdict.kept { "kept" } else { "broken" };
-    writeln!(f, "\nVerdict: **{word}**\n")
+    let verdict_text = if verdict.kept { "kept" } else { "broken" };
+    writeln!(f, "\nVerdict: **{verdict_text}**\n")
 }
 
-/// One finding as one line.
+/// Formats a finding as one line.
 pub fn finding_line(finding: &Finding) -> String {
     let state = match finding.state {
         FindingState::Kept => "kept",
@@ -69,7 +69,7 @@
     }
 }
 
-/// The name of a check as it stands in a trace.
+/// The name of the check as it is written in a trace, with the id of the fault if there is one.
 fn check_name(finding: &Finding) -> String {
     let name = serde_json::to_value(finding.check);
     let name = name.ok().and_then(|v| v.as_str().map(str::to_owned));
--- a/crates/replay/src/report/mod.rs
+++ b/crates/replay/src/report/mod.rs
@@ -1,7 +1,7 @@
-//! The report of a run: what happened, beside the verdict.
+//! The report of a run: the verdict, and counts, latencies and rates.
 //!
-//! Latencies count from the intended send time, so that a caller that was held up does not hide
-//! the wait.
+//! Latencies are measured from the intended send time, so that they include the wait of a request
+//! whose sending was delayed.
 
 pub mod latency;
 pub mod markdown;
@@ -18,16 +18,16 @@
     record::{Answer, Record, RequestOutcome, RunState},
     trace::Work,
 };
-use latency::{Latencies, Latency};
+use latency::{LatencyHistograms, LatencySummary};
 
-/// All figures of a run.
+/// The report of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
     /// The deployment of the trace.
     pub deployment: String,
-    /// The prefix of the run's keys.
+    /// The prefix of the idempotency keys of the run.
     pub run_id: String,
-    /// How many times faster than recorded it was played.
+    /// The factor by which the trace was replayed faster than recorded.
     pub speed: f64,
     /// The verdict.
     pub verdict: Verdict,
@@ -35,65 +35,65 @@
     pub counts: Counts,
     /// Counts of each workspace.
     pub workspaces: BTreeMap<String, Counts>,
-    /// Requests whose last word was an error, by code.
+    /// The number of requests that ended with an error, by error code.
     pub codes: BTreeMap<String, u64>,
-    /// Times.
-    pub latency: Latency,
-    /// What was done a second.
+    /// The latencies of answered requests.
+    pub latency: LatencySummary,
+    /// The rates over the whole run.
     pub rates: Rates,
-    /// Faults as they were done.
+    /// The results of the faults.
     pub faults: Vec<FaultLine>,
-    /// The most requests in flight.
+    /// The maximum number of requests in flight at a time.
     pub peak_in_flight: usize,
-    /// Layer positions run again by a later attempt.
+    /// The number of layer positions that were run again by a later attempt.
     pub rebuilt_layer_positions: u64,
-    /// What is missing of the ledgers.
+    /// The reasons why entries of the ledgers may be missing.
     pub ledger_gaps: BTreeSet<String>,
 }
 
-/// How callers fared.
+/// Counts of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests sent.
+    /// Requests that were sent.
     pub sent: u64,
-    /// Answers that claim to be complete.
+    /// Requests with an answer that was marked as complete.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests that were refused as not run.
     pub not_run: u64,
-    /// Ended with another error.
+    /// Requests that ended with another error.
     pub failed: u64,
-    /// Ended without a word.
+    /// Requests that ended without an answer.
     pub lost: u64,
-    /// Sent or resumed more than once.
+    /// Requests with more than one attempt.
     pub retried: u64,
-    /// Tokens answered.
+    /// Tokens of all complete answers.
     pub tokens: u64,
 }
 
-/// What was done a second, from the start of the run to its last end.
+/// Rates from the start of the run to the end of its last request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Rates {
-    /// The length of the run.
+    /// The length of this time in seconds.
     pub seconds: f64,
-    /// Answered requests a second.
+    /// Answered requests per second.
     pub requests_per_second: f64,
-    /// Answered tokens a second.
+    /// Tokens of complete answers per second.
     pub tokens_per_second: f64,
 }
 
-/// One fault.
+/// The result of one fault.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FaultLine {
-    /// Its id.
+    /// The id of the fault.
     pub id: String,
-    /// When it was done.
+    /// When it was injected, in milliseconds since the start of the run.
     pub at_ms: u64,
-    /// Why it was not done.
+    /// Why it was not injected; `None` if it was.
     pub error: Option<String>,
 }
 
 impl Report {
-    /// Sums up a run.
+    /// Creates the report of a run that was replayed at `speed`.
     pub fn new(evidence: Evidence<'_>, verdict: Verdict, speed: f64) -> Self {
         let Evidence {
             trace,
@@ -103,7 +103,7 @@
         let mut counts = Counts::default();
         let mut workspaces: BTreeMap<String, Counts> = BTreeMap::new();
         let mut codes = BTreeMap::new();
-        let mut latencies = Latencies::default();
+        let mut latencies = LatencyHistograms::default();
         for record in &run_result.records {
             let arrival = &trace.arrivals[record.arrival];
             counts.add(record);
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -30,8 +30,8 @@
     pub max_in_flight: usize,
     /// The seed of the random choices of the simulated load balancer.
     pub seed: u64,
-    /// The prefix of every idempotency key. With another prefix a trace can be replayed again against
-    /// the same processes.
+    /// The prefix of every idempotency key. With another prefix a trace can be replayed again
+    /// against the same processes.
     pub run_id: String,
 }
 
@@ -68,8 +68,8 @@
     }
 }
 
-/// Replays `trace` and waits until every caller has ended. Calls `progress` with the number of callers
-/// that have ended.
+/// Replays `trace` and waits until every caller has ended. Calls `progress` with the number of
+/// callers that have ended.
 pub async fn run(
     trace: &Rc<Trace>,
     options: &Options,
@@ -94,7 +94,7 @@
         tasks: Vec::new(),
         peak_in_flight: 0,
     };
-    let arrivals = scheduler.run(options, progress);
+    let arrivals = scheduler.run_arrivals(options, progress);
     let faults = faults::run(injector, &http, &trace.faults, origin, options.speed);
     let (mut run_result, faults) = future::join(arrivals, faults).await;
     probe_task.abort();
@@ -123,7 +123,7 @@
 }
 
 impl ArrivalScheduler {
-    async fn run(mut self, options: &Options, progress: impl Fn(usize)) -> RunResult {
+    async fn run_arrivals(mut self, options: &Options, progress: impl Fn(usize)) -> RunResult {
         let trace = Rc::clone(&self.trace);
         for (index, arrival) in trace.arrivals.iter().enumerate() {
             let intended = arrival.at.div_f64(options.speed);
--- a/crates/replay/src/sse.rs
+++ b/crates/replay/src/sse.rs
@@ -22,7 +22,7 @@
     has_data: bool,
 }
 
-/// A line or the data of an event is longer than [`MAX_EVENT_BYTES`].
+/// A line or the data of an event is longer than `MAX_EVENT_BYTES`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
--- a/crates/replay/src/trace/raw.rs
+++ b/crates/replay/src/trace/raw.rs
@@ -66,7 +66,8 @@
     pub repeatable: Option<bool>,
     /// The data centre whose entry hosts the caller sends to.
     pub data_centre: String,
-    /// The idempotency key; `id` if left out. Lines of a workspace with the same key are duplicates.
+    /// The idempotency key; `id` if left out. Lines of a workspace with the same key are
+    /// duplicates.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
@@ -100,7 +101,8 @@
     pub repeatable: Option<bool>,
     /// The data centre whose entry hosts the caller sends to.
     pub data_centre: String,
-    /// The idempotency key; `id` if left out. Lines of a workspace with the same key are duplicates.
+    /// The idempotency key; `id` if left out. Lines of a workspace with the same key are
+    /// duplicates.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
--- a/crates/replay/tests/standins.rs
+++ b/crates/replay/tests/standins.rs
@@ -12,7 +12,7 @@
     hosts::{Addresses, Hosts},
     ledger::Ledgers,
     load::{
-        self, Shape, cpu,
+        self, RequestSpec, cpu,
         direct::{self, Chain, Stage},
     },
     record::{Answer, RequestOutcome},
@@ -63,7 +63,7 @@
     let engines = engines().await;
     let service = service::start(vec![service::ServiceConfig::new("q", "quay-app")]);
     let service = service.await.unwrap();
-    let shape = Shape {
+    let spec = RequestSpec {
         model: "drill-lm".to_owned(),
         layers: 8,
         prompt_tokens: 6,
@@ -72,7 +72,7 @@
         class: "c".to_owned(),
         data_centre: "geoje".to_owned(),
     };
-    let (header, mut arrival) = load::request(&shape).unwrap();
+    let (header, mut arrival) = load::request_template(&spec).unwrap();
     arrival.key = "k".to_owned();
     let stages = [(0, 3), (3, 8)].into_iter().zip(engines.addrs());
     let stages = stages.map(|((first, end), addr)| Stage {
@@ -199,6 +199,6 @@
 #[test]
 fn processor_time_is_read_past_a_command_with_spaces() {
     let stat = "42 (a) b) S 1 42 42 0 -1 4194304 1 0 0 0 150 50 0 0 20 0 4 0 100 1 1";
-    assert_eq!(cpu::parse(stat), Some(Duration::from_secs(2)));
-    assert_eq!(cpu::parse("42 (a) S 1"), None);
+    assert_eq!(cpu::parse_stat(stat), Some(Duration::from_secs(2)));
+    assert_eq!(cpu::parse_stat("42 (a) S 1"), None);
 }
