--- a/crates/replay/tests/generate.rs
+++ b/crates/replay/tests/generate.rs
@@ -1,4 +1,6 @@
-//! Synthetic traces: the same seed gives the same trace, which parses and has the promised shape.
+//! Synthetic traces. Guards against a generator whose traces are not reproducible from their seed,
+//! are rejected by the parser or lack a kind of workspace or call, and against committed traces
+//! that the parser no longer accepts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn the_committed_traces_are_read() {
+fn the_committed_traces_are_parsed() {
     for (file, deployment) in [("namhae", &NAMHAE), ("kiosknetz", &KIOSKNETZ)] {
         let path = format!("{}/../../traces/{file}.jsonl", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&path).unwrap();
@@ -60,7 +62,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(32))]
     #[test]
-    fn every_generated_trace_is_read(seed: u64, seconds in 0_u32..5, rate in 0.1..200.0) {
+    fn every_generated_trace_is_parsed(seed: u64, seconds in 0_u32..5, rate in 0.1..200.0) {
         let plan = Plan { deployment: &KIOSKNETZ, seconds, rate, seed };
         let text = generate::trace(&plan).unwrap();
         let trace = Trace::parse("t", &text);
--- a/crates/replay/tests/parse.rs
+++ b/crates/replay/tests/parse.rs
@@ -1,4 +1,5 @@
-//! Refused traces: the message names file, line and field.
+//! Rejected traces. Guards against a faulty trace that is accepted, a parser that panics, and an
+//! error message that does not name the file, line and field at fault.
 
 use dragonflyrill_replay::trace::{Trace, TraceErrorKind};
 use proptest::prelude::*;
@@ -6,13 +7,13 @@
 const HEADER: &str = r#"{"trace":1,"deployment":"namhae","model":"drill-lm","layers":32}"#;
 const REQUEST: &str = r#"{"kind":"request","at_ms":5,"id":"r1","workspace":"w","class":"c","prompt_tokens":4,"max_tokens":2,"stream":true,"data_centre":"geoje"}"#;
 
-fn refused(lines: &[&str]) -> String {
+fn parse_error(lines: &[&str]) -> String {
     let text = lines.join("\n");
     Trace::parse("t.jsonl", &text).unwrap_err().to_string()
 }
 
 #[test]
-fn a_whole_trace_is_read_in_time_order() {
+fn a_valid_trace_is_sorted_by_time() {
     let earlier = REQUEST
         .replace("r1", "r0")
         .replace("\"at_ms\":5", "\"at_ms\":1");
@@ -23,9 +24,9 @@
 }
 
 #[test]
-fn an_unknown_field_is_refused_with_its_line() {
+fn an_unknown_field_is_rejected_with_its_line() {
     let line = REQUEST.replace("\"stream\"", "\"streem\":1,\"stream\"");
-    let message = refused(&[HEADER, "", &line]);
+    let message = parse_error(&[HEADER, "", &line]);
     assert!(
         message.starts_with("t.jsonl:3: unknown field `streem`"),
         "{message}"
@@ -33,8 +34,8 @@
 }
 
 #[test]
-fn an_unknown_header_field_is_refused() {
-    let message = refused(&[&HEADER.replace("layers", "layer")]);
+fn an_unknown_header_field_is_rejected() {
+    let message = parse_error(&[&HEADER.replace("layers", "layer")]);
     assert!(
         message.starts_with("t.jsonl:1: unknown field `layer`"),
         "{message}"
@@ -42,8 +43,8 @@
 }
 
 #[test]
-fn another_version_is_refused() {
-    let message = refused(&[&HEADER.replace("\"trace\":1", "\"trace\":2")]);
+fn another_version_is_rejected() {
+    let message = parse_error(&[&HEADER.replace("\"trace\":1", "\"trace\":2")]);
     assert_eq!(
         message,
         "t.jsonl:1: trace version 2 is not known; this tool reads version 1"
@@ -51,14 +52,14 @@
 }
 
 #[test]
-fn an_empty_file_is_refused() {
+fn an_empty_file_is_rejected() {
     let error = Trace::parse("t", "\n \n").unwrap_err();
     assert_eq!(error.kind, TraceErrorKind::Empty);
 }
 
 #[test]
-fn a_doubled_id_is_refused() {
-    let message = refused(&[HEADER, REQUEST, REQUEST]);
+fn a_duplicate_id_is_rejected() {
+    let message = parse_error(&[HEADER, REQUEST, REQUEST]);
     assert_eq!(
         message,
         "t.jsonl:3: id \"r1\" stands in an earlier line too"
@@ -66,8 +67,8 @@
 }
 
 #[test]
-fn a_bad_name_is_refused_with_its_field() {
-    let message = refused(&[HEADER, &REQUEST.replace("\"w\"", "\"W\"")]);
+fn an_invalid_name_is_rejected_with_its_field() {
+    let message = parse_error(&[HEADER, &REQUEST.replace("\"w\"", "\"W\"")]);
     assert!(
         message.starts_with("t.jsonl:2: workspace: 'W' is not allowed"),
         "{message}"
@@ -75,8 +76,8 @@
 }
 
 #[test]
-fn an_empty_prompt_is_refused() {
-    let message = refused(&[HEADER, &REQUEST.replace("_tokens\":4", "_tokens\":0")]);
+fn an_empty_prompt_is_rejected() {
+    let message = parse_error(&[HEADER, &REQUEST.replace("_tokens\":4", "_tokens\":0")]);
     assert_eq!(
         message,
         "t.jsonl:2: prompt_tokens = 0: must be from 1 to 1048576"
@@ -84,9 +85,9 @@
 }
 
 #[test]
-fn a_recovery_of_an_unknown_fault_is_refused() {
+fn a_recovery_of_an_unknown_fault_is_rejected() {
     let line = r#"{"kind":"outcome","check":"recovery","fault":"f1","max_ms":5}"#;
-    let message = refused(&[HEADER, line]);
+    let message = parse_error(&[HEADER, line]);
     assert_eq!(
         message,
         "t.jsonl:2: fault \"f1\" does not stand in this trace"
@@ -94,9 +95,9 @@
 }
 
 #[test]
-fn a_recovery_without_a_bound_is_refused() {
+fn a_recovery_without_a_bound_is_rejected() {
     let line = r#"{"kind":"outcome","check":"recovery","fault":"f1"}"#;
-    let message = refused(&[HEADER, line]);
+    let message = parse_error(&[HEADER, line]);
     assert_eq!(
         message,
         "t.jsonl:2: max_ms is missing: the check \"recovery\" needs it"
@@ -104,10 +105,10 @@
 }
 
 #[test]
-fn a_signal_with_a_body_is_refused() {
+fn a_signal_with_a_body_is_rejected() {
     let line =
         r#"{"kind":"fault","at_ms":1,"id":"f","do":"kill","target":"engine-1","body":{"x":1}}"#;
-    let message = refused(&[HEADER, line]);
+    let message = parse_error(&[HEADER, line]);
     assert_eq!(
         message,
         "t.jsonl:2: body has no meaning here: only \"do\":\"post\" has a body"
@@ -115,11 +116,11 @@
 }
 
 #[test]
-fn a_key_used_for_other_work_is_refused() {
+fn a_key_used_for_other_work_is_rejected() {
     let other = REQUEST
         .replace("\"r1\"", "\"r2\",\"key\":\"r1\"")
         .replace("_tokens\":4", "_tokens\":5");
-    let message = refused(&[HEADER, REQUEST, &other]);
+    let message = parse_error(&[HEADER, REQUEST, &other]);
     assert_eq!(
         message,
         "t.jsonl:3: key \"r1\" stands in an earlier line for other work"
@@ -127,9 +128,9 @@
 }
 
 #[test]
-fn a_post_outside_the_stand_ins_own_paths_is_refused() {
+fn a_post_outside_the_control_interface_is_rejected() {
     let line = r#"{"kind":"fault","at_ms":1,"id":"f","do":"post","target":"e","path":"/v1/steps","body":{}}"#;
-    let message = refused(&[HEADER, line]);
+    let message = parse_error(&[HEADER, line]);
     assert_eq!(
         message,
         "t.jsonl:2: path = \"/v1/steps\": must be below /standin/"
@@ -143,15 +144,15 @@
     }
 
     #[test]
-    fn arbitrary_lines_after_a_header_name_their_line(line in "\\PC{1,200}") {
+    fn errors_in_arbitrary_lines_after_a_header_name_the_line(line in "\\PC{1,200}") {
         if let Err(e) = Trace::parse("t", &format!("{HEADER}\n{line}")) {
             prop_assert_eq!(e.line, 2);
         }
     }
 
     #[test]
-    fn mutilated_requests_never_panic(cut in 0..REQUEST.len(), with in "[\"{}:,0-9a-z-]{0,8}") {
-        let line = format!("{}{with}{}", &REQUEST[..cut], &REQUEST[(cut + 1).min(REQUEST.len())..]);
+    fn corrupted_requests_never_panic(position in 0..REQUEST.len(), replacement in "[\"{}:,0-9a-z-]{0,8}") {
+        let line = format!("{}{replacement}{}", &REQUEST[..position], &REQUEST[(position + 1).min(REQUEST.len())..]);
         let _ = Trace::parse("t", &format!("{HEADER}\n{line}"));
     }
 }
--- a/crates/replay/tests/standins.rs
+++ b/crates/replay/tests/standins.rs
@@ -1,4 +1,5 @@
-//! The tool against in-process stand-ins: ledgers, faults and the chain driven directly.
+//! The program against in-process stand-ins. Guards against ledgers that are misread or whose gaps
+//! are not reported, faults that are not injected, and a wrong answer of the chain driven directly.
 
 mod support;
 
@@ -25,14 +26,14 @@
 
 const HEADER: &str = r#"{"trace":1,"deployment":"namhae","model":"drill-lm","layers":8}"#;
 
-fn engine_of(id: &str, first: u32, end: u32) -> engine::EngineConfig {
+fn engine_config(id: &str, first: u32, end: u32) -> engine::EngineConfig {
     let mut cfg = engine::EngineConfig::new(id, "drill-lm", 8);
     cfg.layers = Layers { first, end };
     cfg
 }
 
 async fn engines() -> Running {
-    let cfgs = vec![engine_of("a", 0, 3), engine_of("b", 3, 8)];
+    let cfgs = vec![engine_config("a", 0, 3), engine_config("b", 3, 8)];
     engine::start(cfgs).await.unwrap()
 }
 
@@ -59,7 +60,7 @@
 }
 
 #[actix_rt::test]
-async fn a_chain_driven_directly_gives_the_reference_answer_and_shows_in_the_ledgers() {
+async fn a_chain_driven_directly_gives_the_reference_answer_and_ledger_entries() {
     let engines = engines().await;
     let service = service::start(vec![service::ServiceConfig::new("q", "quay-app")]);
     let service = service.await.unwrap();
@@ -101,8 +102,8 @@
 }
 
 #[actix_rt::test]
-async fn a_ledger_out_of_reach_is_a_gap() {
-    let (addr, _) = fake_host(vec![Reply::Whole(json("404 Not Found", "", "{}"))]).await;
+async fn a_ledger_that_cannot_be_read_is_a_gap() {
+    let (addr, _) = fake_host(vec![Reply::KeepOpen(json("404 Not Found", "", "{}"))]).await;
     let text =
         format!("[gone]\nrole = engine\naddress = {addr}\n[q]\nrole = service\naddress = {addr}\n");
     let targets = Targets::parse("t", &text).unwrap();
@@ -114,7 +115,7 @@
 }
 
 #[actix_rt::test]
-async fn faults_are_posted_and_signals_are_ordered() {
+async fn faults_are_posted_and_signals_are_written_to_the_orders_file() {
     let engines = engines().await;
     let service = service::start(vec![service::ServiceConfig::new("q", "quay-app")]);
     let service = service.await.unwrap();
@@ -145,7 +146,7 @@
 }
 
 #[actix_rt::test]
-async fn without_targets_nothing_is_known_of_what_ran() {
+async fn without_targets_all_ledgers_are_gaps() {
     let ledgers = Ledgers::fetch(&awc::Client::default(), &Targets::default(), &[]).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     let expected = [
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn faults_that_cannot_be_done_are_refused_before_the_run() {
+fn faults_that_cannot_be_injected_are_rejected_before_the_run() {
     let line = r#"{"kind":"fault","at_ms":0,"id":"f1","do":"kill","target":"x"}"#;
     let trace = Trace::parse("t", &format!("{HEADER}\n{line}")).unwrap();
     let error = FaultInjector::new(Targets::default(), None, &trace.faults).unwrap_err();
@@ -168,20 +169,20 @@
 }
 
 #[test]
-fn a_bad_targets_file_is_refused_with_its_place() {
-    let refused = |text: &str| format!("{:#}", Targets::parse("t.ini", text).unwrap_err());
-    let unknown = refused("[a]\nrole = engine\naddres = 127.0.0.1:1\n");
+fn an_invalid_targets_file_is_rejected_with_the_location() {
+    let parse_error = |text: &str| format!("{:#}", Targets::parse("t.ini", text).unwrap_err());
+    let unknown = parse_error("[a]\nrole = engine\naddres = 127.0.0.1:1\n");
     assert_eq!(
         unknown,
         "t.ini: [a] addres: unknown key; known are role and address"
     );
-    let name = refused("[a]\nrole = engine\naddress = localhost:1\n");
+    let name = parse_error("[a]\nrole = engine\naddress = localhost:1\n");
     assert!(name.starts_with("t.ini: [a] address = localhost:1: must be IP:PORT"));
     assert_eq!(
-        refused("[a]\nrole = engine\n"),
+        parse_error("[a]\nrole = engine\n"),
         "t.ini: [a] address is missing"
     );
-    let role = refused("[a]\nrole = x\n");
+    let role = parse_error("[a]\nrole = x\n");
     assert_eq!(
         role,
         "t.ini: [a] role = x: must be entry, engine, service or platform"
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn a_chain_that_skips_a_layer_is_refused() {
+fn a_chain_that_skips_a_layer_is_rejected() {
     let stages = ["127.0.0.1:1=0..3", "127.0.0.1:2=4..8"];
     let stages = stages.map(|s| load::parse_stage(s).unwrap()).to_vec();
     let error = Chain::new(stages, 8).unwrap_err();
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn processor_time_is_read_past_a_command_with_spaces() {
+fn processor_time_is_parsed_after_a_command_with_spaces() {
     let stat = "42 (a) b) S 1 42 42 0 -1 4194304 1 0 0 0 150 50 0 0 20 0 4 0 100 1 1";
     assert_eq!(cpu::parse_stat(stat), Some(Duration::from_secs(2)));
     assert_eq!(cpu::parse_stat("42 (a) S 1"), None);
--- a/crates/replay/tests/support/mod.rs
+++ b/crates/replay/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A fake entry host on an ephemeral port that answers from a script.
+//! A fake entry host on an ephemeral port that sends scripted replies.
 
-// Each test file uses another part.
+// Each test file uses only some of the items.
 #![allow(dead_code)]
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
@@ -10,46 +10,47 @@
     net::{TcpListener, TcpStream},
 };
 
-/// What the fake does with one request other than a probe.
+/// The reply to one request other than a probe.
 #[derive(Clone)]
 pub(crate) enum Reply {
-    /// Writes this and keeps the connection open for the next request.
-    Whole(String),
-    /// Writes this and closes the connection.
-    Cut(String),
+    /// Writes the text and keeps the connection open for the next request.
+    KeepOpen(String),
+    /// Writes the text and closes the connection.
+    Close(String),
 }
 
-/// What the fake was sent.
+/// The requests other than probes that the fake host received, in order.
 #[derive(Clone, Default)]
-pub(crate) struct Seen(pub(crate) Rc<RefCell<Vec<String>>>);
+pub(crate) struct ReceivedRequests(pub(crate) Rc<RefCell<Vec<String>>>);
 
-/// Starts a fake that gives `replies` in turn, the last one for ever.
-pub(crate) async fn fake_host(replies: Vec<Reply>) -> (SocketAddr, Seen) {
+/// Starts a fake host that sends `replies` in order and repeats the last one for all further
+/// requests.
+pub(crate) async fn fake_host(replies: Vec<Reply>) -> (SocketAddr, ReceivedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let seen = Seen::default();
-    let served = seen.clone();
+    let received = ReceivedRequests::default();
+    let received_by_server = received.clone();
     actix_rt::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            actix_rt::spawn(serve(stream, replies.clone(), served.clone()));
+            actix_rt::spawn(serve(stream, replies.clone(), received_by_server.clone()));
         }
     });
-    (addr, seen)
+    (addr, received)
 }
 
-async fn serve(mut stream: TcpStream, replies: Vec<Reply>, seen: Seen) {
+async fn serve(mut stream: TcpStream, replies: Vec<Reply>, received: ReceivedRequests) {
     while let Some(req) = read_request(&mut stream).await {
         if req.starts_with("GET /readyz") {
             let ok = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
             let _ = stream.write_all(ok.as_bytes()).await;
             continue;
         }
-        let n = seen.0.borrow().len().min(replies.len() - 1);
-        seen.0.borrow_mut().push(req);
+        let n = received.0.borrow().len().min(replies.len() - 1);
+        received.0.borrow_mut().push(req);
         match &replies[n] {
-            Reply::Whole(text) => stream.write_all(text.as_bytes()).await.unwrap(),
-            Reply::Cut(text) => {
+            Reply::KeepOpen(text) => stream.write_all(text.as_bytes()).await.unwrap(),
+            Reply::Close(text) => {
                 stream.write_all(text.as_bytes()).await.unwrap();
                 return;
             }
@@ -79,13 +80,14 @@
     }
 }
 
-/// A whole JSON answer.
+/// A complete HTTP response with a JSON body.
 pub(crate) fn json(status: &str, headers: &str, body: &str) -> String {
     let len = body.len();
     format!("HTTP/1.1 {status}\r\ncontent-length: {len}\r\n{headers}\r\n{body}")
 }
 
-/// The head of a stream and its events, as one chunk. The chunk that ends the stream is missing.
+/// The head of a streamed HTTP response, and its events as one chunk. The final empty chunk is
+/// missing.
 pub(crate) fn stream(events: &str) -> String {
     let len = events.len();
     format!(
