--- a/crates/replay/src/client/mod.rs
+++ b/crates/replay/src/client/mod.rs
@@ -18,7 +18,7 @@
 
 /// The deadline of a caller whose arrival has none, from the intended send time.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// The time after its deadline for which a caller still waits for the final answer.
+/// The time after its deadline for which a caller still waits for the final answer or error.
 pub const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 /// The delay before a retry if the answer has no `Retry-After` header.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
--- a/crates/replay/src/client/stream.rs
+++ b/crates/replay/src/client/stream.rs
@@ -58,7 +58,7 @@
         self.next_index = index + 1;
         match self.tokens.get(index) {
             Some(earlier) if earlier != text => {
-                self.add_protocol_error(format!("token {index} came twice, changed"))
+                self.add_protocol_error(format!("token {index} was repeated with a different text"))
             }
             Some(_) => {}
             None if index == self.tokens.len() => self.append(text),
--- a/crates/replay/src/judge/answers.rs
+++ b/crates/replay/src/judge/answers.rs
@@ -62,7 +62,7 @@
         Work::Call(call) => match &record.outcome {
             RequestOutcome::Answered(Answer::Call(answer)) => call_error(call, answer),
             RequestOutcome::Answered(Answer::Tokens(_)) => {
-                Some("the answer is of another kind".to_owned())
+                Some("the answer has the wrong kind".to_owned())
             }
             RequestOutcome::Refused(_) | RequestOutcome::Lost(_) => None,
         },
@@ -79,7 +79,7 @@
         }
         RequestOutcome::Answered(Answer::Tokens(tokens)) => tokens,
         RequestOutcome::Answered(Answer::Call(_)) => {
-            return Some("the answer is of another kind".to_owned());
+            return Some("the answer has the wrong kind".to_owned());
         }
         RequestOutcome::Refused(_) | RequestOutcome::Lost(_) => &record.streamed,
     };
@@ -97,6 +97,6 @@
     match serde_json::from_slice::<reference::Echo>(&answer.body) {
         Ok(echo) if echo == expected => None,
         Ok(echo) => Some(format!("the answer is to another call: {echo:?}")),
-        Err(e) => Some(format!("the answer is not whole: {e}")),
+        Err(e) => Some(format!("the answer is not a valid echo: {e}")),
     }
 }
--- a/crates/replay/src/ledger.rs
+++ b/crates/replay/src/ledger.rs
@@ -36,7 +36,7 @@
 /// The calls with one idempotency key that a service ran.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ServiceEntry {
-    /// The key, `WORKSPACE/KEY`.
+    /// The idempotency key, with or without the workspace: `WORKSPACE/KEY` or `KEY`.
     pub key: String,
     /// The path of the last call.
     pub path: String,
--- a/crates/replay/src/load/direct.rs
+++ b/crates/replay/src/load/direct.rs
@@ -76,7 +76,7 @@
                 Err(e) => RequestOutcome::Lost(format!("{e:#}")),
             }
         }
-        Work::Call(_) => RequestOutcome::Lost("a call has no chain".to_owned()),
+        Work::Call(_) => RequestOutcome::Lost("a call cannot be run on a chain".to_owned()),
     };
     let ended = caller_context.origin.elapsed();
     driver.cancel().await;
@@ -121,7 +121,7 @@
         for index in 0..generation.max_tokens as usize {
             let count = inputs.len() as u32;
             let outputs = self.run_chain(start, inputs).await?;
-            let token = *outputs.last().context("a step without outputs")?;
+            let token = *outputs.last().context("the step returned no outputs")?;
             received.add_token(index, &reference::detokenize(token));
             start += count;
             inputs = vec![token];
