--- a/crates/replay/src/cli/load.rs
+++ b/crates/replay/src/cli/load.rs
@@ -1,22 +1,22 @@
-//! `load`: measures throughput and the time that the entry host adds.
+//! `load`: measures the throughput and the latency that the entry host adds.
 
 use anyhow::{Context, ensure};
 use argh::FromArgs;
 
 use crate::{
     hosts::{self, Addresses},
-    load::{self, Plan, Shape, cpu, direct::Chain},
+    load::{self, Plan, RequestSpec, cpu, direct::Chain},
 };
 
-/// Measure the time that the entry host adds against driving the same chain directly.
+/// Measure the latency that the entry host adds, compared with driving the same chain directly.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "load")]
 pub(super) struct LoadArgs {
     /// entry hosts of one data centre, DC=IP:PORT[,IP:PORT...]
     #[argh(option)]
     entries: String,
-    /// one stage of the chain to drive directly, IP:PORT=FIRST..END; given once for each stage, in
-    /// order; without any only the entry host is measured
+    /// one stage of the chain to drive directly, IP:PORT=FIRST..END; repeated for each stage, in
+    /// order; if left out, only the entry host is measured
     #[argh(option)]
     chain: Vec<String>,
     /// the model
@@ -25,7 +25,7 @@
     /// the layers of the model (32)
     #[argh(option, default = "32")]
     layers: u32,
-    /// requests a second of each kind (20)
+    /// requests per second of each kind (20)
     #[argh(option, default = "20.0")]
     rate: f64,
     /// length of the run in seconds (10)
@@ -43,24 +43,24 @@
     /// the class of work (interactive)
     #[argh(option, default = "String::from(\"interactive\")")]
     class: String,
-    /// the most requests in flight; the run stops there (2000)
+    /// maximum number of requests in flight; the run stops when it is reached (2000)
     #[argh(option, default = "2000")]
     max_in_flight: usize,
-    /// process of an entry host whose processor time is read; may be given again
+    /// process id of an entry host whose processor time is measured; may be repeated
     #[argh(option)]
     pid: Vec<u32>,
 }
 
 pub(super) fn run(args: &LoadArgs) -> anyhow::Result<bool> {
     let plan = plan(args)?;
-    let before = cpu::used(&args.pid)?;
+    let before = cpu::processor_time(&args.pid)?;
     let system = actix_rt::System::new();
     let mut measured = system.block_on(load::measure(&plan));
     if !args.pid.is_empty() {
-        measured.cpu = Some(cpu::used(&args.pid)?.saturating_sub(before));
+        measured.cpu = Some(cpu::processor_time(&args.pid)?.saturating_sub(before));
     }
     print!("{}", measured.table());
-    Ok(measured.is_whole())
+    Ok(measured.is_all_correct())
 }
 
 fn plan(args: &LoadArgs) -> anyhow::Result<Plan> {
@@ -74,7 +74,7 @@
     let data_centre = entries.keys().next().context("--entries is empty")?;
     ensure!(args.prompt_tokens > 0, "--prompt-tokens must be above 0");
     ensure!(args.max_tokens > 0, "--max-tokens must be above 0");
-    let shape = Shape {
+    let spec = RequestSpec {
         model: args.model.clone(),
         layers: args.layers,
         prompt_tokens: args.prompt_tokens,
@@ -83,7 +83,7 @@
         class: args.class.clone(),
         data_centre: data_centre.to_string(),
     };
-    let (header, request) = load::request(&shape)?;
+    let (header, template) = load::request_template(&spec)?;
     let stages: anyhow::Result<Vec<_>> = args.chain.iter().map(|s| load::parse_stage(s)).collect();
     let chain = match args.chain.is_empty() {
         true => None,
@@ -93,7 +93,7 @@
         header,
         entries,
         chain,
-        request,
+        template,
         rate: args.rate,
         count: (args.rate * f64::from(args.seconds)) as usize,
         max_in_flight: args.max_in_flight,
--- a/crates/replay/src/cli/record.rs
+++ b/crates/replay/src/cli/record.rs
@@ -1,4 +1,4 @@
-//! `record`: makes a synthetic trace.
+//! `record`: generates a synthetic trace.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 
 use crate::generate::{self, deployment::Deployment};
 
-/// Make a synthetic trace of a deployment.
+/// Generate a synthetic trace of a deployment.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "record")]
 pub(super) struct RecordArgs {
@@ -17,13 +17,13 @@
     /// length of the trace in seconds (20)
     #[argh(option, default = "20")]
     seconds: u32,
-    /// mean arrivals a second (20)
+    /// mean arrivals per second (20)
     #[argh(option, default = "20.0")]
     rate: f64,
     /// seed of the trace (1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// write there instead of to the standard output
+    /// file to write the trace to, instead of the standard output
     #[argh(option)]
     output: Option<PathBuf>,
 }
@@ -33,10 +33,10 @@
     let deployment = Deployment::by_name(name)
         .with_context(|| format!("--deployment {name:?}: must be namhae or kiosknetz"))?;
     ensure!(
-        args.rate > 0.0 && args.rate <= generate::MAX_RATE,
+        args.rate > 0.0 && args.rate <= generate::MAX_ARRIVALS_PER_SECOND,
         "--rate {}: must be above 0 and at most {}",
         args.rate,
-        generate::MAX_RATE
+        generate::MAX_ARRIVALS_PER_SECOND
     );
     let plan = generate::Plan {
         deployment,
--- a/crates/replay/tests/standins.rs
+++ b/crates/replay/tests/standins.rs
@@ -1,4 +1,5 @@
-//! The tool against in-process stand-ins: ledgers, faults and the chain driven directly.
+//! The program against in-process stand-ins. Guards against ledgers that are misread or whose gaps
+//! are not reported, faults that are not injected, and a wrong answer of the chain driven directly.
 
 mod support;
 
@@ -7,15 +8,15 @@
 use actix_rt::time::Instant;
 use dragonflyrill_engines::wire::Layers;
 use dragonflyrill_replay::{
-    client::Callers,
-    faults::{self, Means},
+    client::CallerContext,
+    faults::{self, FaultInjector},
     hosts::{Addresses, Hosts},
     ledger::Ledgers,
     load::{
-        self, Shape, cpu,
+        self, RequestSpec, cpu,
         direct::{self, Chain, Stage},
     },
-    record::{Answer, Ending},
+    record::{Answer, RequestOutcome},
     reference,
     targets::Targets,
     trace::{Trace, Work},
@@ -25,14 +26,14 @@
 
 const HEADER: &str = r#"{"trace":1,"deployment":"namhae","model":"drill-lm","layers":8}"#;
 
-fn engine_of(id: &str, first: u32, end: u32) -> engine::EngineConfig {
+fn engine_config(id: &str, first: u32, end: u32) -> engine::EngineConfig {
     let mut cfg = engine::EngineConfig::new(id, "drill-lm", 8);
     cfg.layers = Layers { first, end };
     cfg
 }
 
 async fn engines() -> Running {
-    let cfgs = vec![engine_of("a", 0, 3), engine_of("b", 3, 8)];
+    let cfgs = vec![engine_config("a", 0, 3), engine_config("b", 3, 8)];
     engine::start(cfgs).await.unwrap()
 }
 
@@ -48,8 +49,8 @@
     Targets::parse("targets.ini", &text).unwrap()
 }
 
-fn callers() -> Callers {
-    Callers {
+fn context() -> CallerContext {
+    CallerContext {
         http: awc::Client::default(),
         hosts: Hosts::new(&Addresses::new(), 1),
         origin: Instant::now(),
@@ -59,11 +60,11 @@
 }
 
 #[actix_rt::test]
-async fn a_chain_driven_directly_gives_the_reference_answer_and_shows_in_the_ledgers() {
+async fn a_chain_driven_directly_gives_the_reference_answer_and_ledger_entries() {
     let engines = engines().await;
     let service = service::start(vec![service::ServiceConfig::new("q", "quay-app")]);
     let service = service.await.unwrap();
-    let shape = Shape {
+    let spec = RequestSpec {
         model: "drill-lm".to_owned(),
         layers: 8,
         prompt_tokens: 6,
@@ -72,7 +73,7 @@
         class: "c".to_owned(),
         data_centre: "geoje".to_owned(),
     };
-    let (header, mut arrival) = load::request(&shape).unwrap();
+    let (header, mut arrival) = load::request_template(&spec).unwrap();
     arrival.key = "k".to_owned();
     let stages = [(0, 3), (3, 8)].into_iter().zip(engines.addrs());
     let stages = stages.map(|((first, end), addr)| Stage {
@@ -80,15 +81,18 @@
         layers: Layers { first, end },
     });
     let chain = Chain::new(stages.collect(), 8).unwrap();
-    let record = direct::call(&callers(), &chain, 0, &arrival, Duration::ZERO).await;
+    let record = direct::run_request(&context(), &chain, 0, &arrival, Duration::ZERO).await;
     let Work::Generation(generation) = &arrival.work else {
         panic!("not a generation");
     };
     let tokens = reference::expected_tokens(&header, &arrival, generation);
-    assert_eq!(record.ending, Ending::Answered(Answer::Tokens(tokens)));
+    assert_eq!(
+        record.outcome,
+        RequestOutcome::Answered(Answer::Tokens(tokens))
+    );
 
     let targets = targets(&engines, &service);
-    let ledgers = Ledgers::gather(&awc::Client::default(), &targets, &[]).await;
+    let ledgers = Ledgers::fetch(&awc::Client::default(), &targets, &[]).await;
     assert_eq!(ledgers.gaps(), BTreeSet::new());
     let steps: Vec<usize> = ledgers.engines.iter().map(|l| l.entries.len()).collect();
     assert_eq!(steps, [3, 3]);
@@ -98,12 +102,12 @@
 }
 
 #[actix_rt::test]
-async fn a_ledger_out_of_reach_is_a_gap() {
-    let (addr, _) = fake_host(vec![Reply::Whole(json("404 Not Found", "", "{}"))]).await;
+async fn a_ledger_that_cannot_be_read_is_a_gap() {
+    let (addr, _) = fake_host(vec![Reply::KeepOpen(json("404 Not Found", "", "{}"))]).await;
     let text =
         format!("[gone]\nrole = engine\naddress = {addr}\n[q]\nrole = service\naddress = {addr}\n");
     let targets = Targets::parse("t", &text).unwrap();
-    let ledgers = Ledgers::gather(&awc::Client::default(), &targets, &[]).await;
+    let ledgers = Ledgers::fetch(&awc::Client::default(), &targets, &[]).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     let reason = "could not be read: status 404 Not Found";
     let expected = ["gone", "q"].map(|name| format!("the ledger of {name} {reason}"));
@@ -111,7 +115,7 @@
 }
 
 #[actix_rt::test]
-async fn faults_are_posted_and_signals_are_ordered() {
+async fn faults_are_posted_and_signals_are_written_to_the_orders_file() {
     let engines = engines().await;
     let service = service::start(vec![service::ServiceConfig::new("q", "quay-app")]);
     let service = service.await.unwrap();
@@ -124,9 +128,9 @@
     let trace = Trace::parse("t", &lines.join("\n")).unwrap();
     let orders = std::env::temp_dir().join(format!("orders-{}", std::process::id()));
     let targets = targets(&engines, &service);
-    let means = Means::new(targets, Some(&orders), &trace.faults).unwrap();
+    let injector = FaultInjector::new(targets, Some(&orders), &trace.faults).unwrap();
     let http = awc::Client::default();
-    let done = faults::run(&means, &http, &trace.faults, Instant::now(), 1.0).await;
+    let done = faults::run(&injector, &http, &trace.faults, Instant::now(), 1.0).await;
     let errors: Vec<bool> = done.iter().map(|d| d.error.is_some()).collect();
     assert_eq!(errors, [false, false, true]);
     assert_eq!(fs::read_to_string(&orders).unwrap(), "kill b\n");
@@ -134,7 +138,7 @@
     let down = http.get(format!("http://{}/v1/state", engines.addrs()[0]));
     assert!(down.send().await.is_err());
 
-    let ledgers = Ledgers::gather(&http, &means.targets, &trace.faults).await;
+    let ledgers = Ledgers::fetch(&http, &injector.targets, &trace.faults).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     assert_eq!(gaps, ["b was ended and may have lost its ledger"]);
     engines.stop().await;
@@ -142,8 +146,8 @@
 }
 
 #[actix_rt::test]
-async fn without_targets_nothing_is_known_of_what_ran() {
-    let ledgers = Ledgers::gather(&awc::Client::default(), &Targets::default(), &[]).await;
+async fn without_targets_all_ledgers_are_gaps() {
+    let ledgers = Ledgers::fetch(&awc::Client::default(), &Targets::default(), &[]).await;
     let gaps = Vec::from_iter(ledgers.gaps());
     let expected = [
         "the targets file has no engine",
@@ -153,32 +157,32 @@
 }
 
 #[test]
-fn faults_that_cannot_be_done_are_refused_before_the_run() {
+fn faults_that_cannot_be_injected_are_rejected_before_the_run() {
     let line = r#"{"kind":"fault","at_ms":0,"id":"f1","do":"kill","target":"x"}"#;
     let trace = Trace::parse("t", &format!("{HEADER}\n{line}")).unwrap();
-    let error = Means::new(Targets::default(), None, &trace.faults).unwrap_err();
+    let error = FaultInjector::new(Targets::default(), None, &trace.faults).unwrap_err();
     let expected = "fault f1: target x does not stand in the targets file";
     assert_eq!(error.to_string(), expected);
     let targets = Targets::parse("t", "[x]\nrole = entry\naddress = 127.0.0.1:1\n").unwrap();
-    let error = Means::new(targets, None, &trace.faults).unwrap_err();
+    let error = FaultInjector::new(targets, None, &trace.faults).unwrap_err();
     assert_eq!(error.to_string(), "fault f1: signals need --orders");
 }
 
 #[test]
-fn a_bad_targets_file_is_refused_with_its_place() {
-    let refused = |text: &str| format!("{:#}", Targets::parse("t.ini", text).unwrap_err());
-    let unknown = refused("[a]\nrole = engine\naddres = 127.0.0.1:1\n");
+fn an_invalid_targets_file_is_rejected_with_the_location() {
+    let parse_error = |text: &str| format!("{:#}", Targets::parse("t.ini", text).unwrap_err());
+    let unknown = parse_error("[a]\nrole = engine\naddres = 127.0.0.1:1\n");
     assert_eq!(
         unknown,
         "t.ini: [a] addres: unknown key; known are role and address"
     );
-    let name = refused("[a]\nrole = engine\naddress = localhost:1\n");
+    let name = parse_error("[a]\nrole = engine\naddress = localhost:1\n");
     assert!(name.starts_with("t.ini: [a] address = localhost:1: must be IP:PORT"));
     assert_eq!(
-        refused("[a]\nrole = engine\n"),
+        parse_error("[a]\nrole = engine\n"),
         "t.ini: [a] address is missing"
     );
-    let role = refused("[a]\nrole = x\n");
+    let role = parse_error("[a]\nrole = x\n");
     assert_eq!(
         role,
         "t.ini: [a] role = x: must be entry, engine, service or platform"
@@ -186,7 +190,7 @@
 }
 
 #[test]
-fn a_chain_that_skips_a_layer_is_refused() {
+fn a_chain_that_skips_a_layer_is_rejected() {
     let stages = ["127.0.0.1:1=0..3", "127.0.0.1:2=4..8"];
     let stages = stages.map(|s| load::parse_stage(s).unwrap()).to_vec();
     let error = Chain::new(stages, 8).unwrap_err();
@@ -194,8 +198,8 @@
 }
 
 #[test]
-fn processor_time_is_read_past_a_command_with_spaces() {
+fn processor_time_is_parsed_after_a_command_with_spaces() {
     let stat = "42 (a) b) S 1 42 42 0 -1 4194304 1 0 0 0 150 50 0 0 20 0 4 0 100 1 1";
-    assert_eq!(cpu::parse(stat), Some(Duration::from_secs(2)));
-    assert_eq!(cpu::parse("42 (a) S 1"), None);
+    assert_eq!(cpu::parse_stat(stat), Some(Duration::from_secs(2)));
+    assert_eq!(cpu::parse_stat("42 (a) S 1"), None);
 }
