--- /dev/null
+++ b/crates/delivery/src/generation/deadline.rs
@@ -0,0 +1,59 @@
+//! When a step counts as lost, and when a generation is given up for time.
+
+use std::time::Duration;
+
+use super::{Action, Generation};
+use crate::error::ErrorKind;
+
+/// After this many tokens their pace is trusted for giving up.
+const MIN_TOKENS_FOR_ESTIMATE: u32 = 4;
+
+impl Generation {
+    /// When a step of `positions` positions sent `now` counts as lost.
+    pub(super) fn step_timeout_at(&self, now: Duration, positions: u32) -> Duration {
+        let expected = self.step_times.expected(positions);
+        let wait = expected.saturating_mul(self.cfg.step_timeout_factor);
+        now.saturating_add(wait.max(self.cfg.min_step_timeout))
+            .min(self.spec.deadline)
+    }
+
+    pub(super) fn observe_token(&mut self, now: Duration) {
+        let Some(started_at) = self.pass_started_at else {
+            return;
+        };
+        if self.tokens.len() > 1 {
+            self.step_times
+                .observe_token(now.saturating_sub(started_at));
+            self.tokens_since_recovery += 1;
+        }
+    }
+
+    /// The expected time for `tokens` tokens, if the pace is known.
+    pub(super) fn expected_time(&self, tokens: u32) -> Option<Duration> {
+        let token = self.step_times.token?;
+        Some(token.saturating_mul(tokens))
+    }
+
+    /// Whether the pace observed says that the deadline will be missed.
+    pub(super) fn will_miss_deadline(&self, now: Duration) -> bool {
+        let trusted =
+            self.stages.is_empty() || self.tokens_since_recovery >= MIN_TOKENS_FOR_ESTIMATE;
+        let missing = self.spec.max_tokens - self.tokens.len() as u32;
+        let left = self.spec.deadline.saturating_sub(now);
+        left.is_zero()
+            || (trusted
+                && self
+                    .expected_time(missing)
+                    .is_some_and(|needed| needed > left))
+    }
+
+    /// Gives up for time. The time that a whole answer takes says when to come back.
+    pub(super) fn fail_at_deadline(&mut self, actions: &mut Vec<Action>) {
+        let kind = match self.contacted.is_empty() {
+            true => ErrorKind::DeadlineShort,
+            false => ErrorKind::DeadlineExceeded,
+        };
+        let full_answer_time = self.expected_time(self.spec.max_tokens);
+        self.fail(kind, full_answer_time, actions);
+    }
+}
--- a/crates/delivery/src/generation/message.rs
+++ b/crates/delivery/src/generation/message.rs
@@ -39,45 +39,45 @@
     /// How many replacements and rebuilt caches one generation may use up.
     pub max_replacements: u32,
     /// How often one step is sent before its endpoint counts as lost. At least 1.
-    pub max_asks: u32,
+    pub max_step_sends: u32,
     /// No step counts as late before this.
-    pub timeout_floor: Duration,
+    pub min_step_timeout: Duration,
     /// A step is late after this many times its expected duration.
-    pub timeout_factor: u32,
+    pub step_timeout_factor: u32,
     /// What the host has learned of step durations so far.
-    pub times: StepTimes,
+    pub step_times: StepTimes,
     /// The wait before an endpoint that is still freeing an older attempt is asked again.
-    pub free_wait: Duration,
+    pub free_retry_delay: Duration,
     /// The most bytes of activations that are kept for replacements.
-    pub keep_bytes: u64,
+    pub max_kept_bytes: u64,
     /// The size of one position's activation.
     pub activation_bytes: u64,
     /// A KV checkpoint is asked for every so many tokens; 0 is never.
-    pub export_every: u32,
+    pub export_every_tokens: u32,
     /// How long a handover waits for the token in flight.
-    pub handover_wait: Duration,
+    pub handover_timeout: Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
             max_replacements: 8,
-            max_asks: 2,
-            timeout_floor: Duration::from_millis(150),
-            timeout_factor: 8,
-            times: StepTimes::default(),
-            free_wait: Duration::from_millis(20),
-            keep_bytes: 1 << 20,
+            max_step_sends: 2,
+            min_step_timeout: Duration::from_millis(150),
+            step_timeout_factor: 8,
+            step_times: StepTimes::default(),
+            free_retry_delay: Duration::from_millis(20),
+            max_kept_bytes: 1 << 20,
             activation_bytes: 8,
-            export_every: 0,
-            handover_wait: Duration::from_millis(500),
+            export_every_tokens: 0,
+            handover_timeout: Duration::from_millis(500),
         }
     }
 }
 
 /// What another host needs to go on with a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Resume {
+pub struct ResumeState {
     /// The request's id.
     pub request: String,
     /// The model.
@@ -120,7 +120,7 @@
         result: wire::StepResult,
     },
     /// A step's answer was lost, or the endpoint is gone.
-    Lost {
+    StepLost {
         /// The endpoint.
         endpoint: EndpointId,
         /// The attempt of the step.
@@ -186,7 +186,7 @@
         /// The layers that were lost.
         layers: wire::Layers,
         /// The endpoint that lost them.
-        lost: EndpointId,
+        failed: EndpointId,
     },
     /// Export the KV cache of the request and answer with [`Event::Exported`]; a failure needs no
     /// answer.
@@ -213,7 +213,7 @@
     /// The answer is whole.
     Finish,
     /// The generation ended here, to go on elsewhere. Nothing more is released here.
-    Moved(Resume),
+    Moved(ResumeState),
     /// The generation ended without its whole answer. [`Generation::retry_after`] says when to
     /// come back.
     ///
--- a/crates/delivery/src/generation/mod.rs
+++ b/crates/delivery/src/generation/mod.rs
@@ -12,8 +12,9 @@
 //! replaced, and its KV cache is rebuilt from a checkpoint or from kept activations. If neither is
 //! at hand the whole chain is built anew from the prompt and the released tokens.
 
+mod deadline;
 mod message;
-mod pace;
+
 mod recover;
 mod resume;
 mod stage;
@@ -24,14 +25,14 @@
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_engines::wire;
 
-pub use message::{Action, Config, Event, Resume, Spec};
+pub use message::{Action, Config, Event, ResumeState, Spec};
 pub use timing::StepTimes;
 
 use crate::{chain::Chain, error::ErrorKind};
 use stage::{Inputs, StageState};
 
 /// When to come back after a failure of endpoints.
-const FAILED_RETRY: Duration = Duration::from_secs(1);
+const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Where a generation stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,11 +40,14 @@
     /// No chain yet.
     Waiting,
     /// Stage `at` is running the positions from its `done` on.
-    Running(Asked),
+    Running(PendingCall),
     /// Stage `at` is importing a KV cache.
-    Importing(Asked),
+    Importing(PendingCall),
     /// Stage `at` is to be asked again at `until`.
-    Pausing { asked: Asked, until: Duration },
+    BackingOff {
+        pending: PendingCall,
+        until: Duration,
+    },
     /// A stage is being replaced, or, for `None`, the whole chain.
     Replacing { stage: Option<usize> },
     /// Finished, failed, moved or cancelled.
@@ -52,20 +56,20 @@
 
 /// What is awaited.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Asked {
+struct PendingCall {
     /// The stage.
-    at: usize,
+    stage_index: usize,
     /// How often it was asked.
-    times: u32,
+    sends: u32,
     /// When it was last asked.
-    sent: Duration,
+    sent_at: Duration,
     /// When it counts as lost.
-    late: Duration,
+    timeout_at: Duration,
 }
 
 /// A receipt, and the position it reaches.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Ran {
+struct StageReceipt {
     layers: wire::Layers,
     end: u32,
 }
@@ -79,18 +83,18 @@
     spec: Spec,
     cfg: Config,
     stages: Vec<StageState>,
-    used: Vec<EndpointId>,
+    contacted: Vec<EndpointId>,
     attempt: u32,
     phase: Phase,
-    receipts: Vec<Ran>,
+    receipts: Vec<StageReceipt>,
     tokens: Vec<u64>,
     replacements: u32,
-    times: StepTimes,
+    step_times: StepTimes,
     /// Tokens observed since the last recovery.
-    steady_tokens: u32,
+    tokens_since_recovery: u32,
     /// When the pass for the next token began; `None` if a recovery fell into it.
-    pass_began: Option<Duration>,
-    handover_until: Option<Duration>,
+    pass_started_at: Option<Duration>,
+    handover_deadline: Option<Duration>,
     retry_after: Option<Duration>,
 }
 
@@ -103,19 +107,19 @@
     /// A generation without a chain yet, with bounds of its own.
     pub fn with_config(spec: Spec, cfg: Config) -> Self {
         Self {
-            times: cfg.times,
+            step_times: cfg.step_times,
             spec,
             cfg,
             stages: Vec::new(),
-            used: Vec::new(),
+            contacted: Vec::new(),
             attempt: 1,
             phase: Phase::Waiting,
             receipts: Vec::new(),
             tokens: Vec::new(),
             replacements: 0,
-            steady_tokens: 0,
-            pass_began: None,
-            handover_until: None,
+            tokens_since_recovery: 0,
+            pass_started_at: None,
+            handover_deadline: None,
             retry_after: None,
         }
     }
@@ -131,8 +135,8 @@
     }
 
     /// What was learned of step durations.
-    pub fn times(&self) -> StepTimes {
-        self.times
+    pub fn step_times(&self) -> StepTimes {
+        self.step_times
     }
 
     /// When to come back after [`Action::Fail`].
@@ -144,12 +148,12 @@
     pub fn next_wake(&self) -> Option<Duration> {
         let due = match &self.phase {
             Phase::Ended => return None,
-            Phase::Running(asked) | Phase::Importing(asked) => asked.late,
-            Phase::Pausing { until, .. } => *until,
+            Phase::Running(pending) | Phase::Importing(pending) => pending.timeout_at,
+            Phase::BackingOff { until, .. } => *until,
             Phase::Waiting | Phase::Replacing { .. } => self.spec.deadline,
         };
         let due = due.min(self.spec.deadline);
-        Some(self.handover_until.map_or(due, |until| due.min(until)))
+        Some(self.handover_deadline.map_or(due, |until| due.min(until)))
     }
 
     /// Handles `event` at `now`, appending what is to be done to `actions`.
@@ -158,46 +162,48 @@
             return;
         }
         match event {
-            Event::Start(chain) => self.start(now, &chain, actions),
-            Event::Continue => self.go_on(now, actions),
-            Event::Result { endpoint, result } => self.result(now, &endpoint, result, actions),
-            Event::Lost {
+            Event::Start(chain) => self.on_start(now, &chain, actions),
+            Event::Continue => self.continue_chain(now, actions),
+            Event::Result { endpoint, result } => {
+                self.on_step_result(now, &endpoint, result, actions)
+            }
+            Event::StepLost {
                 endpoint,
                 attempt,
                 start,
-            } => self.lost(now, &endpoint, attempt, start, actions),
-            Event::Replacement(chain) => self.replaced(now, &chain, actions),
-            Event::NoReplacement => self.no_replacement(actions),
+            } => self.on_step_lost(now, &endpoint, attempt, start, actions),
+            Event::Replacement(chain) => self.on_replacement(now, &chain, actions),
+            Event::NoReplacement => self.on_no_replacement(actions),
             Event::Exported {
                 endpoint,
                 checkpoint,
-            } => self.exported(&endpoint, checkpoint),
+            } => self.on_checkpoint(&endpoint, checkpoint),
             Event::Imported { endpoint, attempt } => {
-                self.imported(now, &endpoint, attempt, actions);
+                self.on_imported(now, &endpoint, attempt, actions);
             }
             Event::ImportFailed { endpoint, attempt } => {
-                self.import_failed(now, &endpoint, attempt, actions);
+                self.on_import_failed(now, &endpoint, attempt, actions);
             }
-            Event::Tick => self.tick(now, actions),
-            Event::Handover => self.handover(now, actions),
+            Event::Tick => self.on_tick(now, actions),
+            Event::Handover => self.on_handover(now, actions),
             Event::Cancel => self.fail(ErrorKind::Cancelled, None, actions),
         }
     }
 
-    fn start(&mut self, now: Duration, chain: &Chain, actions: &mut Vec<Action>) {
+    fn on_start(&mut self, now: Duration, chain: &Chain, actions: &mut Vec<Action>) {
         if self.phase != Phase::Waiting {
             return;
         }
-        if self.cannot_make_it(now) {
-            self.too_late(actions);
+        if self.will_miss_deadline(now) {
+            self.fail_at_deadline(actions);
             return;
         }
-        self.build(chain);
-        self.begin_pass(now, actions);
+        self.build_stages(chain);
+        self.start_pass(now, actions);
     }
 
     /// Makes fresh stages of a whole chain.
-    fn build(&mut self, chain: &Chain) {
+    fn build_stages(&mut self, chain: &Chain) {
         let stages = chain.stages().iter().cloned();
         self.stages = stages
             .map(|stage| StageState::new(stage, Inputs::default()))
@@ -206,50 +212,50 @@
         self.receipts.clear();
     }
 
-    fn begin_pass(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.pass_began = Some(now);
-        self.ask(now, 0, actions);
+    fn start_pass(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.pass_started_at = Some(now);
+        self.send_to_stage(now, 0, actions);
     }
 
     /// Asks stage `at` for what is next: an import or a step.
-    fn ask(&mut self, now: Duration, at: usize, actions: &mut Vec<Action>) {
-        let asked = Asked {
-            at,
-            times: 0,
-            sent: now,
-            late: now,
+    fn send_to_stage(&mut self, now: Duration, stage_index: usize, actions: &mut Vec<Action>) {
+        let pending = PendingCall {
+            stage_index,
+            sends: 0,
+            sent_at: now,
+            timeout_at: now,
         };
-        self.ask_again(now, asked, actions);
+        self.resend(now, pending, actions);
     }
 
-    fn ask_again(&mut self, now: Duration, mut asked: Asked, actions: &mut Vec<Action>) {
-        asked.times += 1;
-        asked.sent = now;
-        let stage = &self.stages[asked.at];
+    fn resend(&mut self, now: Duration, mut pending: PendingCall, actions: &mut Vec<Action>) {
+        pending.sends += 1;
+        pending.sent_at = now;
+        let stage = &self.stages[pending.stage_index];
         let endpoint = stage.stage.endpoint.clone();
-        if !self.used.contains(&endpoint) {
-            self.used.push(endpoint.clone());
+        if !self.contacted.contains(&endpoint) {
+            self.contacted.push(endpoint.clone());
         }
-        if let Some(checkpoint) = stage.checkpoint.as_ref().filter(|_| stage.import) {
+        if let Some(checkpoint) = stage.checkpoint.as_ref().filter(|_| stage.import_pending) {
             let mut checkpoint = checkpoint.clone();
             checkpoint.attempt = self.attempt;
-            asked.late = self.late_after(now, 1);
-            self.phase = Phase::Importing(asked);
+            pending.timeout_at = self.step_timeout_at(now, 1);
+            self.phase = Phase::Importing(pending);
             actions.push(Action::Import {
                 endpoint,
                 checkpoint,
             });
             return;
         }
-        let step = self.step(now, asked.at);
-        asked.late = self.late_after(now, step.inputs.len() as u32);
-        self.phase = Phase::Running(asked);
+        let step = self.build_step(now, pending.stage_index);
+        pending.timeout_at = self.step_timeout_at(now, step.inputs.len() as u32);
+        self.phase = Phase::Running(pending);
         actions.push(Action::Send { endpoint, step });
     }
 
-    fn step(&self, now: Duration, at: usize) -> wire::Step {
-        let stage = &self.stages[at];
-        let start = stage.done;
+    fn build_step(&self, now: Duration, stage_index: usize) -> wire::Step {
+        let stage = &self.stages[stage_index];
+        let start = stage.cache_end;
         let prefix = match start {
             0 => self.spec.prefix.clone(),
             _ => Vec::new(),
@@ -260,7 +266,7 @@
             model: self.spec.model.clone(),
             layers: stage.stage.layers,
             start,
-            inputs: stage.inputs.after(start).to_vec(),
+            inputs: stage.inputs.from_position(start).to_vec(),
             prefix,
             priority: self.spec.priority,
             deadline_ms: self.spec.deadline.saturating_sub(now).as_millis() as u32,
@@ -268,84 +274,91 @@
     }
 
     /// The running step, if an answer of (`endpoint`, `attempt`, `start`) is the awaited one.
-    fn awaited(&self, endpoint: &EndpointId, attempt: u32, start: u32) -> Option<Asked> {
-        let (Phase::Running(asked) | Phase::Pausing { asked, .. }) = &self.phase else {
+    fn pending_step(&self, endpoint: &EndpointId, attempt: u32, start: u32) -> Option<PendingCall> {
+        let (Phase::Running(pending) | Phase::BackingOff { pending, .. }) = &self.phase else {
             return None;
         };
-        let stage = &self.stages[asked.at];
+        let stage = &self.stages[pending.stage_index];
         let matches = attempt == self.attempt
-            && start == stage.done
-            && !stage.import
+            && start == stage.cache_end
+            && !stage.import_pending
             && stage.stage.endpoint == *endpoint;
-        matches.then(|| asked.clone())
+        matches.then(|| pending.clone())
     }
 
-    fn result(
+    fn on_step_result(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
         result: wire::StepResult,
         actions: &mut Vec<Action>,
     ) {
-        let Some(asked) = self.awaited(endpoint, result.attempt, result.start) else {
+        let Some(pending) = self.pending_step(endpoint, result.attempt, result.start) else {
             return;
         };
         match result.outcome {
             wire::StepOutcome::Done {
                 receipt, outputs, ..
-            } => self.done(now, asked, receipt, &outputs, actions),
+            } => self.on_step_done(now, pending, receipt, &outputs, actions),
             wire::StepOutcome::Refused { reason, expected } => {
-                self.refused(now, asked, reason, expected, actions);
+                self.on_step_refused(now, pending, reason, expected, actions);
             }
         }
     }
 
-    fn done(
+    fn on_step_done(
         &mut self,
         now: Duration,
-        asked: Asked,
+        pending: PendingCall,
         receipt: wire::Receipt,
         outputs: &[u64],
         actions: &mut Vec<Action>,
     ) {
-        let at = asked.at;
-        let stage = &mut self.stages[at];
-        let start = stage.done;
-        let same_life = stage.incarnation.is_none_or(|i| i == receipt.incarnation) || start == 0;
-        let honest = receipt.layers == stage.stage.layers
+        let stage_index = pending.stage_index;
+        let stage = &mut self.stages[stage_index];
+        let start = stage.cache_end;
+        let same_incarnation =
+            stage.incarnation.is_none_or(|i| i == receipt.incarnation) || start == 0;
+        let receipt_matches = receipt.layers == stage.stage.layers
             && receipt.endpoint == stage.stage.endpoint.as_str()
             && outputs.len() as u32 == stage.inputs.end() - start;
-        if !honest || !same_life {
-            self.replace(at, actions);
+        if !receipt_matches || !same_incarnation {
+            self.request_replacement(stage_index, actions);
             return;
         }
         stage.incarnation = Some(receipt.incarnation);
         let end = stage.inputs.end();
-        let passed_on = std::mem::replace(&mut stage.passed_on, end);
-        stage.done = end;
-        if asked.times == 1 {
-            let took = now.saturating_sub(asked.sent);
-            self.times.observe_step(outputs.len() as u32, took);
+        let forwarded = std::mem::replace(&mut stage.forwarded, end);
+        stage.cache_end = end;
+        if pending.sends == 1 {
+            let took = now.saturating_sub(pending.sent_at);
+            self.step_times.observe_step(outputs.len() as u32, took);
         }
-        self.receipts.push(Ran {
+        self.receipts.push(StageReceipt {
             layers: receipt.layers,
             end,
         });
-        let Some(next) = self.stages.get_mut(at + 1) else {
-            self.token(now, outputs[outputs.len() - 1], actions);
+        let Some(next) = self.stages.get_mut(stage_index + 1) else {
+            self.release_token(now, outputs[outputs.len() - 1], actions);
             return;
         };
         // A rebuilt stage ran positions again whose outputs the next stage has already.
-        let fresh = (passed_on - start) as usize;
-        next.inputs.values.extend_from_slice(&outputs[fresh..]);
-        self.limit_kept();
-        self.ask(now, at + 1, actions);
+        let already_forwarded = (forwarded - start) as usize;
+        next.inputs
+            .values
+            .extend_from_slice(&outputs[already_forwarded..]);
+        self.limit_kept_activations();
+        self.send_to_stage(now, stage_index + 1, actions);
     }
 
     /// The last stage answered: releases the token and feeds it back.
-    fn token(&mut self, now: Duration, token: u64, actions: &mut Vec<Action>) {
-        if !self.receipts_cover() {
-            self.fail(ErrorKind::EndpointFailed, Some(FAILED_RETRY), actions);
+    fn release_token(&mut self, now: Duration, token: u64, actions: &mut Vec<Action>) {
+        if !self.receipts_cover_layers() {
+            self.fail(
+                ErrorKind::EndpointFailed,
+                Some(FAILURE_RETRY_AFTER),
+                actions,
+            );
             return;
         }
         self.receipts.clear();
@@ -362,47 +375,49 @@
             return;
         }
         self.stages[0].inputs.values.push(token);
-        if self.handover_until.is_some() {
-            self.move_on(now, true, actions);
+        if self.handover_deadline.is_some() {
+            self.finish_handover(now, true, actions);
             return;
         }
-        if self.cannot_make_it(now) {
-            self.too_late(actions);
+        if self.will_miss_deadline(now) {
+            self.fail_at_deadline(actions);
             return;
         }
-        self.export(actions);
-        self.begin_pass(now, actions);
+        self.request_checkpoints(actions);
+        self.start_pass(now, actions);
     }
 
     /// Whether the receipts cover each layer exactly once, in order, all at the same position.
-    fn receipts_cover(&self) -> bool {
+    fn receipts_cover_layers(&self) -> bool {
         let end = self.stages[0].inputs.end();
         let mut next = 0;
-        for ran in &self.receipts {
-            if ran.layers.first != next || ran.end != end {
+        for stage_receipt in &self.receipts {
+            if stage_receipt.layers.first != next || stage_receipt.end != end {
                 return false;
             }
-            next = ran.layers.end;
+            next = stage_receipt.layers.end;
         }
         next == self.spec.layers
     }
 
-    fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now >= self.spec.deadline {
-            self.too_late(actions);
+            self.fail_at_deadline(actions);
             return;
         }
-        if self.handover_until.is_some_and(|until| now >= until) {
-            self.move_on(now, false, actions);
+        if self.handover_deadline.is_some_and(|until| now >= until) {
+            self.finish_handover(now, false, actions);
             return;
         }
         match self.phase.clone() {
-            Phase::Running(asked) if now >= asked.late => self.unanswered(now, asked, actions),
-            Phase::Importing(asked) if now >= asked.late => {
-                self.import_lost(now, asked.at, actions);
+            Phase::Running(pending) if now >= pending.timeout_at => {
+                self.retry_or_replace(now, pending, actions)
+            }
+            Phase::Importing(pending) if now >= pending.timeout_at => {
+                self.continue_without_checkpoint(now, pending.stage_index, actions);
             }
-            Phase::Pausing { asked, until } if now >= until => {
-                self.ask_again(now, asked, actions);
+            Phase::BackingOff { pending, until } if now >= until => {
+                self.resend(now, pending, actions);
             }
             _ => {}
         }
@@ -412,14 +427,14 @@
         self.free_all(actions);
         self.phase = Phase::Ended;
         if kind.answer().retry_after {
-            self.retry_after = Some(retry_after.unwrap_or(FAILED_RETRY));
+            self.retry_after = Some(retry_after.unwrap_or(FAILURE_RETRY_AFTER));
         }
         actions.push(Action::Fail(kind));
     }
 
     /// Frees the slots of every endpoint that was ever asked, so also of those that came back.
     fn free_all(&self, actions: &mut Vec<Action>) {
-        for endpoint in &self.used {
+        for endpoint in &self.contacted {
             actions.push(self.free(endpoint, self.attempt));
         }
     }
--- a/crates/delivery/src/generation/recover.rs
+++ b/crates/delivery/src/generation/recover.rs
@@ -10,14 +10,14 @@
 use dragonflyrill_engines::wire;
 
 use super::{
-    Action, Asked, FAILED_RETRY, Generation, Phase,
+    Action, FAILURE_RETRY_AFTER, Generation, PendingCall, Phase,
     stage::{Inputs, StageState},
 };
 use crate::{chain::Chain, error::ErrorKind};
 
 impl Generation {
     /// The host says that the answer of a step will not come.
-    pub(super) fn lost(
+    pub(super) fn on_step_lost(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
@@ -25,140 +25,183 @@
         start: u32,
         actions: &mut Vec<Action>,
     ) {
-        if matches!(self.phase, Phase::Pausing { .. }) {
+        if matches!(self.phase, Phase::BackingOff { .. }) {
             return;
         }
-        if let Some(asked) = self.awaited(endpoint, attempt, start) {
-            self.unanswered(now, asked, actions);
+        if let Some(pending) = self.pending_step(endpoint, attempt, start) {
+            self.retry_or_replace(now, pending, actions);
         }
     }
 
     /// No answer in time: asks once more, then replaces.
-    pub(super) fn unanswered(&mut self, now: Duration, asked: Asked, actions: &mut Vec<Action>) {
-        if asked.times < self.cfg.max_asks {
-            self.ask_again(now, asked, actions);
+    pub(super) fn retry_or_replace(
+        &mut self,
+        now: Duration,
+        pending: PendingCall,
+        actions: &mut Vec<Action>,
+    ) {
+        if pending.sends < self.cfg.max_step_sends {
+            self.resend(now, pending, actions);
         } else {
-            self.replace(asked.at, actions);
+            self.request_replacement(pending.stage_index, actions);
         }
     }
 
-    pub(super) fn refused(
+    pub(super) fn on_step_refused(
         &mut self,
         now: Duration,
-        asked: Asked,
+        pending: PendingCall,
         reason: wire::StepRefusal,
         expected: u32,
         actions: &mut Vec<Action>,
     ) {
         match reason {
             // A session of other layers, from before the chain was built anew.
-            wire::StepRefusal::Layers if expected > 0 && self.stages[asked.at].done == 0 => {
-                self.free_older(now, asked, actions);
+            wire::StepRefusal::Layers
+                if expected > 0 && self.stages[pending.stage_index].cache_end == 0 =>
+            {
+                self.free_older_attempt(now, pending, actions);
+            }
+            wire::StepRefusal::Position => {
+                self.on_position_mismatch(now, pending, expected, actions)
             }
-            wire::StepRefusal::Position => self.elsewhere(now, asked, expected, actions),
             wire::StepRefusal::StaleAttempt => {
                 // Another host drives the request with newer attempts.
-                self.fail(ErrorKind::Elsewhere, Some(FAILED_RETRY), actions);
+                self.fail(ErrorKind::Elsewhere, Some(FAILURE_RETRY_AFTER), actions);
             }
-            wire::StepRefusal::Deadline => self.too_late(actions),
+            wire::StepRefusal::Deadline => self.fail_at_deadline(actions),
             wire::StepRefusal::Layers
             | wire::StepRefusal::Busy
             | wire::StepRefusal::Leaving
-            | wire::StepRefusal::Cancelled => self.replace(asked.at, actions),
+            | wire::StepRefusal::Cancelled => {
+                self.request_replacement(pending.stage_index, actions)
+            }
         }
     }
 
     /// The endpoint's KV cache ends at `expected`.
-    fn elsewhere(&mut self, now: Duration, asked: Asked, expected: u32, actions: &mut Vec<Action>) {
-        let at = asked.at;
-        let stage = &self.stages[at];
-        if stage.done == 0 && expected > 0 {
-            self.free_older(now, asked, actions);
+    fn on_position_mismatch(
+        &mut self,
+        now: Duration,
+        pending: PendingCall,
+        expected: u32,
+        actions: &mut Vec<Action>,
+    ) {
+        let stage_index = pending.stage_index;
+        let stage = &self.stages[stage_index];
+        if stage.cache_end == 0 && expected > 0 {
+            self.free_older_attempt(now, pending, actions);
             return;
         }
         let kept = expected >= stage.inputs.from;
-        let can_go_on = expected < stage.done && (kept || stage.can_rebuild());
-        if !can_go_on {
-            self.replace(at, actions);
+        let can_continue = expected < stage.cache_end && (kept || stage.can_rebuild());
+        if !can_continue {
+            self.request_replacement(stage_index, actions);
             return;
         }
-        if !self.spend() {
-            self.fail(ErrorKind::EndpointFailed, Some(FAILED_RETRY), actions);
+        if !self.spend_replacement() {
+            self.fail(
+                ErrorKind::EndpointFailed,
+                Some(FAILURE_RETRY_AFTER),
+                actions,
+            );
             return;
         }
         self.attempt += 1;
-        let stage = &mut self.stages[at];
+        let stage = &mut self.stages[stage_index];
         if expected > 0 && kept {
-            stage.done = expected;
+            stage.cache_end = expected;
             stage.incarnation = None;
         } else {
             let checkpoint = stage.usable_checkpoint().cloned();
             stage.rebuild(checkpoint);
         }
-        self.ask(now, at, actions);
+        self.send_to_stage(now, stage_index, actions);
     }
 
     /// The endpoint still holds the cache of an older attempt: has it freed, and asks again.
-    fn free_older(&mut self, now: Duration, asked: Asked, actions: &mut Vec<Action>) {
-        if matches!(self.phase, Phase::Pausing { .. }) {
+    fn free_older_attempt(
+        &mut self,
+        now: Duration,
+        pending: PendingCall,
+        actions: &mut Vec<Action>,
+    ) {
+        if matches!(self.phase, Phase::BackingOff { .. }) {
             return;
         }
-        if asked.times > self.cfg.max_asks {
-            self.replace(asked.at, actions);
+        if pending.sends > self.cfg.max_step_sends {
+            self.request_replacement(pending.stage_index, actions);
             return;
         }
-        let endpoint = &self.stages[asked.at].stage.endpoint;
+        let endpoint = &self.stages[pending.stage_index].stage.endpoint;
         actions.push(self.free(endpoint, self.attempt - 1));
-        self.phase = Phase::Pausing {
-            until: now + self.cfg.free_wait * asked.times,
-            asked,
+        self.phase = Phase::BackingOff {
+            until: now + self.cfg.free_retry_delay * pending.sends,
+            pending,
         };
     }
 
     /// Asks the host for other endpoints in place of stage `at`, or of the whole chain if the
     /// stage's KV cache can't be rebuilt.
-    pub(super) fn replace(&mut self, at: usize, actions: &mut Vec<Action>) {
-        if !self.spend() {
-            self.fail(ErrorKind::EndpointFailed, Some(FAILED_RETRY), actions);
+    pub(super) fn request_replacement(&mut self, stage_index: usize, actions: &mut Vec<Action>) {
+        if !self.spend_replacement() {
+            self.fail(
+                ErrorKind::EndpointFailed,
+                Some(FAILURE_RETRY_AFTER),
+                actions,
+            );
             return;
         }
-        let stage = &self.stages[at];
-        let lost = stage.stage.endpoint.clone();
+        let stage = &self.stages[stage_index];
+        let failed = stage.stage.endpoint.clone();
         if stage.can_rebuild() {
             let layers = stage.stage.layers;
-            self.phase = Phase::Replacing { stage: Some(at) };
-            actions.push(self.free(&lost, self.attempt));
-            actions.push(Action::Replace { layers, lost });
+            self.phase = Phase::Replacing {
+                stage: Some(stage_index),
+            };
+            actions.push(self.free(&failed, self.attempt));
+            actions.push(Action::Replace { layers, failed });
             return;
         }
-        self.replace_all(lost, actions);
+        self.request_new_chain(failed, actions);
     }
 
-    fn replace_all(&mut self, lost: EndpointId, actions: &mut Vec<Action>) {
+    fn request_new_chain(&mut self, failed: EndpointId, actions: &mut Vec<Action>) {
         self.free_all(actions);
         self.phase = Phase::Replacing { stage: None };
-        let layers = self.whole();
-        actions.push(Action::Replace { layers, lost });
+        let layers = self.all_layers();
+        actions.push(Action::Replace { layers, failed });
     }
 
-    pub(super) fn replaced(&mut self, now: Duration, chain: &Chain, actions: &mut Vec<Action>) {
+    pub(super) fn on_replacement(
+        &mut self,
+        now: Duration,
+        chain: &Chain,
+        actions: &mut Vec<Action>,
+    ) {
         let Phase::Replacing { stage } = self.phase else {
             return;
         };
-        let layers = stage.map_or(self.whole(), |at| self.stages[at].stage.layers);
+        let layers = stage.map_or(self.all_layers(), |stage_index| {
+            self.stages[stage_index].stage.layers
+        });
         let Ok(chain) = Chain::new(layers, chain.stages().to_vec()) else {
-            self.fail(ErrorKind::EndpointFailed, Some(FAILED_RETRY), actions);
+            self.fail(
+                ErrorKind::EndpointFailed,
+                Some(FAILURE_RETRY_AFTER),
+                actions,
+            );
             return;
         };
         self.attempt += 1;
         match stage {
-            Some(at) => self.splice(at, &chain),
-            None => self.build(&chain),
+            Some(stage_index) => self.splice_stages(stage_index, &chain),
+            None => self.build_stages(&chain),
         }
-        self.ask(now, stage.unwrap_or(0), actions);
+        self.send_to_stage(now, stage.unwrap_or(0), actions);
     }
 
-    fn whole(&self) -> wire::Layers {
+    fn all_layers(&self) -> wire::Layers {
         wire::Layers {
             first: 0,
             end: self.spec.layers,
@@ -166,10 +209,10 @@
     }
 
     /// Puts the stages of `chain` in place of stage `at`.
-    fn splice(&mut self, at: usize, chain: &Chain) {
-        let old = &self.stages[at];
+    fn splice_stages(&mut self, stage_index: usize, chain: &Chain) {
+        let old = &self.stages[stage_index];
         let from = old.usable_checkpoint().map_or(0, |c| c.position);
-        let mut fresh: Vec<StageState> = Vec::with_capacity(chain.stages().len());
+        let mut new_stages: Vec<StageState> = Vec::with_capacity(chain.stages().len());
         for (i, stage) in chain.stages().iter().enumerate() {
             let inputs = match i {
                 0 => old.inputs.clone(),
@@ -177,127 +220,132 @@
             };
             let mut state = StageState::new(stage.clone(), inputs);
             state.rebuild(old.slice_checkpoint(stage.layers));
-            state.passed_on = match stage.layers.end == old.stage.layers.end {
-                true => old.passed_on,
+            state.forwarded = match stage.layers.end == old.stage.layers.end {
+                true => old.forwarded,
                 false => from,
             };
-            fresh.push(state);
+            new_stages.push(state);
         }
-        self.stages.splice(at..=at, fresh);
+        self.stages.splice(stage_index..=stage_index, new_stages);
     }
 
-    pub(super) fn no_replacement(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn on_no_replacement(&mut self, actions: &mut Vec<Action>) {
         let kind = match self.phase {
-            Phase::Waiting if self.used.is_empty() => ErrorKind::NoEndpoint,
+            Phase::Waiting if self.contacted.is_empty() => ErrorKind::NoEndpoint,
             Phase::Waiting | Phase::Replacing { .. } => ErrorKind::EndpointFailed,
             _ => return,
         };
-        self.fail(kind, Some(FAILED_RETRY), actions);
+        self.fail(kind, Some(FAILURE_RETRY_AFTER), actions);
     }
 
     /// Asks for checkpoints if they are due.
-    pub(super) fn export(&self, actions: &mut Vec<Action>) {
-        let every = self.cfg.export_every;
+    pub(super) fn request_checkpoints(&self, actions: &mut Vec<Action>) {
+        let every = self.cfg.export_every_tokens;
         if every == 0 || !(self.tokens.len() as u32).is_multiple_of(every) {
             return;
         }
         for state in &self.stages {
             actions.push(Action::Export {
                 endpoint: state.stage.endpoint.clone(),
-                position: state.done,
+                position: state.cache_end,
             });
         }
     }
 
-    pub(super) fn exported(&mut self, endpoint: &EndpointId, checkpoint: wire::KvCheckpoint) {
+    pub(super) fn on_checkpoint(&mut self, endpoint: &EndpointId, checkpoint: wire::KvCheckpoint) {
         if checkpoint.request != self.spec.request || checkpoint.model != self.spec.model {
             return;
         }
         let mut stages = self.stages.iter_mut();
-        let stage = stages.find(|s| s.stage.endpoint == *endpoint && !s.import);
+        let stage = stages.find(|s| s.stage.endpoint == *endpoint && !s.import_pending);
         if let Some(stage) = stage {
             stage.keep_checkpoint(checkpoint);
         }
     }
 
-    pub(super) fn imported(
+    pub(super) fn on_imported(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
         attempt: u32,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(at) = self.importing(endpoint, attempt) {
-            self.stages[at].import = false;
-            self.ask(now, at, actions);
+        if let Some(stage_index) = self.importing_stage(endpoint, attempt) {
+            self.stages[stage_index].import_pending = false;
+            self.send_to_stage(now, stage_index, actions);
         }
     }
 
-    pub(super) fn import_failed(
+    pub(super) fn on_import_failed(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
         attempt: u32,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(at) = self.importing(endpoint, attempt) {
-            self.import_lost(now, at, actions);
+        if let Some(stage_index) = self.importing_stage(endpoint, attempt) {
+            self.continue_without_checkpoint(now, stage_index, actions);
         }
     }
 
-    fn importing(&self, endpoint: &EndpointId, attempt: u32) -> Option<usize> {
-        let Phase::Importing(asked) = &self.phase else {
+    fn importing_stage(&self, endpoint: &EndpointId, attempt: u32) -> Option<usize> {
+        let Phase::Importing(pending) = &self.phase else {
             return None;
         };
-        let stage = &self.stages[asked.at].stage;
-        (attempt == self.attempt && stage.endpoint == *endpoint).then_some(asked.at)
+        let stage = &self.stages[pending.stage_index].stage;
+        (attempt == self.attempt && stage.endpoint == *endpoint).then_some(pending.stage_index)
     }
 
     /// The import at stage `at` failed or may have: goes on without the checkpoint.
     ///
     /// The attempt grows, so that an import that arrives late is refused as stale.
-    pub(super) fn import_lost(&mut self, now: Duration, at: usize, actions: &mut Vec<Action>) {
-        let stage = &mut self.stages[at];
+    pub(super) fn continue_without_checkpoint(
+        &mut self,
+        now: Duration,
+        stage_index: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let stage = &mut self.stages[stage_index];
         stage.rebuild(None);
-        let lost = stage.stage.endpoint.clone();
-        if !stage.can_feed() {
-            self.replace_all(lost, actions);
+        let failed = stage.stage.endpoint.clone();
+        if !stage.has_all_inputs() {
+            self.request_new_chain(failed, actions);
             return;
         }
         self.attempt += 1;
-        self.ask(now, at, actions);
+        self.send_to_stage(now, stage_index, actions);
     }
 
     /// Keeps the activations within their budget: first forgets those before a checkpoint, then
     /// those of the first stages.
-    pub(super) fn limit_kept(&mut self) {
-        if self.kept_bytes() <= self.cfg.keep_bytes {
+    pub(super) fn limit_kept_activations(&mut self) {
+        if self.kept_activation_bytes() <= self.cfg.max_kept_bytes {
             return;
         }
         for stage in self.stages.iter_mut().skip(1) {
             if let Some(position) = stage.usable_checkpoint().map(|c| c.position) {
-                stage.inputs.trim(position.min(stage.done));
+                stage.inputs.drop_before(position.min(stage.cache_end));
             }
         }
-        for at in 1..self.stages.len() {
-            if self.kept_bytes() <= self.cfg.keep_bytes {
+        for stage_index in 1..self.stages.len() {
+            if self.kept_activation_bytes() <= self.cfg.max_kept_bytes {
                 return;
             }
-            let stage = &mut self.stages[at];
-            stage.inputs.trim(stage.done);
+            let stage = &mut self.stages[stage_index];
+            stage.inputs.drop_before(stage.cache_end);
         }
     }
 
     /// The bytes of activations kept. Token ids are not counted.
-    fn kept_bytes(&self) -> u64 {
+    fn kept_activation_bytes(&self) -> u64 {
         let kept = self.stages.iter().skip(1).map(|s| s.inputs.values.len());
         kept.sum::<usize>() as u64 * self.cfg.activation_bytes
     }
 
     /// Uses up one replacement; false if none is left.
-    fn spend(&mut self) -> bool {
-        self.pass_began = None;
-        self.steady_tokens = 0;
+    fn spend_replacement(&mut self) -> bool {
+        self.pass_started_at = None;
+        self.tokens_since_recovery = 0;
         let left = self.replacements < self.cfg.max_replacements;
         self.replacements += u32::from(left);
         left
--- a/crates/delivery/src/generation/resume.rs
+++ b/crates/delivery/src/generation/resume.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use super::{
-    Action, Config, Generation, Phase, Resume, Spec,
+    Action, Config, Generation, Phase, ResumeState, Spec,
     stage::{Inputs, StageState},
 };
 
 impl Generation {
     /// Goes on with a generation that was moved here; [`Event::Continue`](super::Event::Continue)
     /// or [`Event::Start`](super::Event::Start) with another chain is to follow.
-    pub fn resume(now: Duration, resume: Resume, cfg: Config) -> Self {
+    pub fn resume(now: Duration, resume: ResumeState, cfg: Config) -> Self {
         let spec = Spec {
             request: resume.request,
             model: resume.model,
@@ -28,17 +28,18 @@
         let mut this = Self::with_config(spec, cfg);
         this.attempt = resume.attempt + 1;
         this.tokens = resume.released;
-        this.used = resume.used;
-        let held = (this.spec.prompt.len() + this.tokens.len()).saturating_sub(1) as u32;
+        this.contacted = resume.used;
+        let cached_positions =
+            (this.spec.prompt.len() + this.tokens.len()).saturating_sub(1) as u32;
         let stages = resume.stages.into_iter();
         this.stages = stages
-            .map(|stage| StageState::new(stage, Inputs::starting_at(held)))
+            .map(|stage| StageState::new(stage, Inputs::starting_at(cached_positions)))
             .collect();
         this
     }
 
     /// Goes on with the chain that was moved here.
-    pub(super) fn go_on(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn continue_chain(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.phase != Phase::Waiting || self.stages.is_empty() {
             return;
         }
@@ -46,18 +47,18 @@
             from: 0,
             values: [&self.spec.prompt[..], &self.tokens].concat(),
         };
-        self.begin_pass(now, actions);
+        self.start_pass(now, actions);
     }
 
-    pub(super) fn handover(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn on_handover(&mut self, now: Duration, actions: &mut Vec<Action>) {
         match self.phase {
-            Phase::Waiting => self.move_on(now, true, actions),
-            _ => self.handover_until = Some(now + self.cfg.handover_wait),
+            Phase::Waiting => self.finish_handover(now, true, actions),
+            _ => self.handover_deadline = Some(now + self.cfg.handover_timeout),
         }
     }
 
     /// Ends the generation here; with its chain if `between_tokens`.
-    pub(super) fn move_on(
+    pub(super) fn finish_handover(
         &mut self,
         now: Duration,
         between_tokens: bool,
@@ -71,7 +72,7 @@
             self.free_all(actions);
         }
         let spec = &self.spec;
-        let resume = Resume {
+        let resume = ResumeState {
             request: spec.request.clone(),
             model: spec.model.clone(),
             layers: spec.layers,
@@ -83,7 +84,7 @@
             released: self.tokens.clone(),
             attempt: self.attempt,
             stages,
-            used: self.used.clone(),
+            used: self.contacted.clone(),
         };
         self.phase = Phase::Ended;
         actions.push(Action::Moved(resume));
--- a/crates/delivery/src/generation/stage.rs
+++ b/crates/delivery/src/generation/stage.rs
@@ -27,12 +27,12 @@
     }
 
     /// The inputs from `position`, which is kept or the end, on.
-    pub(super) fn after(&self, position: u32) -> &[u64] {
+    pub(super) fn from_position(&self, position: u32) -> &[u64] {
         &self.values[(position - self.from) as usize..]
     }
 
     /// Forgets the positions before `position`.
-    pub(super) fn trim(&mut self, position: u32) {
+    pub(super) fn drop_before(&mut self, position: u32) {
         let position = position.clamp(self.from, self.end());
         self.values.drain(..(position - self.from) as usize);
         self.from = position;
@@ -47,32 +47,32 @@
 pub(super) struct StageState {
     pub(super) stage: Stage,
     pub(super) inputs: Inputs,
-    pub(super) done: u32,
+    pub(super) cache_end: u32,
     /// The positions whose outputs the next stage has, or that were released.
-    pub(super) passed_on: u32,
+    pub(super) forwarded: u32,
     /// The life of the endpoint whose KV cache holds `done` positions; `None` if unknown.
     pub(super) incarnation: Option<u64>,
     /// The newest checkpoint; covers exactly the stage's layers.
     pub(super) checkpoint: Option<wire::KvCheckpoint>,
     /// The checkpoint is to be imported before the next step.
-    pub(super) import: bool,
+    pub(super) import_pending: bool,
 }
 
 impl StageState {
     pub(super) fn new(stage: Stage, inputs: Inputs) -> Self {
         Self {
             stage,
-            done: inputs.from,
-            passed_on: inputs.from,
+            cache_end: inputs.from,
+            forwarded: inputs.from,
             inputs,
             incarnation: None,
             checkpoint: None,
-            import: false,
+            import_pending: false,
         }
     }
 
     /// Whether an empty KV cache can be brought to the present position by running kept inputs.
-    pub(super) fn can_feed(&self) -> bool {
+    pub(super) fn has_all_inputs(&self) -> bool {
         self.inputs.from == 0
     }
 
@@ -82,13 +82,13 @@
         let checkpoint = self.checkpoint.as_ref()?;
         let follows = self.inputs.from..self.inputs.end();
         let usable =
-            follows.contains(&checkpoint.position) && checkpoint.position <= self.passed_on;
+            follows.contains(&checkpoint.position) && checkpoint.position <= self.forwarded;
         usable.then_some(checkpoint)
     }
 
     /// Whether the KV cache can be rebuilt at another endpoint.
     pub(super) fn can_rebuild(&self) -> bool {
-        self.can_feed() || self.usable_checkpoint().is_some()
+        self.has_all_inputs() || self.usable_checkpoint().is_some()
     }
 
     /// Takes a checkpoint if it is of this stage, newer than the one at hand, and of known inputs.
@@ -107,20 +107,20 @@
     /// without one, by running the inputs kept.
     pub(super) fn rebuild(&mut self, checkpoint: Option<wire::KvCheckpoint>) {
         self.incarnation = None;
-        self.done = checkpoint.as_ref().map_or(self.inputs.from, |c| c.position);
-        self.import = checkpoint.is_some();
+        self.cache_end = checkpoint.as_ref().map_or(self.inputs.from, |c| c.position);
+        self.import_pending = checkpoint.is_some();
         self.checkpoint = checkpoint;
     }
 
     /// The part of the stage's checkpoint that covers `layers`.
     pub(super) fn slice_checkpoint(&self, layers: wire::Layers) -> Option<wire::KvCheckpoint> {
-        let whole = self.usable_checkpoint()?;
-        let first = (layers.first - whole.layers.first) as usize;
-        let state = whole.state[first..first + layers.range().len()].to_vec();
+        let full = self.usable_checkpoint()?;
+        let first = (layers.first - full.layers.first) as usize;
+        let state = full.state[first..first + layers.range().len()].to_vec();
         Some(wire::KvCheckpoint {
             layers,
             state,
-            ..whole.clone()
+            ..full.clone()
         })
     }
 }
--- a/crates/delivery/src/generation/timing.rs
+++ b/crates/delivery/src/generation/timing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// One observation counts for one part in this many.
-const WEIGHT: u32 = 8;
+const SMOOTHING_DIVISOR: u32 = 8;
 
 /// Expected durations of steps. A host keeps one for all its generations: it gives it to each in
 /// [`Config::times`](super::Config::times) and takes back what it learned from
@@ -57,5 +57,5 @@
 
 /// The exponentially weighted moving average after one more observation.
 fn smooth(mean: Duration, observed: Duration) -> Duration {
-    (mean * (WEIGHT - 1) + observed) / WEIGHT
+    (mean * (SMOOTHING_DIVISOR - 1) + observed) / SMOOTHING_DIVISOR
 }
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -21,4 +21,4 @@
 
 pub use chain::{Chain, Stage};
 pub use error::{ErrorKind, NotRunKind, Run};
-pub use generation::{Action, Config, Event, Generation, Resume, Spec};
+pub use generation::{Action, Config, Event, Generation, ResumeState, Spec};
--- a/crates/delivery/tests/generation_steps.rs
+++ b/crates/delivery/tests/generation_steps.rs
@@ -161,7 +161,7 @@
 #[test]
 fn work_that_cannot_make_it_is_not_begun() {
     let cfg = Config {
-        times: StepTimes {
+        step_times: StepTimes {
             token: Some(ms(100)),
             ..StepTimes::default()
         },
@@ -186,7 +186,7 @@
     let mut generation = Generation::new(spec(ms(60_000)));
     let (now, _) = run(&mut generation, 2, ms(1));
     for _ in 0..2 {
-        let lost = Event::Lost {
+        let lost = Event::StepLost {
             endpoint: endpoint("e0"),
             attempt: 1,
             start: 4,
--- a/crates/delivery/tests/support/fleet.rs
+++ b/crates/delivery/tests/support/fleet.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_delivery::{
-    Action, Chain, Config, ErrorKind, Event, Generation, Resume, Spec, Stage,
+    Action, Chain, Config, ErrorKind, Event, Generation, ResumeState, Spec, Stage,
 };
 use dragonflyrill_engines::wire;
 use dragonflyrill_standins::{
@@ -76,9 +76,9 @@
 fn cfg(plan: &Plan) -> Config {
     Config {
         max_replacements: 64,
-        timeout_floor: Duration::from_millis(50),
-        export_every: plan.export_every,
-        keep_bytes: plan.keep_bytes,
+        min_step_timeout: Duration::from_millis(50),
+        export_every_tokens: plan.export_every,
+        max_kept_bytes: plan.keep_bytes,
         ..Config::default()
     }
 }
@@ -202,7 +202,7 @@
             | Message::Result(wire::StepResult { attempt, start, .. })
                 if i.is_multiple_of(2) =>
             {
-                self.handle(Event::Lost {
+                self.handle(Event::StepLost {
                     endpoint,
                     attempt,
                     start,
@@ -308,7 +308,7 @@
     }
 
     /// Another host takes the generation up.
-    fn moved(&mut self, resume: Resume) -> Event {
+    fn moved(&mut self, resume: ResumeState) -> Event {
         let go_on = self.same_chain && !resume.stages.is_empty();
         self.generation = Generation::resume(self.now, resume, cfg(&self.plan));
         match go_on {
--- a/crates/delivery/tests/support/world.rs
+++ b/crates/delivery/tests/support/world.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_delivery::{
-    Action, Chain, Config, ErrorKind, Event, Generation, Resume, Run, Spec, Stage,
+    Action, Chain, Config, ErrorKind, Event, Generation, ResumeState, Run, Spec, Stage,
     generation::StepTimes,
 };
 use dragonflyrill_engines::wire;
@@ -121,7 +121,7 @@
     net: Vec<Message>,
     replace: Option<wire::Layers>,
     replaced: Vec<usize>,
-    moved: Option<Resume>,
+    moved: Option<ResumeState>,
     released: Vec<u64>,
     expected: Vec<u64>,
     ended: Option<Ended>,
@@ -212,7 +212,7 @@
         let mut actions = Vec::new();
         self.generations[host].handle(self.now, event, &mut actions);
         let lost = actions.iter().find_map(|action| match action {
-            Action::Replace { lost, .. } => Some(number(lost)),
+            Action::Replace { failed, .. } => Some(number(failed)),
             _ => None,
         });
         self.replaced.extend(lost);
@@ -318,7 +318,7 @@
             Message::Result(i, result) => self.result(i, result),
             Message::Lost(i, attempt, start) => {
                 let endpoint = endpoint(i);
-                self.tell(Event::Lost {
+                self.tell(Event::StepLost {
                     endpoint,
                     attempt,
                     start,
@@ -498,13 +498,13 @@
     }
 
     /// The host that a generation moved to takes it up, with the same chain or with the spares.
-    fn next_moves(&self, resume: &Resume, next: &mut Vec<(String, Self)>) {
+    fn next_moves(&self, resume: &ResumeState, next: &mut Vec<(String, Self)>) {
         let mut resume = resume.clone();
         if self.mutant == Mutant::TokenLeftOut {
             resume.released.pop();
         }
         let cfg = Config {
-            handover_wait: Duration::from_millis(1),
+            handover_timeout: Duration::from_millis(1),
             ..plain()
         };
         let taken = self.with(|w| {
@@ -525,23 +525,23 @@
 fn plain() -> Config {
     Config {
         max_replacements: 3,
-        timeout_floor: Duration::from_millis(1),
-        timeout_factor: 0,
-        times: StepTimes {
+        min_step_timeout: Duration::from_millis(1),
+        step_timeout_factor: 0,
+        step_times: StepTimes {
             step: Duration::ZERO,
             position: Duration::ZERO,
             token: None,
         },
-        free_wait: Duration::from_millis(1),
-        handover_wait: Duration::from_millis(1),
+        free_retry_delay: Duration::from_millis(1),
+        handover_timeout: Duration::from_millis(1),
         ..Config::default()
     }
 }
 
 fn config(setup: &Setup) -> Config {
     Config {
-        export_every: setup.export_every,
-        keep_bytes: setup.keep_bytes,
+        export_every_tokens: setup.export_every,
+        max_kept_bytes: setup.keep_bytes,
         ..plain()
     }
 }
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -70,7 +70,7 @@
         for step in self.underway.drain(..) {
             router.ended(now, &step.endpoint, routing::Outcome::Abandoned);
         }
-        self.host.step_times.set(self.generation.times());
+        self.host.step_times.set(self.generation.step_times());
     }
 }
 
@@ -187,7 +187,7 @@
                     let mut router = self.host.router.borrow_mut();
                     router.ended(now, &endpoint, routing::Outcome::Failed);
                 }
-                Some(Event::Lost {
+                Some(Event::StepLost {
                     endpoint,
                     attempt,
                     start,
@@ -227,7 +227,7 @@
                 false => self.send(endpoint, step),
             },
             Action::Release { index, token } => self.release(index, token),
-            Action::Replace { layers, lost } => self.replace(layers, lost),
+            Action::Replace { layers, failed } => self.replace(layers, failed),
             Action::Export { endpoint, .. } => self.export(endpoint),
             Action::Import {
                 endpoint,
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -6,7 +6,7 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_delivery::{
-    Chain, ErrorKind, Generation, NotRunKind, Resume, Run, Spec, Stage,
+    Chain, ErrorKind, Generation, NotRunKind, ResumeState, Run, Spec, Stage,
     error::AfterDispatchKind,
     life,
     record::{self, Outcome, RecordState, RecordTicket},
@@ -325,8 +325,8 @@
 /// The generation of `call`; it goes on where a lost run at another host ended.
 fn generation(host: &Host, slot: &Slot, call: &Completion) -> Generation {
     let cfg = dragonflyrill_delivery::Config {
-        times: host.step_times.get(),
-        export_every: host.settings.checkpoint_every,
+        step_times: host.step_times.get(),
+        export_every_tokens: host.settings.checkpoint_every,
         ..Default::default()
     };
     let spec = Spec {
@@ -343,7 +343,7 @@
         return Generation::with_config(spec, cfg);
     }
     let now = host.now();
-    let resume = Resume {
+    let resume = ResumeState {
         request: spec.request,
         model: spec.model,
         layers: spec.layers,
