--- a/crates/delivery/benches/group_commit.rs
+++ b/crates/delivery/benches/group_commit.rs
@@ -49,11 +49,11 @@
 }
 
 impl Sim {
-    fn new(rate: u32, interval: Duration) -> Self {
+    fn new(rate: u32, batch_interval: Duration) -> Self {
         let id = HostId(Name::try_from("host").expect("a name"));
         let host = HostRef { id, incarnation: 1 };
         let cfg = Config {
-            interval,
+            batch_interval,
             ..Config::new(host, Duration::from_secs(1_000_000))
         };
         Self {
@@ -121,7 +121,7 @@
             }
             Due::Table(id) => {
                 self.recorder
-                    .table(now, id, Ok(TxnOutcome::done(0)), actions);
+                    .on_table_result(now, id, Ok(TxnOutcome::done(0)), actions);
             }
             Due::End(ticket) => {
                 let answer = CallAnswer {
@@ -137,7 +137,7 @@
     fn carry_out(&mut self, now: Duration, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Table { id, call } => {
+                Action::CallTable { id, call } => {
                     self.txns += 1;
                     let is_put = |op: &&Op| matches!(op, Op::Put { .. });
                     if let TableCall::Write(txn) = &call {
@@ -155,7 +155,7 @@
                     self.at(now + CALL_TIME, Due::End(ticket));
                 }
                 Action::Refused { .. } => self.refused += 1,
-                Action::Known { .. } => {}
+                Action::AlreadyRecorded { .. } => {}
             }
         }
     }
--- a/crates/delivery/benches/steps.rs
+++ b/crates/delivery/benches/steps.rs
@@ -108,9 +108,9 @@
     let mut recorded = 0;
     while let Some(action) = actions.pop() {
         match action {
-            record::Action::Table { id, .. } => {
+            record::Action::CallTable { id, .. } => {
                 let outcome = TxnOutcome::done(0);
-                recorder.table(Duration::from_millis(12), id, Ok(outcome), &mut actions);
+                recorder.on_table_result(Duration::from_millis(12), id, Ok(outcome), &mut actions);
             }
             record::Action::Recorded { .. } => recorded += 1,
             _ => {}
--- a/crates/delivery/src/generation/mod.rs
+++ b/crates/delivery/src/generation/mod.rs
@@ -165,7 +165,7 @@
             Event::Start(chain) => self.on_start(now, &chain, actions),
             Event::Continue => self.continue_chain(now, actions),
             Event::Result { endpoint, result } => {
-                self.on_step_result(now, &endpoint, result, actions)
+                self.on_step_result(now, &endpoint, result, actions);
             }
             Event::StepLost {
                 endpoint,
@@ -266,7 +266,7 @@
             model: self.spec.model.clone(),
             layers: stage.stage.layers,
             start,
-            inputs: stage.inputs.from_position(start).to_vec(),
+            inputs: stage.inputs.tail_from(start).to_vec(),
             prefix,
             priority: self.spec.priority,
             deadline_ms: self.spec.deadline.saturating_sub(now).as_millis() as u32,
@@ -411,7 +411,7 @@
         }
         match self.phase.clone() {
             Phase::Running(pending) if now >= pending.timeout_at => {
-                self.retry_or_replace(now, pending, actions)
+                self.retry_or_replace(now, pending, actions);
             }
             Phase::Importing(pending) if now >= pending.timeout_at => {
                 self.continue_without_checkpoint(now, pending.stage_index, actions);
--- a/crates/delivery/src/generation/recover.rs
+++ b/crates/delivery/src/generation/recover.rs
@@ -63,7 +63,7 @@
                 self.free_older_attempt(now, pending, actions);
             }
             wire::StepRefusal::Position => {
-                self.on_position_mismatch(now, pending, expected, actions)
+                self.on_position_mismatch(now, pending, expected, actions);
             }
             wire::StepRefusal::StaleAttempt => {
                 // Another host drives the request with newer attempts.
@@ -74,7 +74,7 @@
             | wire::StepRefusal::Busy
             | wire::StepRefusal::Leaving
             | wire::StepRefusal::Cancelled => {
-                self.request_replacement(pending.stage_index, actions)
+                self.request_replacement(pending.stage_index, actions);
             }
         }
     }
--- a/crates/delivery/src/generation/stage.rs
+++ b/crates/delivery/src/generation/stage.rs
@@ -27,7 +27,7 @@
     }
 
     /// The inputs from `position`, which is kept or the end, on.
-    pub(super) fn from_position(&self, position: u32) -> &[u64] {
+    pub(super) fn tail_from(&self, position: u32) -> &[u64] {
         &self.values[(position - self.from) as usize..]
     }
 
--- a/crates/delivery/src/life.rs
+++ b/crates/delivery/src/life.rs
@@ -42,7 +42,7 @@
 
 use crate::{
     error::{AfterDispatchKind, ErrorKind, NotRunKind},
-    record::{Expired, Permit},
+    record::{ExpiredPermit, Permit},
 };
 
 mod sealed {
@@ -177,7 +177,7 @@
     /// [`TooLate`] after the permit's term: nothing was sent, and nothing may be.
     pub fn dispatch(self, now: Duration) -> Result<Request<Dispatched>, TooLate> {
         let Self { id, state } = self;
-        match state.permit.check(now) {
+        match state.permit.consume(now) {
             Ok(()) => Ok(Request {
                 id,
                 state: Dispatched(()),
@@ -199,7 +199,7 @@
     /// The request, to be refused.
     pub request: Request<Received>,
     /// The permit, for [`Recorder::abandon`](crate::record::Recorder::abandon).
-    pub expired: Expired,
+    pub expired: ExpiredPermit,
 }
 
 impl Request<Dispatched> {
--- a/crates/delivery/src/record/batch.rs
+++ b/crates/delivery/src/record/batch.rs
@@ -6,96 +6,96 @@
 
 use super::{
     Config, RecordTicket,
-    row::{Bucket, Record, Seen},
+    row::{Bucket, Record, RowVersion},
 };
 
 /// Conditions of one insert, one for each of [`Bucket::checked`].
-pub(super) const CONDITIONS_PER_WRITE: usize = 3;
+pub(super) const CONDITIONS_PER_INSERT: usize = 3;
 /// Conditions and operations of one insert at most: it writes a row and may remove another.
-pub(super) const ENTRIES_PER_WRITE: usize = CONDITIONS_PER_WRITE + 2;
+pub(super) const MAX_ENTRIES_PER_INSERT: usize = CONDITIONS_PER_INSERT + 2;
 
 /// One insert on its way.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Write {
+pub(super) struct Insert {
     pub(super) ticket: RecordTicket,
     /// The caller's key.
     pub(super) key: String,
     pub(super) bucket: Bucket,
     pub(super) record: Record,
     /// The begin of the call, from which its term runs.
-    pub(super) began: Duration,
+    pub(super) started_at: Duration,
     /// The abandoned row that this write takes over.
-    pub(super) takes_over: Option<Seen>,
+    pub(super) replaces: Option<RowVersion>,
     /// How often it was sent.
-    pub(super) sent: u32,
+    pub(super) sends: u32,
     /// A sending without an answer may have taken effect, or may still.
     pub(super) in_doubt: bool,
 }
 
 /// The end of a call on its way: one put without a condition, as nobody else changes the row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Ending {
+pub(super) struct EndUpdate {
     pub(super) key: String,
     pub(super) record: Record,
-    pub(super) sent: u32,
+    pub(super) sends: u32,
 }
 
 /// Inserts and ends that share a transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Batch {
-    pub(super) writes: Vec<Write>,
-    pub(super) endings: Vec<Ending>,
+    pub(super) inserts: Vec<Insert>,
+    pub(super) end_updates: Vec<EndUpdate>,
 }
 
 impl Batch {
     /// The transaction. It has [`CONDITIONS_PER_WRITE`] conditions for each write, in order.
     pub(super) fn txn(&self, cfg: &Config) -> Txn {
         let mut txn = Txn::default();
-        for write in &self.writes {
-            insert(cfg, write, &mut txn);
+        for insert in &self.inserts {
+            add_insert(cfg, insert, &mut txn);
         }
-        for ending in &self.endings {
+        for end_update in &self.end_updates {
             txn.ops.push(Op::Put {
-                key: ending.key.clone(),
-                value: ending.record.encode(),
+                key: end_update.key.clone(),
+                value: end_update.record.encode(),
             });
         }
         txn
     }
 }
 
-fn insert(cfg: &Config, write: &Write, txn: &mut Txn) {
-    let own = write.bucket.key(cfg, &write.key);
-    absent_or_seen(
+fn add_insert(cfg: &Config, insert: &Insert, txn: &mut Txn) {
+    let own = insert.bucket.key(cfg, &insert.key);
+    absent_or_unchanged(
         cfg,
-        write.bucket,
-        &write.key,
-        write.takes_over.as_ref(),
+        insert.bucket,
+        &insert.key,
+        insert.replaces.as_ref(),
         txn,
     );
-    if let Some(old) = write.takes_over.as_ref().filter(|old| old.key != own) {
+    if let Some(old) = insert.replaces.as_ref().filter(|old| old.key != own) {
         txn.ops.push(Op::Remove(old.key.clone()));
     }
     txn.ops.push(Op::Put {
         key: own,
-        value: write.record.encode(),
+        value: insert.record.encode(),
     });
 }
 
 /// Adds the conditions that `key` is in no bucket but as `seen`.
-pub(super) fn absent_or_seen(
+pub(super) fn absent_or_unchanged(
     cfg: &Config,
     bucket: Bucket,
     key: &str,
-    seen: Option<&Seen>,
+    found_row: Option<&RowVersion>,
     txn: &mut Txn,
 ) {
     for bucket in bucket.checked() {
         let key = bucket.key(cfg, key);
-        txn.conditions.push(match seen {
-            Some(seen) if seen.key == key => Condition::Unchanged {
+        txn.conditions.push(match found_row {
+            Some(found_row) if found_row.key == key => Condition::Unchanged {
                 key,
-                mod_revision: seen.mod_revision,
+                mod_revision: found_row.mod_revision,
             },
             _ => Condition::Absent(key),
         });
@@ -103,6 +103,6 @@
 }
 
 /// The newest row among those of one key's conditions.
-pub(super) fn newest(rows: &[Option<Row>]) -> Option<&Row> {
+pub(super) fn newest_row(rows: &[Option<Row>]) -> Option<&Row> {
     rows.iter().flatten().max_by_key(|row| row.mod_revision)
 }
--- a/crates/delivery/src/record/mod.rs
+++ b/crates/delivery/src/record/mod.rs
@@ -24,11 +24,11 @@
 //! by less than a bucket agree. A key is remembered for at least one bucket, which has to be longer
 //! than a term and than any lost write takes to take effect.
 
+mod abandoned;
 mod batch;
-mod doubt;
 mod recorder;
+mod results;
 mod row;
-mod verdict;
 
 use std::time::Duration;
 
@@ -50,27 +50,27 @@
     /// What all keys start with.
     pub prefix: String,
     /// The length of a bucket; much longer than a term, a lost write and the clocks' difference.
-    pub bucket: Duration,
+    pub bucket_length: Duration,
     /// How long after its begin a call may be dispatched.
     pub term: Duration,
     /// How long an insert waits for others.
-    pub interval: Duration,
+    pub batch_interval: Duration,
     /// How long a transaction may take, and an insert wait to be sent.
-    pub answer_within: Duration,
+    pub answer_timeout: Duration,
     /// The most conditions and operations of one transaction together.
-    pub max_entries: usize,
+    pub max_txn_entries: usize,
     /// The most transactions of inserts under way.
     pub max_in_flight: usize,
     /// The most inserts that wait; further ones are refused.
     pub max_waiting: usize,
     /// How often an insert is sent. At least 1.
-    pub tries: u32,
+    pub max_insert_sends: u32,
     /// How often marking a key as abandoned is tried.
-    pub doubt_tries: u32,
+    pub max_mark_attempts: u32,
     /// After a failure of the table, calls are refused without asking it for so long.
-    pub down_for: Duration,
+    pub unavailable_backoff: Duration,
     /// The largest answer kept in a record, in bytes.
-    pub max_answer: usize,
+    pub max_answer_bytes: usize,
 }
 
 impl Config {
@@ -80,17 +80,17 @@
             host,
             unix_origin,
             prefix: "record/".to_owned(),
-            bucket: Duration::from_secs(24 * 3600),
+            bucket_length: Duration::from_secs(24 * 3600),
             term: Duration::from_secs(2),
-            interval: Duration::from_millis(10),
-            answer_within: Duration::from_millis(500),
-            max_entries: MAX_ENTRIES,
+            batch_interval: Duration::from_millis(10),
+            answer_timeout: Duration::from_millis(500),
+            max_txn_entries: MAX_ENTRIES,
             max_in_flight: 2,
             max_waiting: 1024,
-            tries: 3,
-            doubt_tries: 12,
-            down_for: Duration::from_millis(500),
-            max_answer: 4096,
+            max_insert_sends: 3,
+            max_mark_attempts: 12,
+            unavailable_backoff: Duration::from_millis(500),
+            max_answer_bytes: 4096,
         }
     }
 }
@@ -115,10 +115,10 @@
     ///
     /// # Errors
     /// [`Expired`] after the term: nothing may be sent.
-    pub fn check(self, now: Duration) -> Result<(), Expired> {
+    pub fn consume(self, now: Duration) -> Result<(), ExpiredPermit> {
         match now < self.until {
             true => Ok(()),
-            false => Err(Expired {
+            false => Err(ExpiredPermit {
                 ticket: self.ticket,
             }),
         }
@@ -132,7 +132,7 @@
 
 /// Proof that a permit was used up without a dispatch.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Expired {
+pub struct ExpiredPermit {
     ticket: RecordTicket,
 }
 
@@ -149,7 +149,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Action {
     /// Call the table, and answer by [`Recorder::table`].
-    Table {
+    CallTable {
         /// The call's name.
         id: TxnId,
         /// The call.
@@ -172,7 +172,7 @@
         retry_after: Option<Duration>,
     },
     /// The call was begun before.
-    Known {
+    AlreadyRecorded {
         /// The call.
         ticket: RecordTicket,
         /// How it stands.
--- a/crates/delivery/src/record/recorder.rs
+++ b/crates/delivery/src/record/recorder.rs
@@ -11,35 +11,35 @@
 };
 
 use super::{
-    Action, Config, Expired, Outcome, RecordTicket, TxnId,
-    batch::{Batch, ENTRIES_PER_WRITE, Ending, Write},
-    doubt::Doubt,
+    Action, Config, ExpiredPermit, Outcome, RecordTicket, TxnId,
+    abandoned::AbandonedInsert,
+    batch::{Batch, EndUpdate, Insert, MAX_ENTRIES_PER_INSERT},
+    results::{already_recorded, unavailable},
     row::{Bucket, Record, RecordState},
-    verdict::{answer_known, unavailable},
 };
 
 /// The most ends of calls that wait for the table; the oldest go first.
-const MAX_ENDINGS: usize = 4096;
+const MAX_QUEUED_END_UPDATES: usize = 4096;
 /// The most keys that wait to be marked as abandoned; the oldest go first.
-const MAX_DOUBTS: usize = 4096;
+const MAX_QUEUED_ABANDONED: usize = 4096;
 
 /// A call to the table under way.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Pending {
     Batch(Batch),
-    Doubt(Doubt),
+    Mark(AbandonedInsert),
     Trim,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct InFlight {
-    sent: Duration,
+struct InFlightTxn {
+    sent_at: Duration,
     pending: Pending,
 }
 
 /// A call that is neither refused nor over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Open {
+pub(super) struct OpenCall {
     ticket: RecordTicket,
     fingerprint: u64,
 }
@@ -54,17 +54,17 @@
     pub(super) cfg: Config,
     next_ticket: u64,
     next_txn: u64,
-    pub(super) waiting: VecDeque<Write>,
+    pub(super) waiting: VecDeque<Insert>,
     /// When the oldest of `waiting` and `endings` came; `None` if both are empty.
     pub(super) waiting_since: Option<Duration>,
-    pub(super) endings: VecDeque<Ending>,
-    in_flight: BTreeMap<TxnId, InFlight>,
+    pub(super) end_updates: VecDeque<EndUpdate>,
+    in_flight: BTreeMap<TxnId, InFlightTxn>,
     /// The calls in `waiting`, `in_flight` and `ours`, by key.
-    pub(super) open: BTreeMap<String, Open>,
+    pub(super) open: BTreeMap<String, OpenCall>,
     /// Recorded calls that have not ended.
-    pub(super) ours: BTreeMap<RecordTicket, Write>,
-    pub(super) doubts: VecDeque<Doubt>,
-    pub(super) down_until: Duration,
+    pub(super) recorded: BTreeMap<RecordTicket, Insert>,
+    pub(super) abandoned: VecDeque<AbandonedInsert>,
+    pub(super) unavailable_until: Duration,
 }
 
 impl Recorder {
@@ -76,12 +76,12 @@
             next_txn: 0,
             waiting: VecDeque::new(),
             waiting_since: None,
-            endings: VecDeque::new(),
+            end_updates: VecDeque::new(),
             in_flight: BTreeMap::new(),
             open: BTreeMap::new(),
-            ours: BTreeMap::new(),
-            doubts: VecDeque::new(),
-            down_until: Duration::ZERO,
+            recorded: BTreeMap::new(),
+            abandoned: VecDeque::new(),
+            unavailable_until: Duration::ZERO,
         }
     }
 
@@ -96,28 +96,31 @@
         let ticket = RecordTicket(self.next_ticket);
         self.next_ticket += 1;
         if let Some(known) = self.open.get(key) {
-            let record = self.begun(known.ticket, known.fingerprint);
-            actions.push(answer_known(ticket, fingerprint, record));
+            let record = self.begun_record(known.ticket, known.fingerprint);
+            actions.push(already_recorded(ticket, fingerprint, record));
             return ticket;
         }
-        if now < self.down_until || self.waiting.len() >= self.cfg.max_waiting {
-            let wait = self.down_until.saturating_sub(now).max(self.cfg.down_for);
+        if now < self.unavailable_until || self.waiting.len() >= self.cfg.max_waiting {
+            let wait = self
+                .unavailable_until
+                .saturating_sub(now)
+                .max(self.cfg.unavailable_backoff);
             actions.push(unavailable(ticket, wait));
             return ticket;
         }
-        let open = Open {
+        let open = OpenCall {
             ticket,
             fingerprint,
         };
         self.open.insert(key.to_owned(), open);
-        self.waiting.push_back(Write {
+        self.waiting.push_back(Insert {
             ticket,
             key: key.to_owned(),
             bucket: Bucket::at(&self.cfg, now),
-            record: self.begun(ticket, fingerprint),
-            began: now,
-            takes_over: None,
-            sent: 0,
+            record: self.begun_record(ticket, fingerprint),
+            started_at: now,
+            replaces: None,
+            sends: 0,
             in_doubt: false,
         });
         self.waiting_since.get_or_insert(now);
@@ -127,35 +130,35 @@
 
     /// The recorded call `ticket` has ended.
     pub fn finish(&mut self, now: Duration, ticket: RecordTicket, outcome: Outcome) {
-        let Some(write) = self.ours.remove(&ticket) else {
+        let Some(insert) = self.recorded.remove(&ticket) else {
             return;
         };
-        self.open.remove(&write.key);
+        self.open.remove(&insert.key);
         let state = match outcome {
             Outcome::Failed => RecordState::Failed,
             Outcome::Answered(answer) => RecordState::Done {
-                answer: Some(answer).filter(|a| a.body.len() <= self.cfg.max_answer),
+                answer: Some(answer).filter(|a| a.body.len() <= self.cfg.max_answer_bytes),
             },
         };
-        if self.endings.len() == MAX_ENDINGS {
-            self.endings.pop_front();
+        if self.end_updates.len() == MAX_QUEUED_END_UPDATES {
+            self.end_updates.pop_front();
         }
-        self.endings.push_back(Ending {
-            key: write.bucket.key(&self.cfg, &write.key),
+        self.end_updates.push_back(EndUpdate {
+            key: insert.bucket.key(&self.cfg, &insert.key),
             record: Record {
                 state,
-                ..write.record
+                ..insert.record
             },
-            sent: 0,
+            sends: 0,
         });
         self.waiting_since.get_or_insert(now);
     }
 
     /// The recorded call was not dispatched in time and never will be.
-    pub fn abandon(&mut self, now: Duration, expired: Expired) {
-        if let Some(write) = self.ours.remove(&expired.ticket) {
-            self.open.remove(&write.key);
-            self.doubt(now, write);
+    pub fn abandon(&mut self, now: Duration, expired: ExpiredPermit) {
+        if let Some(insert) = self.recorded.remove(&expired.ticket) {
+            self.open.remove(&insert.key);
+            self.queue_abandoned(now, insert);
         }
     }
 
@@ -169,25 +172,25 @@
     }
 
     /// How the call `id` ended.
-    pub fn table(
+    pub fn on_table_result(
         &mut self,
         now: Duration,
         id: TxnId,
         result: Result<TxnOutcome, PlatformError>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(InFlight { pending, .. }) = self.in_flight.remove(&id) else {
+        let Some(InFlightTxn { pending, .. }) = self.in_flight.remove(&id) else {
             return;
         };
         match pending {
             Pending::Trim => {}
-            Pending::Doubt(doubt) => {
-                let again = doubt.answered(&self.cfg, now, result);
-                self.doubts.extend(again);
+            Pending::Mark(insert) => {
+                let to_retry = insert.on_answer(&self.cfg, now, result);
+                self.abandoned.extend(to_retry);
             }
             Pending::Batch(batch) => match result {
-                Ok(outcome) => self.batch_done(now, batch, &outcome, actions),
-                Err(error) => self.batch_failed(now, batch, &error, actions),
+                Ok(outcome) => self.on_batch_outcome(now, batch, &outcome, actions),
+                Err(error) => self.on_batch_error(now, batch, &error, actions),
             },
         }
         self.flush(now, actions);
@@ -195,30 +198,33 @@
 
     /// Does what is due at `now`.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.time_out(now, actions);
+        self.expire_overdue(now, actions);
         self.flush(now, actions);
-        self.settle_doubts(now, actions);
+        self.mark_next_abandoned(now, actions);
     }
 
     /// When [`Self::tick`] is due.
     pub fn next_tick(&self) -> Option<Duration> {
-        let flush = self.waiting_since.map(|since| {
-            let due = match self.has_slot() {
-                true => since + self.cfg.interval,
-                false => since + self.cfg.answer_within,
+        let next_flush = self.waiting_since.map(|since| {
+            let due = match self.has_free_slot() {
+                true => since + self.cfg.batch_interval,
+                false => since + self.cfg.answer_timeout,
             };
-            due.max(self.down_until)
+            due.max(self.unavailable_until)
         });
-        let late = self.in_flight.values().map(|f| f.sent).min();
-        let late = late.map(|sent| sent + self.cfg.answer_within);
-        let doubt = self.doubts.iter().map(|d| d.due).min();
-        let doubt = doubt.filter(|_| !self.is_settling());
-        let doubt = doubt.map(|due| due.max(self.down_until));
-        [flush, late, doubt].into_iter().flatten().min()
+        let next_timeout = self.in_flight.values().map(|f| f.sent_at).min();
+        let next_timeout = next_timeout.map(|sent_at| sent_at + self.cfg.answer_timeout);
+        let next_mark = self.abandoned.iter().map(|d| d.due).min();
+        let next_mark = next_mark.filter(|_| !self.is_marking());
+        let next_mark = next_mark.map(|due| due.max(self.unavailable_until));
+        [next_flush, next_timeout, next_mark]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// The record of a call of ours that is begun.
-    fn begun(&self, ticket: RecordTicket, fingerprint: u64) -> Record {
+    fn begun_record(&self, ticket: RecordTicket, fingerprint: u64) -> Record {
         let host = &self.cfg.host;
         Record {
             write_id: format!("{}.{}.{}", host.id, host.incarnation, ticket.0),
@@ -228,27 +234,27 @@
         }
     }
 
-    fn has_slot(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         let batches = self.in_flight.values();
         let batches = batches.filter(|f| matches!(f.pending, Pending::Batch(_)));
         batches.count() < self.cfg.max_in_flight
     }
 
-    fn is_settling(&self) -> bool {
+    fn is_marking(&self) -> bool {
         let mut all = self.in_flight.values();
-        all.any(|f| matches!(f.pending, Pending::Doubt(_)))
+        all.any(|f| matches!(f.pending, Pending::Mark(_)))
     }
 
     /// Sends what waits if it has waited long enough, or fills a transaction.
     fn flush(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while let Some(since) = self.waiting_since {
-            let entries = self.waiting.len() * ENTRIES_PER_WRITE + self.endings.len();
-            let due = now >= since + self.cfg.interval || entries >= self.cfg.max_entries;
-            if !due || !self.has_slot() || now < self.down_until {
+            let entries = self.waiting.len() * MAX_ENTRIES_PER_INSERT + self.end_updates.len();
+            let due = now >= since + self.cfg.batch_interval || entries >= self.cfg.max_txn_entries;
+            if !due || !self.has_free_slot() || now < self.unavailable_until {
                 return;
             }
             let batch = self.next_batch();
-            self.waiting_since = match self.waiting.is_empty() && self.endings.is_empty() {
+            self.waiting_since = match self.waiting.is_empty() && self.end_updates.is_empty() {
                 true => None,
                 false => Some(since),
             };
@@ -259,18 +265,21 @@
 
     fn next_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
-        let writes = (self.cfg.max_entries / ENTRIES_PER_WRITE).max(1);
-        for mut write in self.waiting.drain(..self.waiting.len().min(writes)) {
-            write.sent += 1;
-            batch.writes.push(write);
+        let inserts = (self.cfg.max_txn_entries / MAX_ENTRIES_PER_INSERT).max(1);
+        for mut insert in self.waiting.drain(..self.waiting.len().min(inserts)) {
+            insert.sends += 1;
+            batch.inserts.push(insert);
         }
-        let room = self
+        let free_entries = self
             .cfg
-            .max_entries
-            .saturating_sub(batch.writes.len() * ENTRIES_PER_WRITE);
-        for mut ending in self.endings.drain(..self.endings.len().min(room)) {
-            ending.sent += 1;
-            batch.endings.push(ending);
+            .max_txn_entries
+            .saturating_sub(batch.inserts.len() * MAX_ENTRIES_PER_INSERT);
+        for mut end_update in self
+            .end_updates
+            .drain(..self.end_updates.len().min(free_entries))
+        {
+            end_update.sends += 1;
+            batch.end_updates.push(end_update);
         }
         batch
     }
@@ -284,46 +293,52 @@
     ) {
         let id = TxnId(self.next_txn);
         self.next_txn += 1;
-        self.in_flight.insert(id, InFlight { sent: now, pending });
-        actions.push(Action::Table { id, call });
+        self.in_flight.insert(
+            id,
+            InFlightTxn {
+                sent_at: now,
+                pending,
+            },
+        );
+        actions.push(Action::CallTable { id, call });
     }
 
-    pub(super) fn doubt(&mut self, now: Duration, write: Write) {
-        if self.doubts.len() == MAX_DOUBTS {
-            self.doubts.pop_front();
+    pub(super) fn queue_abandoned(&mut self, now: Duration, insert: Insert) {
+        if self.abandoned.len() == MAX_QUEUED_ABANDONED {
+            self.abandoned.pop_front();
         }
-        self.doubts.push_back(Doubt::new(now, write));
+        self.abandoned.push_back(AbandonedInsert::new(now, insert));
     }
 
     /// Gives up on transactions without an answer, and on inserts that could not be sent.
-    fn time_out(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let within = self.cfg.answer_within;
-        let is_late = |f: &InFlight| now >= f.sent + within;
-        let late = self.in_flight.iter().filter(|(_, f)| is_late(f));
-        let late: Vec<TxnId> = late.map(|(id, _)| *id).collect();
-        for id in late {
+    fn expire_overdue(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let timeout = self.cfg.answer_timeout;
+        let is_overdue = |f: &InFlightTxn| now >= f.sent_at + timeout;
+        let timed_out = self.in_flight.iter().filter(|(_, f)| is_overdue(f));
+        let timed_out: Vec<TxnId> = timed_out.map(|(id, _)| *id).collect();
+        for id in timed_out {
             let error = PlatformError::Unknown("no answer in time".to_owned());
-            self.table(now, id, Err(error), actions);
+            self.on_table_result(now, id, Err(error), actions);
         }
-        if self.has_slot() {
+        if self.has_free_slot() {
             return;
         }
-        while let Some(write) = self.waiting.pop_front_if(|w| now >= w.began + within) {
-            self.give_up(now, write, self.cfg.down_for, actions);
+        while let Some(insert) = self.waiting.pop_front_if(|w| now >= w.started_at + timeout) {
+            self.refuse(now, insert, self.cfg.unavailable_backoff, actions);
         }
-        if self.waiting.is_empty() && self.endings.is_empty() {
+        if self.waiting.is_empty() && self.end_updates.is_empty() {
             self.waiting_since = None;
         }
     }
 
-    fn settle_doubts(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.is_settling() || now < self.down_until {
+    fn mark_next_abandoned(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if self.is_marking() || now < self.unavailable_until {
             return;
         }
-        let due = self.doubts.iter().position(|doubt| doubt.due <= now);
-        if let Some(doubt) = due.and_then(|i| self.doubts.remove(i)) {
-            let call = TableCall::Write(doubt.txn(&self.cfg));
-            self.send(now, Pending::Doubt(doubt), call, actions);
+        let due = self.abandoned.iter().position(|insert| insert.due <= now);
+        if let Some(insert) = due.and_then(|i| self.abandoned.remove(i)) {
+            let call = TableCall::Write(insert.txn(&self.cfg));
+            self.send(now, Pending::Mark(insert), call, actions);
         }
     }
 }
--- a/crates/delivery/src/record/row.rs
+++ b/crates/delivery/src/record/row.rs
@@ -64,12 +64,12 @@
 
 /// A row as it was read, for a write that depends on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Seen {
+pub(super) struct RowVersion {
     pub(super) key: String,
     pub(super) mod_revision: u64,
 }
 
-impl Seen {
+impl RowVersion {
     pub(super) fn of(row: &Row) -> Self {
         Self {
             key: row.key.clone(),
@@ -85,7 +85,7 @@
 impl Bucket {
     pub(super) fn at(cfg: &Config, now: Duration) -> Self {
         let unix = cfg.unix_origin.saturating_add(now);
-        Self((unix.as_nanos() / cfg.bucket.as_nanos().max(1)) as u64)
+        Self((unix.as_nanos() / cfg.bucket_length.as_nanos().max(1)) as u64)
     }
 
     /// The table's key of the caller's `key` in this bucket. Keys sort by bucket.
--- a/crates/delivery/tests/record_steps.rs
+++ b/crates/delivery/tests/record_steps.rs
@@ -36,8 +36,8 @@
     let mut rest = Vec::new();
     while let Some(action) = todo.pop() {
         match action {
-            Action::Table { id, call } => {
-                recorder.table(now, id, Ok(table.call(&call)), &mut todo);
+            Action::CallTable { id, call } => {
+                recorder.on_table_result(now, id, Ok(table.call(&call)), &mut todo);
             }
             other => rest.push(other),
         }
@@ -59,7 +59,7 @@
 
 fn only_txn(actions: Vec<Action>) -> (dragonflyrill_delivery::record::TxnId, Txn) {
     let mut txns = actions.into_iter().filter_map(|action| match action {
-        Action::Table {
+        Action::CallTable {
             id,
             call: TableCall::Write(txn),
         } => Some((id, txn)),
@@ -86,7 +86,7 @@
 
 fn known(actions: &[Action]) -> Option<&Record> {
     actions.iter().find_map(|action| match action {
-        Action::Known { record, .. } => Some(record),
+        Action::AlreadyRecorded { record, .. } => Some(record),
         _ => None,
     })
 }
@@ -142,7 +142,7 @@
     let (id, _) = only_txn(actions);
     let mut actions = Vec::new();
     let error = PlatformError::NotSent("no connection".into());
-    recorder.table(ms(11), id, Err(error), &mut actions);
+    recorder.on_table_result(ms(11), id, Err(error), &mut actions);
     assert!(matches!(
         actions[..],
         [Action::Refused {
@@ -196,7 +196,7 @@
     let mut first = Recorder::new(config("h0"));
     let (ticket, _) = begin(&mut first, ms(0), "w/1");
     let permit = permits(tick(&mut first, &mut table, ms(10))).remove(0);
-    assert_eq!(permit.check(ms(20)), Ok(()));
+    assert_eq!(permit.consume(ms(20)), Ok(()));
     first.finish(ms(30), ticket, Outcome::Answered(answer()));
     tick(&mut first, &mut table, ms(50));
     let mut second = Recorder::new(config("h1"));
@@ -217,7 +217,7 @@
     let mut first = Recorder::new(config("h0"));
     begin(&mut first, ms(0), "w/1");
     let permit = permits(tick(&mut first, &mut table, ms(10))).remove(0);
-    let expired = permit.check(ms(2000)).expect_err("the term is over");
+    let expired = permit.consume(ms(2000)).expect_err("the term is over");
     first.abandon(ms(2000), expired);
     tick(&mut first, &mut table, ms(2000));
     tick(&mut first, &mut table, ms(2000));
--- a/crates/delivery/tests/support/records.rs
+++ b/crates/delivery/tests/support/records.rs
@@ -176,13 +176,13 @@
     let skew = setup.skew * u32::from(host == 0);
     Recorder::new(Config {
         prefix: String::new(),
-        bucket: BUCKET,
+        bucket_length: BUCKET,
         term: TERM,
-        interval: Duration::from_millis(1),
-        answer_within: Duration::from_secs(10_000),
-        tries: 2,
-        doubt_tries: 5,
-        down_for: Duration::ZERO,
+        batch_interval: Duration::from_millis(1),
+        answer_timeout: Duration::from_secs(10_000),
+        max_insert_sends: 2,
+        max_mark_attempts: 5,
+        unavailable_backoff: Duration::ZERO,
         ..Config::new(HostRef { id, incarnation }, BUCKET * 10 + BUCKET / 2 + skew)
     })
 }
@@ -270,7 +270,7 @@
                 let mut actions = Vec::new();
                 self.hosts[1].recorder.trim(self.now, &mut actions);
                 for action in actions {
-                    if let Action::Table { call, .. } = action {
+                    if let Action::CallTable { call, .. } = action {
                         self.table.call(&call);
                     }
                 }
@@ -297,7 +297,7 @@
     fn carry_out(&mut self, host: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Table { id, call } => self.send(host, id, call),
+                Action::CallTable { id, call } => self.send(host, id, call),
                 Action::Recorded { ticket, permit } => {
                     let call = self.asked(host, ticket);
                     call.stand = Stand::Recorded(Some(permit));
@@ -307,7 +307,7 @@
                     call.stand = Stand::Over;
                     call.not_run = true;
                 }
-                Action::Known { ticket, record } => {
+                Action::AlreadyRecorded { ticket, record } => {
                     let ran = matches!(record.state, RecordState::Done { .. });
                     if ran && !self.ever_dispatched {
                         self.fault = Some("an answer is known of a call that never ran");
@@ -374,7 +374,8 @@
             outcome.rows.iter_mut().flatten().for_each(seems_abandoned);
         }
         let mut actions = Vec::new();
-        host.recorder.table(self.now, sent.id, result, &mut actions);
+        host.recorder
+            .on_table_result(self.now, sent.id, result, &mut actions);
         self.carry_out(sent.host, actions);
     }
 
@@ -397,7 +398,7 @@
         let Stand::Recorded(permit) = &mut call.stand else {
             return;
         };
-        let checked = permit.take().map(|permit| permit.check(now));
+        let checked = permit.take().map(|permit| permit.consume(now));
         match checked {
             Some(Err(expired)) if mutant != Mutant::TermIgnored => {
                 host.recorder.abandon(now, expired);
--- a/crates/entry/src/recording.rs
+++ b/crates/entry/src/recording.rs
@@ -11,7 +11,7 @@
 
 use dragonflyrill_adapter::store::Table;
 use dragonflyrill_delivery::record::{
-    Action, Config, Expired, Outcome, Permit, Record, RecordTicket, Recorder, TxnId,
+    Action, Config, ExpiredPermit, Outcome, Permit, Record, RecordTicket, Recorder, TxnId,
 };
 use dragonflyrill_protocol::HostRef;
 use dragonflyrill_store::table::{TableApi, TableCall};
@@ -101,7 +101,7 @@
     }
 
     /// The recorded call was not dispatched in time and never will be.
-    pub fn abandon(self: &Rc<Self>, expired: Expired) {
+    pub fn abandon(self: &Rc<Self>, expired: ExpiredPermit) {
         self.recorder
             .borrow_mut()
             .abandon(self.clock.now(), expired);
@@ -111,13 +111,15 @@
     fn carry_out(self: &Rc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Table { id, call } => {
+                Action::CallTable { id, call } => {
                     actix_rt::spawn(self.clone().call_table(id, call));
                 }
                 Action::Recorded { ticket, permit } => {
                     self.answer(ticket, Recorded::Ours(permit));
                 }
-                Action::Known { ticket, record } => self.answer(ticket, Recorded::Known(record)),
+                Action::AlreadyRecorded { ticket, record } => {
+                    self.answer(ticket, Recorded::Known(record));
+                }
                 Action::Refused {
                     ticket,
                     kind,
@@ -153,7 +155,7 @@
         let mut actions = Vec::new();
         self.recorder
             .borrow_mut()
-            .table(self.clock.now(), id, result, &mut actions);
+            .on_table_result(self.clock.now(), id, result, &mut actions);
         self.carry_out(actions);
     }
 
