--- a/crates/delivery/src/error.rs
+++ b/crates/delivery/src/error.rs
@@ -2,7 +2,7 @@
 
 /// Whether the work behind an error was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Run {
+pub enum RunStatus {
     /// Nothing reached an endpoint, now or later.
     NotRun,
     /// An endpoint may have run some or all of it.
@@ -11,7 +11,7 @@
     Ran,
 }
 
-impl Run {
+impl RunStatus {
     /// The machine-readable word in an error body.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -30,7 +30,7 @@
     /// The machine-readable code.
     pub code: &'static str,
     /// Whether the work was run.
-    pub run: Run,
+    pub run: RunStatus,
     /// Whether the answer carries `Retry-After`.
     pub retry_after: bool,
     /// What it means, for the documentation.
@@ -94,14 +94,14 @@
                     $(Self::$early => Answer {
                         status: $early_status,
                         code: $early_code,
-                        run: Run::NotRun,
+                        run: RunStatus::NotRun,
                         retry_after: $early_retry,
                         meaning: $early_meaning,
                     },)*
                     $(Self::$kind => Answer {
                         status: $status,
                         code: $code,
-                        run: Run::$run,
+                        run: RunStatus::$run,
                         retry_after: $retry,
                         meaning: $meaning,
                     },)*
@@ -133,18 +133,18 @@
         KeyReused, 422, "idempotency_key_reused", false, "The idempotency key was used with another request.";
         OverLimit, 429, "over_limit", true, "The workspace's limit is in use.";
         Overloaded, 503, "overloaded", true, "The endpoints can't take the work in time.";
-        DeadlineShort, 503, "deadline_too_short", true, "The work can't be done before its deadline; it was not begun.";
+        DeadlineTooShort, 503, "deadline_too_short", true, "The work can't be done before its deadline; it was not begun.";
         NoEndpoint, 503, "no_endpoint", true, "No live endpoints cover the target.";
         RecordUnavailable, 503, "record_unavailable", true, "A call that is not repeatable can't be recorded now, so it was not begun.";
         NotReady, 503, "not_ready", true, "The host has no catalogue yet, or is draining.";
     }
     AfterDispatch {
         RecordUnknown, 503, "record_unknown", MayHaveRun, true, "A call that is not repeatable was not begun here, but may have been before under the same key, and its record can't be read now.";
-        Elsewhere, 409, "running_elsewhere", MayHaveRun, true, "Another host has begun this call; its answer isn't there yet.";
+        RunningElsewhere, 409, "running_elsewhere", MayHaveRun, true, "Another host has begun this call; its answer isn't there yet.";
         DeadlineExceeded, 504, "deadline_exceeded", MayHaveRun, true, "The deadline passed while the work was running.";
         EndpointFailed, 502, "endpoint_failed", MayHaveRun, true, "Endpoints failed while the work was running.";
         Interrupted, 503, "interrupted", MayHaveRun, true, "The host had to stop before the work ended.";
         Cancelled, 499, "cancelled", MayHaveRun, false, "The caller cancelled the request.";
-        AnswerLost, 409, "answer_not_kept", Ran, false, "The work ran, and its answer is no longer kept.";
+        AnswerNotKept, 409, "answer_not_kept", Ran, false, "The work ran, and its answer is no longer kept.";
     }
 }
--- a/crates/delivery/src/generation/deadline.rs
+++ b/crates/delivery/src/generation/deadline.rs
@@ -50,7 +50,7 @@
     /// Gives up for time. The time that a whole answer takes says when to come back.
     pub(super) fn fail_at_deadline(&mut self, actions: &mut Vec<Action>) {
         let kind = match self.contacted.is_empty() {
-            true => ErrorKind::DeadlineShort,
+            true => ErrorKind::DeadlineTooShort,
             false => ErrorKind::DeadlineExceeded,
         };
         let full_answer_time = self.expected_time(self.spec.max_tokens);
--- a/crates/delivery/src/generation/recover.rs
+++ b/crates/delivery/src/generation/recover.rs
@@ -67,7 +67,11 @@
             }
             wire::StepRefusal::StaleAttempt => {
                 // Another host drives the request with newer attempts.
-                self.fail(ErrorKind::Elsewhere, Some(FAILURE_RETRY_AFTER), actions);
+                self.fail(
+                    ErrorKind::RunningElsewhere,
+                    Some(FAILURE_RETRY_AFTER),
+                    actions,
+                );
             }
             wire::StepRefusal::Deadline => self.fail_at_deadline(actions),
             wire::StepRefusal::Layers
--- a/crates/delivery/src/life.rs
+++ b/crates/delivery/src/lifecycle.rs
@@ -11,19 +11,19 @@
 //! [`AfterDispatchKind`]. So "not run" can't be said once a byte may have reached an endpoint:
 //!
 //! ```compile_fail,E0277
-//! use dragonflyrill_delivery::{error::NotRunKind, life::Request};
+//! use dragonflyrill_delivery::{error::NotRunKind, lifecycle::Request};
 //! let req = Request::received("w/1".into()).admit().dispatch();
 //! req.refuse(NotRunKind::Overloaded); // A dispatched request can't be refused.
 //! ```
 //!
 //! ```compile_fail,E0308
-//! use dragonflyrill_delivery::{error::NotRunKind, life::Request};
+//! use dragonflyrill_delivery::{error::NotRunKind, lifecycle::Request};
 //! let req = Request::received("w/1".into()).admit().dispatch();
 //! req.fail(NotRunKind::Overloaded); // It can't fail with such a kind either.
 //! ```
 //!
 //! ```compile_fail,E0599
-//! use dragonflyrill_delivery::life::{NotRepeatable, Request};
+//! use dragonflyrill_delivery::lifecycle::{NotRepeatable, Request};
 //! let req = Request::received("w/1".into()).admit_not_repeatable();
 //! req.dispatch(); // A call that is not repeatable has to be recorded first.
 //! ```
@@ -31,11 +31,11 @@
 //! The same steps in order compile:
 //!
 //! ```
-//! use dragonflyrill_delivery::{error::{AfterDispatchKind, NotRunKind, Run}, life::Request};
+//! use dragonflyrill_delivery::{error::{AfterDispatchKind, NotRunKind, RunStatus}, lifecycle::Request};
 //! let refused = Request::received("w/1".into()).admit().refuse(NotRunKind::Overloaded);
-//! assert_eq!(refused.kind().answer().run, Run::NotRun);
+//! assert_eq!(refused.kind().answer().run, RunStatus::NotRun);
 //! let failed = Request::received("w/1".into()).admit().dispatch().fail(AfterDispatchKind::EndpointFailed);
-//! assert_eq!(failed.kind().answer().run, Run::MayHaveRun);
+//! assert_eq!(failed.kind().answer().run, RunStatus::MayHaveRun);
 //! ```
 
 use std::time::Duration;
@@ -112,7 +112,7 @@
         &self.id
     }
 
-    fn to<T>(self, state: T) -> Request<T> {
+    fn into_state<T>(self, state: T) -> Request<T> {
         Request { id: self.id, state }
     }
 }
@@ -120,19 +120,19 @@
 impl<S: BeforeDispatch> Request<S> {
     /// Ends the request unrun.
     pub fn refuse(self, kind: NotRunKind) -> Request<Refused> {
-        self.to(Refused(kind))
+        self.into_state(Refused(kind))
     }
 }
 
 impl<S: AfterDispatch> Request<S> {
     /// Ends the request without its whole answer.
     pub fn fail(self, kind: AfterDispatchKind) -> Request<Failed> {
-        self.to(Failed(kind))
+        self.into_state(Failed(kind))
     }
 
     /// Ends the request with its whole answer.
     pub fn finish(self) -> Request<Answered> {
-        self.to(Answered(()))
+        self.into_state(Answered(()))
     }
 }
 
@@ -147,26 +147,26 @@
 
     /// The owner's limit has room for the request, which may be run more than once.
     pub fn admit(self) -> Request<Admitted> {
-        self.to(Admitted(()))
+        self.into_state(Admitted(()))
     }
 
     /// The owner's limit has room for the request, which must not be run more than once.
     pub fn admit_not_repeatable(self) -> Request<NotRepeatable> {
-        self.to(NotRepeatable(()))
+        self.into_state(NotRepeatable(()))
     }
 }
 
 impl Request<Admitted> {
     /// From here on bytes may leave for an endpoint.
     pub fn dispatch(self) -> Request<Dispatched> {
-        self.to(Dispatched(()))
+        self.into_state(Dispatched(()))
     }
 }
 
 impl Request<NotRepeatable> {
     /// The request's record is in the table.
     pub fn record(self, permit: Permit) -> Request<Recorded> {
-        self.to(Recorded { permit })
+        self.into_state(Recorded { permit })
     }
 }
 
@@ -175,19 +175,19 @@
     ///
     /// # Errors
     /// [`TooLate`] after the permit's term: nothing was sent, and nothing may be.
-    pub fn dispatch(self, now: Duration) -> Result<Request<Dispatched>, TooLate> {
+    pub fn dispatch(self, now: Duration) -> Result<Request<Dispatched>, PermitExpired> {
         let Self { id, state } = self;
         match state.permit.consume(now) {
             Ok(()) => Ok(Request {
                 id,
                 state: Dispatched(()),
             }),
-            Err(expired) => Err(TooLate {
+            Err(permit) => Err(PermitExpired {
                 request: Request {
                     id,
                     state: Received(()),
                 },
-                expired,
+                permit,
             }),
         }
     }
@@ -195,17 +195,17 @@
 
 /// The permit lapsed before the request was dispatched.
 #[derive(Debug, PartialEq, Eq)]
-pub struct TooLate {
+pub struct PermitExpired {
     /// The request, to be refused.
     pub request: Request<Received>,
     /// The permit, for [`Recorder::abandon`](crate::record::Recorder::abandon).
-    pub expired: ExpiredPermit,
+    pub permit: ExpiredPermit,
 }
 
 impl Request<Dispatched> {
     /// The first part of the answer goes to the caller.
     pub fn stream(self) -> Request<Streaming> {
-        self.to(Streaming(()))
+        self.into_state(Streaming(()))
     }
 }
 
--- a/crates/delivery/src/record/row.rs
+++ b/crates/delivery/src/record/row.rs
@@ -44,9 +44,11 @@
     pub fn error(&self) -> Option<AfterDispatchKind> {
         match &self.state {
             RecordState::Done { answer: Some(_) } => None,
-            RecordState::Done { answer: None } => Some(AfterDispatchKind::AnswerLost),
+            RecordState::Done { answer: None } => Some(AfterDispatchKind::AnswerNotKept),
             RecordState::Failed => Some(AfterDispatchKind::EndpointFailed),
-            RecordState::Begun | RecordState::Abandoned => Some(AfterDispatchKind::Elsewhere),
+            RecordState::Begun | RecordState::Abandoned => {
+                Some(AfterDispatchKind::RunningElsewhere)
+            }
         }
     }
 
--- a/crates/delivery/tests/error_table.rs
+++ b/crates/delivery/tests/error_table.rs
@@ -1,6 +1,6 @@
 //! The documentation's table of errors is the program's table.
 
-use dragonflyrill_delivery::{ErrorKind, Run};
+use dragonflyrill_delivery::{ErrorKind, RunStatus};
 
 const PAGE: &str = include_str!("../../../docs/errors.md");
 
@@ -36,6 +36,6 @@
     for kind in ErrorKind::ALL {
         let a = kind.answer();
         let refused_status = matches!(a.status, 400 | 403 | 404 | 413 | 422 | 429 | 503);
-        assert!(a.run != Run::NotRun || refused_status, "{}", a.code);
+        assert!(a.run != RunStatus::NotRun || refused_status, "{}", a.code);
     }
 }
--- a/crates/delivery/tests/generation_steps.rs
+++ b/crates/delivery/tests/generation_steps.rs
@@ -169,7 +169,7 @@
     };
     let mut generation = Generation::with_config(spec(ms(5000)), cfg);
     let actions = handle(&mut generation, ms(0), Event::Start(chain("e0")));
-    assert_eq!(actions, [Action::Fail(ErrorKind::DeadlineShort)]);
+    assert_eq!(actions, [Action::Fail(ErrorKind::DeadlineTooShort)]);
 }
 
 #[test]
@@ -214,7 +214,7 @@
         },
     };
     let actions = handle(&mut generation, now, Event::Result { endpoint, result });
-    assert_eq!(ended(&actions), Some(ErrorKind::Elsewhere));
+    assert_eq!(ended(&actions), Some(ErrorKind::RunningElsewhere));
 }
 
 #[test]
--- a/crates/delivery/tests/kinds.rs
+++ b/crates/delivery/tests/kinds.rs
@@ -1,14 +1,14 @@
 //! The kinds of errors before and after a dispatch.
 
 use dragonflyrill_delivery::{
-    ErrorKind, Run,
+    ErrorKind, RunStatus,
     error::{AfterDispatchKind, NotRunKind},
 };
 
 #[test]
 fn every_kind_is_either_not_run_or_after_dispatch() {
     for &kind in ErrorKind::ALL {
-        let not_run = kind.answer().run == Run::NotRun;
+        let not_run = kind.answer().run == RunStatus::NotRun;
         assert_eq!(NotRunKind::try_from(kind).is_ok(), not_run, "{kind:?}");
         assert_eq!(
             AfterDispatchKind::try_from(kind).is_err(),
--- a/crates/delivery/tests/support/world.rs
+++ b/crates/delivery/tests/support/world.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_delivery::{
-    Action, Chain, Config, ErrorKind, Event, Generation, ResumeState, Run, Spec, Stage,
+    Action, Chain, Config, ErrorKind, Event, Generation, ResumeState, RunStatus, Spec, Stage,
     generation::StepTimes,
 };
 use dragonflyrill_engines::wire;
@@ -596,7 +596,7 @@
         let whole = self.released == self.expected;
         match &self.ended {
             Some(Ended::Whole) if !whole => return Some("an answer is cut".to_owned()),
-            Some(Ended::Failed(kind)) if self.sent && kind.answer().run == Run::NotRun => {
+            Some(Ended::Failed(kind)) if self.sent && kind.answer().run == RunStatus::NotRun => {
                 return Some("not run is said of what was sent".to_owned());
             }
             Some(Ended::Failed(kind)) if !self.excused => {
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -15,7 +15,7 @@
 use dragonflyrill_delivery::{
     ErrorKind,
     error::AfterDispatchKind,
-    life,
+    lifecycle,
     record::{Outcome, Record, RecordState},
 };
 use dragonflyrill_engines::{CallError, body as answer_body};
@@ -155,7 +155,7 @@
 }
 
 async fn run_limited(host: &Rc<Host>, slot: &Slot, call: &Call) -> Result<CallAnswer, Failure> {
-    let req = life::Request::received(slot.full_id());
+    let req = lifecycle::Request::received(slot.full_id());
     let ask = limits::Ask {
         key: call.limit.key.clone(),
         tokens: 0,
@@ -178,7 +178,7 @@
     host: &Rc<Host>,
     slot: &Slot,
     call: &Call,
-    req: life::Request<life::Admitted>,
+    req: lifecycle::Request<lifecycle::Admitted>,
 ) -> Result<CallAnswer, Failure> {
     let first = match choose(host, call, &[]) {
         Ok(endpoint) => endpoint,
@@ -222,7 +222,7 @@
     host: &Rc<Host>,
     slot: &Slot,
     call: &Call,
-    req: life::Request<life::NotRepeatable>,
+    req: lifecycle::Request<lifecycle::NotRepeatable>,
 ) -> Result<CallAnswer, Failure> {
     let mut endpoint = match choose(host, call, &[]) {
         Ok(endpoint) => endpoint,
@@ -275,8 +275,8 @@
             body: answer.body.clone().into(),
         }),
         _ => Err(Failure::new(
-            ErrorKind::AnswerLost,
-            ErrorKind::AnswerLost.answer().meaning,
+            ErrorKind::AnswerNotKept,
+            ErrorKind::AnswerNotKept.answer().meaning,
         )),
     }
 }
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -119,7 +119,7 @@
         match refused {
             None => Ok(Steps(actions)),
             Some(kind) => Err(Refusal {
-                kind: NotRunKind::try_from(kind).unwrap_or(NotRunKind::DeadlineShort),
+                kind: NotRunKind::try_from(kind).unwrap_or(NotRunKind::DeadlineTooShort),
                 message: kind.answer().meaning.to_owned(),
                 retry_after: self.generation.retry_after(),
             }),
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -6,9 +6,9 @@
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_delivery::{
-    Chain, ErrorKind, Generation, NotRunKind, ResumeState, Run, Spec, Stage,
+    Chain, ErrorKind, Generation, NotRunKind, ResumeState, RunStatus, Spec, Stage,
     error::AfterDispatchKind,
-    life,
+    lifecycle,
     record::{self, Outcome, RecordState, RecordTicket},
 };
 use dragonflyrill_engines::wire;
@@ -119,7 +119,7 @@
     let End::Failed(failure) = end else {
         return false;
     };
-    failure.kind == ErrorKind::RecordUnknown || failure.kind.answer().run == Run::NotRun
+    failure.kind == ErrorKind::RecordUnknown || failure.kind.answer().run == RunStatus::NotRun
 }
 
 /// How a request ended, as counted.
@@ -132,7 +132,7 @@
 }
 
 async fn run(host: &Rc<Host>, slot: &Slot, call: &Completion) -> Result<(), Failure> {
-    let req = life::Request::received(slot.full_id());
+    let req = lifecycle::Request::received(slot.full_id());
     let permit = match admit(host, slot, call).await {
         Ok(permit) => permit,
         Err(refusal) if call.repeatable => return Err(refusal.of(req)),
@@ -171,7 +171,7 @@
     slot: &Slot,
     call: &Completion,
     permit: &Permit,
-    req: life::Request<life::Admitted>,
+    req: lifecycle::Request<lifecycle::Admitted>,
 ) -> Result<(), Failure> {
     let chain = match choose(host, call, whole(call), &[]) {
         Ok(chain) => chain,
@@ -195,7 +195,7 @@
     slot: &Slot,
     call: &Completion,
     permit: &Permit,
-    req: life::Request<life::NotRepeatable>,
+    req: lifecycle::Request<lifecycle::NotRepeatable>,
 ) -> Result<(), Failure> {
     let chain = match choose(host, call, whole(call), &[]) {
         Ok(chain) => chain,
@@ -224,13 +224,13 @@
 /// A refusal that says "not run", if the record's term is over: nothing was sent.
 pub fn dispatch_once(
     host: &Host,
-    req: life::Request<life::Recorded>,
-) -> Result<life::Request<life::Dispatched>, Failure> {
-    req.dispatch(host.now()).map_err(|too_late| {
-        host.recording.abandon(too_late.expired);
+    req: lifecycle::Request<lifecycle::Recorded>,
+) -> Result<lifecycle::Request<lifecycle::Dispatched>, Failure> {
+    req.dispatch(host.now()).map_err(|expired| {
+        host.recording.abandon(expired.permit);
         let message = "the host was too slow to begin the call in time";
         let kind = NotRunKind::RecordUnavailable;
-        Refusal::later(kind, message, NO_ENDPOINT_RETRY).of(too_late.request)
+        Refusal::later(kind, message, NO_ENDPOINT_RETRY).of(expired.request)
     })
 }
 
@@ -238,10 +238,10 @@
 ///
 /// "Not run" would speak for earlier calls under the same key as well, so it is said only where the
 /// key's home knows of none.
-pub fn refused_once<S: life::BeforeDispatch>(
+pub fn refused_once<S: lifecycle::BeforeDispatch>(
     slot: &Slot,
     refusal: Refusal,
-    req: life::Request<S>,
+    req: lifecycle::Request<S>,
 ) -> Failure {
     if !slot.may_be_begun() {
         return refusal.of(req);
@@ -285,8 +285,8 @@
     };
     let tokens: Vec<u64> = serde_json::from_slice(&answer.body).map_err(|_| {
         Failure::new(
-            ErrorKind::AnswerLost,
-            ErrorKind::AnswerLost.answer().meaning,
+            ErrorKind::AnswerNotKept,
+            ErrorKind::AnswerNotKept.answer().meaning,
         )
     })?;
     let seen = slot.progress().tokens.len();
@@ -409,7 +409,7 @@
 }
 
 impl RunFailure {
-    fn of<S: life::AfterDispatch>(self, req: life::Request<S>) -> Failure {
+    fn of<S: lifecycle::AfterDispatch>(self, req: lifecycle::Request<S>) -> Failure {
         let kind = req.fail(self.kind).kind();
         let message = kind.answer().meaning.to_owned();
         Failure {
--- a/crates/entry/src/requests/mod.rs
+++ b/crates/entry/src/requests/mod.rs
@@ -17,7 +17,7 @@
 use dragonflyrill_catalogue::WorkspaceName;
 use dragonflyrill_delivery::{
     ErrorKind, NotRunKind,
-    life::{self, BeforeDispatch},
+    lifecycle::{self, BeforeDispatch},
 };
 use dragonflyrill_engines::token;
 use rustc_hash::FxHashMap;
@@ -94,7 +94,7 @@
     }
 
     /// The answer to a request that was refused with this.
-    pub fn of<S: BeforeDispatch>(self, req: life::Request<S>) -> Failure {
+    pub fn of<S: BeforeDispatch>(self, req: lifecycle::Request<S>) -> Failure {
         let refused = req.refuse(self.kind);
         Failure {
             kind: refused.kind(),
