--- a/crates/delivery/src/chain.rs
+++ b/crates/delivery/src/chain.rs
@@ -1,35 +1,38 @@
-//! Chains: which endpoint runs which layers.
+//! Chains: the assignment of a model's layers to endpoints.
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_engines::wire;
 use serde::{Deserialize, Serialize};
 
-/// One endpoint's part of a chain.
+/// One endpoint of a chain and the layers that it runs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stage {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The layers it runs.
+    /// The layers that the endpoint runs.
     pub layers: wire::Layers,
 }
 
 /// Stages that together run a contiguous range of layers.
 ///
-/// Invariant: each stage begins where the one before it ended; no stage is empty.
+/// Invariant: each stage starts at the layer at which the previous stage ends; no stage is empty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Chain {
     stages: Vec<Stage>,
 }
 
-/// Stages that do not cover the wanted layers exactly once, in order.
+/// The error for stages that do not cover the requested layers exactly once, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NotACover {
-    /// The first layer that is missing or doubled.
+    /// The first layer that is missing or covered twice.
     pub layer: u32,
 }
 
 impl Chain {
-    /// Checks that `stages` cover `layers` exactly once, in order.
+    /// Makes a chain of `stages`.
+    ///
+    /// # Errors
+    /// [`NotACover`] unless `stages` cover `layers` exactly once, in order.
     pub fn new(layers: wire::Layers, stages: Vec<Stage>) -> Result<Self, NotACover> {
         let mut next = layers.first;
         for stage in &stages {
@@ -44,12 +47,15 @@
         Ok(Self { stages })
     }
 
-    /// The stages, first layer first.
+    /// The stages, in the order of their layers.
     pub fn stages(&self) -> &[Stage] {
         &self.stages
     }
 
-    /// Puts `replacement` in place of stage `at`; it must cover the same layers.
+    /// Replaces stage `at` by the stages of `replacement`.
+    ///
+    /// # Errors
+    /// [`NotACover`] unless `replacement` covers the layers of stage `at`; the chain is unchanged.
     pub fn replace(&mut self, at: usize, replacement: Self) -> Result<(), NotACover> {
         let layers = self.stages[at].layers;
         let replacement = Self::new(layers, replacement.stages)?;
--- a/crates/delivery/src/error.rs
+++ b/crates/delivery/src/error.rs
@@ -1,18 +1,18 @@
-//! The closed list of error kinds, and the one table from kind to answer.
+//! The closed list of error kinds, and the table that maps each kind to its answer.
 
-/// Whether the work behind an error was run.
+/// Whether the work of a request that ended with an error was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RunStatus {
-    /// Nothing reached an endpoint, now or later.
+    /// Nothing of the request has reached an endpoint, and nothing will.
     NotRun,
-    /// An endpoint may have run some or all of it.
+    /// An endpoint may have run some or all of the work.
     MayHaveRun,
-    /// It ran; only the answer is not at hand.
+    /// The work ran; only its answer is not available.
     Ran,
 }
 
 impl RunStatus {
-    /// The machine-readable word in an error body.
+    /// The machine-readable value in an error body.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -22,7 +22,7 @@
     }
 }
 
-/// How a kind of error is answered.
+/// How an error kind is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -31,9 +31,9 @@
     pub code: &'static str,
     /// Whether the work was run.
     pub run: RunStatus,
-    /// Whether the answer carries `Retry-After`.
+    /// Whether the answer has a `Retry-After` header.
     pub retry_after: bool,
-    /// What it means, for the documentation.
+    /// The meaning of the error, for the documentation.
     pub meaning: &'static str,
 }
 
@@ -59,7 +59,7 @@
         }
 
         impl TryFrom<ErrorKind> for $name {
-            /// The kind, which is one of the others.
+            /// The unchanged kind, if it is not in this subset.
             type Error = ErrorKind;
 
             fn try_from(kind: ErrorKind) -> Result<Self, ErrorKind> {
@@ -77,7 +77,7 @@
         NotRun { $($early:ident, $early_status:literal, $early_code:literal, $early_retry:literal, $early_meaning:literal;)* }
         AfterDispatch { $($kind:ident, $status:literal, $code:literal, $run:ident, $retry:literal, $meaning:literal;)* }
     ) => {
-        /// Why a request was not answered whole.
+        /// Why a request did not get its complete answer.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum ErrorKind {
             $(#[doc = $early_meaning] $early,)*
@@ -88,7 +88,7 @@
             /// All kinds, in the order of the documentation.
             pub const ALL: &'static [Self] = &[$(Self::$early,)* $(Self::$kind,)*];
 
-            /// The table from kind to answer.
+            /// The answer to this kind of error.
             pub fn answer(self) -> Answer {
                 match self {
                     $(Self::$early => Answer {
@@ -110,13 +110,13 @@
         }
 
         subset! {
-            /// The kinds that say truthfully that nothing was run: only a request that was not
-            /// dispatched can end with them.
+            /// The kinds that state that nothing was run: only a request that was not dispatched
+            /// can end with one of them.
             NotRunKind: $($early, $early_meaning;)*
         }
 
         subset! {
-            /// The kinds that a dispatched request can end with.
+            /// The kinds with which a dispatched request can end.
             AfterDispatchKind: $($kind, $meaning;)*
         }
     };
--- a/crates/delivery/src/lifecycle.rs
+++ b/crates/delivery/src/lifecycle.rs
@@ -1,14 +1,15 @@
-//! The life of a request on its host, as types.
+//! The life cycle of a request on its host, as typestates.
 //!
 //! ```text
 //! Received -> Admitted -> Recorded -> Dispatched -> Streaming -> Answered
 //!                     \-------------/
 //! ```
 //!
-//! A repeatable request goes from [`Admitted`] straight to [`Dispatched`]; one that is not goes by
-//! way of [`Recorded`], which takes the [`Permit`] of its record. Only states before [`Dispatched`]
-//! can be refused, with a [`NotRunKind`]; only those from it on can fail, with an
-//! [`AfterDispatchKind`]. So "not run" can't be said once a byte may have reached an endpoint:
+//! A repeatable request goes from [`Admitted`] directly to [`Dispatched`]. A request that is not
+//! repeatable goes through [`Recorded`], which needs the [`Permit`] of the request's record. A
+//! request can be refused, with a [`NotRunKind`], only in the states before [`Dispatched`], and it
+//! can fail, with an [`AfterDispatchKind`], only in [`Dispatched`] and the states after it. So an
+//! error can't claim "not run" once a byte may have reached an endpoint:
 //!
 //! ```compile_fail,E0277
 //! use dragonflyrill_delivery::{error::NotRunKind, lifecycle::Request};
@@ -19,7 +20,7 @@
 //! ```compile_fail,E0308
 //! use dragonflyrill_delivery::{error::NotRunKind, lifecycle::Request};
 //! let req = Request::received("w/1".into()).admit().dispatch();
-//! req.fail(NotRunKind::Overloaded); // It can't fail with such a kind either.
+//! req.fail(NotRunKind::Overloaded); // It can't fail with a `NotRunKind` either.
 //! ```
 //!
 //! ```compile_fail,E0599
@@ -46,7 +47,7 @@
 };
 
 mod sealed {
-    /// Keeps others from adding states.
+    /// Keeps other crates from adding states.
     pub trait Sealed {}
 }
 
@@ -62,33 +63,33 @@
     state: S,
 }
 
-/// Read and checked.
+/// The request was read and checked.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Received(());
-/// Holds its owner's right to run.
+/// The request holds its owner's right to run.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Admitted(());
-/// Holds its owner's right to run, and has to be recorded first.
+/// The request holds its owner's right to run, but has to be recorded before it is dispatched.
 #[derive(Debug, PartialEq, Eq)]
 pub struct NotRepeatable(());
-/// Its record is in the table.
+/// The request's record is in the table.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Recorded {
     permit: Permit,
 }
-/// Bytes may have left for an endpoint.
+/// Bytes of the request may have been sent to an endpoint.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Dispatched(());
-/// Part of the answer went to the caller.
+/// A part of the answer was sent to the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Streaming(());
-/// The answer is whole.
+/// The complete answer was sent to the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answered(());
-/// Was never run.
+/// The request was refused and never ran.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Refused(NotRunKind);
-/// Ended without its whole answer.
+/// The request ended without its complete answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Failed(AfterDispatchKind);
 
@@ -118,26 +119,26 @@
 }
 
 impl<S: BeforeDispatch> Request<S> {
-    /// Ends the request unrun.
+    /// Ends the request without running it.
     pub fn refuse(self, kind: NotRunKind) -> Request<Refused> {
         self.into_state(Refused(kind))
     }
 }
 
 impl<S: AfterDispatch> Request<S> {
-    /// Ends the request without its whole answer.
+    /// Ends the request without its complete answer.
     pub fn fail(self, kind: AfterDispatchKind) -> Request<Failed> {
         self.into_state(Failed(kind))
     }
 
-    /// Ends the request with its whole answer.
+    /// Ends the request with its complete answer.
     pub fn finish(self) -> Request<Answered> {
         self.into_state(Answered(()))
     }
 }
 
 impl Request<Received> {
-    /// A request that was read and checked.
+    /// Makes a request that was read and checked.
     pub fn received(id: String) -> Self {
         Self {
             id,
@@ -145,36 +146,38 @@
         }
     }
 
-    /// The owner's limit has room for the request, which may be run more than once.
+    /// Admits a request that may be run more than once: its owner's limit has free capacity for it.
     pub fn admit(self) -> Request<Admitted> {
         self.into_state(Admitted(()))
     }
 
-    /// The owner's limit has room for the request, which must not be run more than once.
+    /// Admits a request that must not be run more than once: its owner's limit has free capacity for
+    /// it.
     pub fn admit_not_repeatable(self) -> Request<NotRepeatable> {
         self.into_state(NotRepeatable(()))
     }
 }
 
 impl Request<Admitted> {
-    /// From here on bytes may leave for an endpoint.
+    /// Marks the request as dispatched: from now on bytes may be sent to an endpoint.
     pub fn dispatch(self) -> Request<Dispatched> {
         self.into_state(Dispatched(()))
     }
 }
 
 impl Request<NotRepeatable> {
-    /// The request's record is in the table.
+    /// Takes the permit of the request's record, which is in the table.
     pub fn record(self, permit: Permit) -> Request<Recorded> {
         self.into_state(Recorded { permit })
     }
 }
 
 impl Request<Recorded> {
-    /// From here on bytes may leave for an endpoint. Call it right before they do.
+    /// Consumes the permit and marks the request as dispatched: from now on bytes may be sent to an
+    /// endpoint. Call this directly before the first byte is sent.
     ///
     /// # Errors
-    /// [`TooLate`] after the permit's term: nothing was sent, and nothing may be.
+    /// [`PermitExpired`] after the permit's term: nothing was sent, and nothing may be sent.
     pub fn dispatch(self, now: Duration) -> Result<Request<Dispatched>, PermitExpired> {
         let Self { id, state } = self;
         match state.permit.consume(now) {
@@ -193,31 +196,31 @@
     }
 }
 
-/// The permit lapsed before the request was dispatched.
+/// The error for a permit that expired before the request was dispatched.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PermitExpired {
-    /// The request, to be refused.
+    /// The request, which is to be refused.
     pub request: Request<Received>,
-    /// The permit, for [`Recorder::abandon`](crate::record::Recorder::abandon).
+    /// The expired permit, for [`Recorder::abandon`](crate::record::Recorder::abandon).
     pub permit: ExpiredPermit,
 }
 
 impl Request<Dispatched> {
-    /// The first part of the answer goes to the caller.
+    /// Marks the request as streaming: the first part of its answer is sent to the caller.
     pub fn stream(self) -> Request<Streaming> {
         self.into_state(Streaming(()))
     }
 }
 
 impl Request<Refused> {
-    /// Why it was refused.
+    /// The reason for the refusal.
     pub fn kind(&self) -> ErrorKind {
         self.state.0.into()
     }
 }
 
 impl Request<Failed> {
-    /// Why it failed.
+    /// The reason for the failure.
     pub fn kind(&self) -> ErrorKind {
         self.state.0.into()
     }
