--- a/crates/delivery/src/lifecycle.rs
+++ b/crates/delivery/src/lifecycle.rs
@@ -83,7 +83,7 @@
 /// A part of the answer was sent to the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Streaming(());
-/// The complete answer was sent to the caller.
+/// The request ended with its complete answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answered(());
 /// The request was refused and never ran.
@@ -151,8 +151,8 @@
         self.into_state(Admitted(()))
     }
 
-    /// Admits a request that must not be run more than once: its owner's limit has free capacity for
-    /// it.
+    /// Admits a request that must not be run more than once: its owner's limit has free capacity
+    /// for it.
     pub fn admit_not_repeatable(self) -> Request<NotRepeatable> {
         self.into_state(NotRepeatable(()))
     }
--- a/crates/delivery/src/record/abandoned.rs
+++ b/crates/delivery/src/record/abandoned.rs
@@ -1,4 +1,5 @@
-//! Keys whose write was given up: they are to be marked as abandoned.
+//! Inserts of calls that were refused or not dispatched in time. Their keys are marked as abandoned
+//! in the background.
 
 use std::time::Duration;
 
@@ -13,23 +14,23 @@
     row::{Bucket, Record, RecordState, RowVersion},
 };
 
-/// The wait before the second try; it doubles with each further one.
+/// The delay before the second attempt; it doubles with each further attempt.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The longest wait between tries.
+/// The maximum delay between attempts.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
-/// A write that may have taken effect, or may still, and whose call is never to be dispatched.
+/// An insert that may have taken effect, or still may, and whose call is never dispatched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct AbandonedInsert {
     key: String,
     bucket: Bucket,
-    /// What is to stand in the table: the write's own id, abandoned.
+    /// The record to write: that of the insert, with its own write id, in state `Abandoned`.
     record: Record,
-    /// The row that the write takes over, and may still.
+    /// The row that the insert replaces, and still may replace.
     replaces: Option<RowVersion>,
     found_row: Option<RowVersion>,
     attempts: u32,
-    /// When the next try is due.
+    /// When the next attempt is due.
     pub(super) due: Duration,
 }
 
@@ -50,13 +51,13 @@
         }
     }
 
-    /// The write that was given up.
+    /// The write id of the abandoned insert.
     pub(super) fn write_id(&self) -> &str {
         &self.record.write_id
     }
 
-    /// Marks the key. The row it meets is changed even if it is abandoned already, so that no lost
-    /// takeover of that row takes effect late.
+    /// Builds the transaction that marks the key. An existing row is changed even if it is
+    /// abandoned already, so that a lost insert that replaces this row can't take effect late.
     pub(super) fn txn(&self, cfg: &Config) -> Txn {
         let mut txn = Txn::default();
         let own = self.bucket.key(cfg, &self.key);
@@ -69,8 +70,9 @@
         txn
     }
 
-    /// Learns how a try ended. Answers itself if it is to be tried again; else the write can't take
-    /// effect any more, or its row says abandoned.
+    /// Handles the result of an attempt. Returns `self` if another attempt is needed. On `None` the
+    /// insert can't take effect any more, its row is in state `Abandoned`, the row belongs to
+    /// another call or can't be read, or all attempts are used up.
     pub(super) fn on_answer(
         mut self,
         cfg: &Config,
@@ -79,7 +81,10 @@
     ) -> Option<Self> {
         self.attempts += 1;
         if self.attempts >= cfg.max_mark_attempts {
-            log::warn!("record: {} stays as begun: it can't be marked.", self.key);
+            log::warn!(
+                "record: {} stays in state begun: marking it as abandoned failed.",
+                self.key
+            );
             return None;
         }
         let Ok(outcome) = result else {
--- a/crates/delivery/src/record/batch.rs
+++ b/crates/delivery/src/record/batch.rs
@@ -1,4 +1,4 @@
-//! Transactions of many inserts and ends.
+//! Transactions that combine many inserts and end updates.
 
 use std::time::Duration;
 
@@ -9,12 +9,13 @@
     row::{Bucket, Record, RowVersion},
 };
 
-/// Conditions of one insert, one for each of [`Bucket::checked`].
+/// The number of conditions of one insert: one for each bucket of [`Bucket::checked`].
 pub(super) const CONDITIONS_PER_INSERT: usize = 3;
-/// Conditions and operations of one insert at most: it writes a row and may remove another.
+/// The maximum number of conditions and operations of one insert, which writes a row and may remove
+/// another.
 pub(super) const MAX_ENTRIES_PER_INSERT: usize = CONDITIONS_PER_INSERT + 2;
 
-/// One insert on its way.
+/// An insert that is queued, in flight, or belongs to a recorded call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Insert {
     pub(super) ticket: RecordTicket,
@@ -22,17 +23,18 @@
     pub(super) key: String,
     pub(super) bucket: Bucket,
     pub(super) record: Record,
-    /// The begin of the call, from which its term runs.
+    /// When the call was passed to the recorder; its term starts then.
     pub(super) started_at: Duration,
-    /// The abandoned row that this write takes over.
+    /// The abandoned row that this insert replaces.
     pub(super) replaces: Option<RowVersion>,
-    /// How often it was sent.
+    /// How many times the insert was sent.
     pub(super) sends: u32,
-    /// A sending without an answer may have taken effect, or may still.
+    /// Whether a dispatch without an answer may have taken effect, or still may.
     pub(super) in_doubt: bool,
 }
 
-/// The end of a call on its way: one put without a condition, as nobody else changes the row.
+/// An update that records the end of a call: one put without a condition, as no other host changes
+/// the row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct EndUpdate {
     pub(super) key: String,
@@ -40,7 +42,7 @@
     pub(super) sends: u32,
 }
 
-/// Inserts and ends that share a transaction.
+/// Inserts and end updates that share a transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Batch {
     pub(super) inserts: Vec<Insert>,
@@ -48,7 +50,8 @@
 }
 
 impl Batch {
-    /// The transaction. It has [`CONDITIONS_PER_WRITE`] conditions for each write, in order.
+    /// Builds the transaction. It has [`CONDITIONS_PER_INSERT`] conditions for each insert, in
+    /// order.
     pub(super) fn txn(&self, cfg: &Config) -> Txn {
         let mut txn = Txn::default();
         for insert in &self.inserts {
@@ -82,7 +85,7 @@
     });
 }
 
-/// Adds the conditions that `key` is in no bucket but as `seen`.
+/// Adds the conditions that `key` is absent from all checked buckets, or unchanged at `found_row`.
 pub(super) fn absent_or_unchanged(
     cfg: &Config,
     bucket: Bucket,
@@ -102,7 +105,7 @@
     }
 }
 
-/// The newest row among those of one key's conditions.
+/// The newest of the rows that were read for the conditions of one key.
 pub(super) fn newest_row(rows: &[Option<Row>]) -> Option<&Row> {
     rows.iter().flatten().max_by_key(|row| row.mod_revision)
 }
--- a/crates/delivery/src/record/mod.rs
+++ b/crates/delivery/src/record/mod.rs
@@ -1,28 +1,31 @@
-//! Calls that are not repeatable run at most once, by a record in the platform's table.
+//! At-most-once execution of calls that are not repeatable, by records in the platform's table.
 //!
-//! Before the first byte of such a call leaves for an endpoint, one conditional insert puts a
-//! [`Record`] under the caller's key. Only the write that created a record gives a [`Permit`], and
-//! only while its term lasts, so nobody but the writer ever dispatches, and a writer that was paused
-//! for long does not either.
+//! Before the first byte of such a call is sent to an endpoint, one conditional insert writes a
+//! [`Record`] under the caller's key. Only the insert that created the record yields a [`Permit`],
+//! which is valid only for its term. So only the writer of the record ever dispatches the call, and
+//! a writer that was paused for longer than the term does not dispatch it either.
 //!
 //! # Group commit
-//! Inserts that come within a short interval share one transaction. A transaction does all or
-//! nothing, so one key that exists fails the others too: then its reads say which keys these are,
-//! and the others go at once into the next transaction. Ends of calls travel in both branches of
-//! those transactions and cost no further ones.
+//! Inserts that arrive within a short interval share one transaction. A transaction is atomic, so
+//! one key that exists already makes the inserts of all other keys fail too. The reads of the
+//! failed transaction then show which keys exist, and the inserts of the others are sent at once in
+//! the next transaction. Updates that record the end of a call are added to these transactions;
+//! after a failed transaction they are queued again.
 //!
 //! # Lost answers
-//! An insert whose answer was lost is sent again: it then takes effect, or the reads of its failure
-//! branch show the row with the write's own id. If that is not answered either, the call is refused
-//! as not run, which is true because the recorder has forgotten the ticket and nobody else may
-//! dispatch. The recorder goes on in the background to mark the key [`RecordState::Abandoned`], so
-//! that a lost insert can't take effect late and a retry of the caller may run the call.
+//! An insert whose answer was lost is sent again: either it takes effect now, or the reads of its
+//! failure branch show the row with the insert's own write id. If no answer arrives at all, the
+//! call is refused as not run. That is true because the recorder has dropped the ticket and no
+//! other host may dispatch the call. In the background the recorder marks the key
+//! [`RecordState::Abandoned`], so that a lost insert can't take effect late and a retry by the
+//! caller may run the call.
 //!
 //! # Buckets
-//! Keys start with a time bucket, so that old records go with one range delete. An insert demands
-//! that the key is absent from the bucket before, its own and the next, so hosts whose clocks differ
-//! by less than a bucket agree. A key is remembered for at least one bucket, which has to be longer
-//! than a term and than any lost write takes to take effect.
+//! Keys start with the number of a time bucket, so that old records are deleted with one range
+//! delete. An insert requires that the key is absent from the previous bucket, its own and the
+//! next, so hosts whose clocks differ by less than a bucket agree. A key is kept for at least the
+//! length of one bucket, which has to be longer than a term and than the longest time after which a
+//! lost insert can still take effect.
 
 mod abandoned;
 mod batch;
@@ -43,38 +46,39 @@
 /// The settings of a [`Recorder`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
-    /// This life of this host.
+    /// This host, with its incarnation.
     pub host: HostRef,
-    /// The wall clock's time since the Unix epoch at the origin of `now`.
+    /// The wall-clock time since the Unix epoch at which `now` is zero.
     pub unix_origin: Duration,
-    /// What all keys start with.
+    /// The prefix of all keys.
     pub prefix: String,
-    /// The length of a bucket; much longer than a term, a lost write and the clocks' difference.
+    /// The length of a time bucket. It has to be much longer than a term, than the time after which
+    /// a lost insert can still take effect, and than the difference between the hosts' clocks.
     pub bucket_length: Duration,
-    /// How long after its begin a call may be dispatched.
+    /// How long after [`Recorder::begin`] a call may be dispatched.
     pub term: Duration,
-    /// How long an insert waits for others.
+    /// How long an insert waits for others to share its transaction.
     pub batch_interval: Duration,
-    /// How long a transaction may take, and an insert wait to be sent.
+    /// How long a transaction may take, and how long an insert may wait to be sent.
     pub answer_timeout: Duration,
-    /// The most conditions and operations of one transaction together.
+    /// The maximum sum of the conditions and operations of one transaction.
     pub max_txn_entries: usize,
-    /// The most transactions of inserts under way.
+    /// The maximum number of transactions with inserts in flight.
     pub max_in_flight: usize,
-    /// The most inserts that wait; further ones are refused.
+    /// The maximum number of queued inserts; further calls are refused.
     pub max_waiting: usize,
-    /// How often an insert is sent. At least 1.
+    /// The maximum number of times that an insert is sent. At least 1.
     pub max_insert_sends: u32,
-    /// How often marking a key as abandoned is tried.
+    /// The maximum number of attempts to mark a key as abandoned.
     pub max_mark_attempts: u32,
-    /// After a failure of the table, calls are refused without asking it for so long.
+    /// How long calls are refused without contacting the table after the table has failed.
     pub unavailable_backoff: Duration,
-    /// The largest answer kept in a record, in bytes.
+    /// The maximum size of the body of an answer that is kept in a record, in bytes.
     pub max_answer_bytes: usize,
 }
 
 impl Config {
-    /// The customary settings.
+    /// The default settings.
     pub fn new(host: HostRef, unix_origin: Duration) -> Self {
         Self {
             host,
@@ -95,15 +99,15 @@
     }
 }
 
-/// Names one call to [`Recorder::begin`].
+/// Identifies one call to [`Recorder::begin`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordTicket(pub(crate) u64);
 
-/// Names one call to the table.
+/// Identifies one call to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TxnId(pub(crate) u64);
 
-/// The right to dispatch a recorded call once, until its term ends. It can't be copied.
+/// The right to dispatch a recorded call once, until its term ends. A permit can't be copied.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Permit {
     ticket: RecordTicket,
@@ -111,10 +115,10 @@
 }
 
 impl Permit {
-    /// Uses the permit up. Call it right before the first byte leaves.
+    /// Consumes the permit. Call this directly before the first byte is sent.
     ///
     /// # Errors
-    /// [`Expired`] after the term: nothing may be sent.
+    /// [`ExpiredPermit`] after the term: nothing may be sent.
     pub fn consume(self, now: Duration) -> Result<(), ExpiredPermit> {
         match now < self.until {
             true => Ok(()),
@@ -124,13 +128,13 @@
         }
     }
 
-    /// The call it is for.
+    /// The ticket of the call that the permit is for.
     pub fn ticket(&self) -> RecordTicket {
         self.ticket
     }
 }
 
-/// Proof that a permit was used up without a dispatch.
+/// Proof that a permit was consumed without a dispatch.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ExpiredPermit {
     ticket: RecordTicket,
@@ -141,41 +145,41 @@
 pub enum Outcome {
     /// The endpoint answered.
     Answered(CallAnswer),
-    /// The endpoint failed, and may have run the call.
+    /// The endpoint failed and may have run the call.
     Failed,
 }
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Call the table, and answer by [`Recorder::table`].
+    /// Call the table, and pass the result to [`Recorder::on_table_result`].
     CallTable {
-        /// The call's name.
+        /// The id of the call to the table.
         id: TxnId,
-        /// The call.
+        /// The call to the table.
         call: TableCall,
     },
-    /// The call is recorded as ours: it may be dispatched.
+    /// The call is recorded for this host and may be dispatched.
     Recorded {
-        /// The call.
+        /// The ticket of the call.
         ticket: RecordTicket,
         /// The right to dispatch it.
         permit: Permit,
     },
-    /// The call was not run, and this recorder will never let it run.
+    /// The call was not run, and this recorder will never permit it to run.
     Refused {
-        /// The call.
+        /// The ticket of the call.
         ticket: RecordTicket,
-        /// Why.
+        /// The reason.
         kind: NotRunKind,
-        /// When to come back, if that may help.
+        /// When to retry, if a retry may succeed.
         retry_after: Option<Duration>,
     },
-    /// The call was begun before.
+    /// The call was started earlier under the same key.
     AlreadyRecorded {
-        /// The call.
+        /// The ticket of the call.
         ticket: RecordTicket,
-        /// How it stands.
+        /// The existing record.
         record: Record,
     },
 }
--- a/crates/delivery/src/record/recorder.rs
+++ b/crates/delivery/src/record/recorder.rs
@@ -18,12 +18,13 @@
     row::{Bucket, Record, RecordState},
 };
 
-/// The most ends of calls that wait for the table; the oldest go first.
+/// The maximum number of queued end updates; beyond it the oldest are dropped.
 const MAX_QUEUED_END_UPDATES: usize = 4096;
-/// The most keys that wait to be marked as abandoned; the oldest go first.
+/// The maximum number of abandoned inserts whose keys wait to be marked; beyond it the oldest are
+/// dropped.
 const MAX_QUEUED_ABANDONED: usize = 4096;
 
-/// A call to the table under way.
+/// A call to the table that is in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Pending {
     Batch(Batch),
@@ -37,7 +38,7 @@
     pending: Pending,
 }
 
-/// A call that is neither refused nor over.
+/// A call that was neither refused nor finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct OpenCall {
     ticket: RecordTicket,
@@ -46,29 +47,29 @@
 
 /// Records calls that are not repeatable.
 ///
-/// Invariants: a ticket is in at most one of `waiting`, `in_flight` and `ours`, and gets exactly one
-/// of [`Action::Recorded`], [`Action::Refused`] and [`Action::Known`]; no ticket of a write in
-/// `doubts` is ever given a permit.
+/// Invariants: a ticket is in at most one of `waiting`, `in_flight` and `recorded`, and gets
+/// exactly one of [`Action::Recorded`], [`Action::Refused`] and [`Action::AlreadyRecorded`]; the
+/// ticket of an insert in `abandoned` never gets a permit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recorder {
     pub(super) cfg: Config,
     next_ticket: u64,
     next_txn: u64,
     pub(super) waiting: VecDeque<Insert>,
-    /// When the oldest of `waiting` and `endings` came; `None` if both are empty.
+    /// When the oldest entry of `waiting` and `end_updates` was queued; `None` if both are empty.
     pub(super) waiting_since: Option<Duration>,
     pub(super) end_updates: VecDeque<EndUpdate>,
     in_flight: BTreeMap<TxnId, InFlightTxn>,
-    /// The calls in `waiting`, `in_flight` and `ours`, by key.
+    /// The calls in `waiting`, `in_flight` and `recorded`, by key.
     pub(super) open: BTreeMap<String, OpenCall>,
-    /// Recorded calls that have not ended.
+    /// The inserts of recorded calls that have not ended.
     pub(super) recorded: BTreeMap<RecordTicket, Insert>,
     pub(super) abandoned: VecDeque<AbandonedInsert>,
     pub(super) unavailable_until: Duration,
 }
 
 impl Recorder {
-    /// A recorder that has recorded nothing.
+    /// Makes a recorder that has recorded nothing.
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Wants the call `key` recorded as ours. With the table out of reach it is refused at once.
+    /// Starts to record the call `key` for this host. The call is refused at once while the table
+    /// is unavailable or the queue of inserts is full.
     pub fn begin(
         &mut self,
         now: Duration,
@@ -128,7 +130,7 @@
         ticket
     }
 
-    /// The recorded call `ticket` has ended.
+    /// Handles the end of the recorded call `ticket`: queues an update of its record.
     pub fn finish(&mut self, now: Duration, ticket: RecordTicket, outcome: Outcome) {
         let Some(insert) = self.recorded.remove(&ticket) else {
             return;
@@ -154,7 +156,7 @@
         self.waiting_since.get_or_insert(now);
     }
 
-    /// The recorded call was not dispatched in time and never will be.
+    /// Abandons a recorded call that was not dispatched within its term and never will be.
     pub fn abandon(&mut self, now: Duration, expired: ExpiredPermit) {
         if let Some(insert) = self.recorded.remove(&expired.ticket) {
             self.open.remove(&insert.key);
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Deletes the records of past buckets. One host at a time has to do this once in a while.
+    /// Deletes the records of past buckets. One host at a time has to do this periodically.
     pub fn trim(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Bucket(bucket) = Bucket::at(&self.cfg, now);
         let oldest = Bucket(0).key(&self.cfg, "");
@@ -171,7 +173,7 @@
         self.send(now, Pending::Trim, call, actions);
     }
 
-    /// How the call `id` ended.
+    /// Handles the result of the call to the table with the id `id`.
     pub fn on_table_result(
         &mut self,
         now: Duration,
@@ -196,7 +198,7 @@
         self.flush(now, actions);
     }
 
-    /// Does what is due at `now`.
+    /// Handles everything that is due at `now`.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.expire_overdue(now, actions);
         self.flush(now, actions);
@@ -223,7 +225,7 @@
             .min()
     }
 
-    /// The record of a call of ours that is begun.
+    /// The record, in state `Begun`, of a call of this host.
     fn begun_record(&self, ticket: RecordTicket, fingerprint: u64) -> Record {
         let host = &self.cfg.host;
         Record {
@@ -245,7 +247,8 @@
         all.any(|f| matches!(f.pending, Pending::Mark(_)))
     }
 
-    /// Sends what waits if it has waited long enough, or fills a transaction.
+    /// Sends queued inserts and end updates if they have waited for the batch interval or fill a
+    /// transaction.
     fn flush(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while let Some(since) = self.waiting_since {
             let entries = self.waiting.len() * MAX_ENTRIES_PER_INSERT + self.end_updates.len();
@@ -310,7 +313,8 @@
         self.abandoned.push_back(AbandonedInsert::new(now, insert));
     }
 
-    /// Gives up on transactions without an answer, and on inserts that could not be sent.
+    /// Fails overdue transactions, and refuses the calls of inserts that waited too long to be
+    /// sent.
     fn expire_overdue(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let timeout = self.cfg.answer_timeout;
         let is_overdue = |f: &InFlightTxn| now >= f.sent_at + timeout;
--- a/crates/delivery/src/record/results.rs
+++ b/crates/delivery/src/record/results.rs
@@ -1,4 +1,4 @@
-//! What becomes of inserts when their transaction is answered, or is not.
+//! How the recorder handles the outcome or the error of a transaction with inserts.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 };
 use crate::error::NotRunKind;
 
-/// How often the end of a call is sent.
+/// The maximum number of times that an end update is sent.
 const MAX_END_UPDATE_SENDS: u32 = 8;
 
 impl Recorder {
@@ -41,8 +41,8 @@
         self.requeue_end_updates(now, batch.end_updates);
     }
 
-    /// Sends ends once more whose transaction was not done because of an insert's condition. That
-    /// does not count as a try: each time it happens, the insert is settled.
+    /// Queues end updates again after a condition of an insert made their transaction fail. Such a
+    /// failure does not count as a dispatch, as each one resolves the insert that caused it.
     fn requeue_end_updates(&mut self, now: Duration, end_updates: Vec<EndUpdate>) {
         for mut end_update in end_updates.into_iter().rev() {
             end_update.sends -= 1;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The write's row is in the table.
+    /// Handles an insert whose row is in the table: permits the call, or refuses it after its term.
     fn on_recorded(&mut self, now: Duration, insert: Insert, actions: &mut Vec<Action>) {
         let until = insert.started_at + self.cfg.term;
         if now >= until {
@@ -64,7 +64,8 @@
         actions.push(Action::Recorded { ticket, permit });
     }
 
-    /// The transaction did nothing; `row` is what stands under the write's key.
+    /// Handles an insert whose transaction had no effect; `row` is the existing row under the
+    /// insert's key.
     fn on_insert_conflict(
         &mut self,
         now: Duration,
@@ -73,7 +74,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(row) = row else {
-            // Another key of the transaction was there.
+            // Another key of the transaction existed.
             insert.replaces = None;
             self.retry(now, insert, self.cfg.unavailable_backoff, actions);
             return;
@@ -99,7 +100,7 @@
         ));
     }
 
-    /// Whether the call of `found` was not dispatched and never will be.
+    /// Whether the call of the record `found` was not dispatched and never will be.
     fn is_abandoned(&self, found: &Record) -> bool {
         let wrote_row = |abandoned: &AbandonedInsert| abandoned.write_id() == found.write_id;
         found.state == RecordState::Abandoned
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Sends the write once more at once, if it may.
+    /// Queues the insert to be sent at once, or refuses its call if no retry is left.
     fn retry(&mut self, now: Duration, insert: Insert, wait: Duration, actions: &mut Vec<Action>) {
         if insert.sends >= self.cfg.max_insert_sends || now >= insert.started_at + self.cfg.term {
             if insert.in_doubt {
@@ -146,7 +147,8 @@
         self.waiting.push_front(insert);
     }
 
-    /// Refuses the call. From here on its ticket is unknown, so it is never dispatched.
+    /// Refuses the call. From now on its ticket is unknown, so the call is never dispatched. An
+    /// insert that may have taken effect is queued to be marked as abandoned.
     pub(super) fn refuse(
         &mut self,
         now: Duration,
--- a/crates/delivery/src/record/row.rs
+++ b/crates/delivery/src/record/row.rs
@@ -1,4 +1,4 @@
-//! What stands in the table.
+//! The rows of the table.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 use super::Config;
 use crate::error::AfterDispatchKind;
 
-/// How a recorded call stands.
+/// The state of a recorded call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordState {
-    /// Its writer may have dispatched it.
+    /// The writer may have dispatched the call.
     Begun,
-    /// It ran.
+    /// The call ran.
     Done {
         /// The answer, if it was small enough to keep.
         answer: Option<CallAnswer>,
     },
-    /// It was dispatched and may have run; its answer is lost.
+    /// The call was dispatched and may have run; its answer is lost.
     Failed,
-    /// Its writer has not dispatched it and never will.
+    /// The writer has not dispatched the call and never will.
     Abandoned,
 }
 
-/// One call that is not repeatable.
+/// The record of one call that is not repeatable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The write that put this here, unique over all lives of all hosts.
+    /// The id of the insert that wrote this record, unique over all incarnations of all hosts.
     pub write_id: String,
-    /// Who wrote it; only this life of this host may dispatch the call.
+    /// The host that wrote this record; only this incarnation of it may dispatch the call.
     pub writer: HostRef,
-    /// Hash of what was asked.
+    /// The hash of the call's content.
     pub fingerprint: u64,
-    /// How the call stands.
+    /// The state of the call.
     pub state: RecordState,
 }
 
 impl Record {
-    /// What a caller that asks for the call again is told; `None` if the answer is at hand.
+    /// The error for a caller that retries the call; `None` if the record holds the answer.
     pub fn error(&self) -> Option<AfterDispatchKind> {
         match &self.state {
             RecordState::Done { answer: Some(_) } => None,
@@ -56,7 +56,7 @@
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a row; `None` if it is not a record.
+    /// Decodes a row; `None`, with a log line, if it is not a record.
     pub(super) fn decode(row: &Row) -> Option<Self> {
         serde_json::from_slice(&row.value)
             .inspect_err(|e| log::error!("record: {} can't be read: {e}.", row.key))
@@ -64,7 +64,7 @@
     }
 }
 
-/// A row as it was read, for a write that depends on it.
+/// The key and revision of a row that was read, for a transaction that depends on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct RowVersion {
     pub(super) key: String,
@@ -90,12 +90,12 @@
         Self((unix.as_nanos() / cfg.bucket_length.as_nanos().max(1)) as u64)
     }
 
-    /// The table's key of the caller's `key` in this bucket. Keys sort by bucket.
+    /// The key in the table of the caller's `key` in this bucket. Keys sort by bucket.
     pub(super) fn key(self, cfg: &Config, key: &str) -> String {
         format!("{}{:012}/{key}", cfg.prefix, self.0)
     }
 
-    /// The buckets in which a key that is begun in this one must be absent.
+    /// The buckets from which a key must be absent before it is inserted into this bucket.
     pub(super) fn checked(self) -> [Self; 3] {
         [Self(self.0.saturating_sub(1)), self, Self(self.0 + 1)]
     }
--- a/crates/delivery/tests/record_search.rs
+++ b/crates/delivery/tests/record_search.rs
@@ -1,5 +1,6 @@
 //! Exhaustive bounded search over two real recorders, a table and one key: every order of calls,
-//! transactions and dispatches, with lost answers, delayed writes, crashes and pauses up to a bound.
+//! transactions and dispatches, with lost answers, delayed writes, crashes and pauses up to a
+//! bound.
 //!
 //! `SEARCH_FAULTS` raises the bound on faults.
 
