--- a/crates/delivery/src/generation/deadline.rs
+++ b/crates/delivery/src/generation/deadline.rs
@@ -1,15 +1,15 @@
-//! When a step counts as lost, and when a generation is given up for time.
+//! Timeouts of steps, and the failure of generations that will miss their deadline.
 
 use std::time::Duration;
 
 use super::{Action, Generation};
 use crate::error::ErrorKind;
 
-/// After this many tokens their pace is trusted for giving up.
+/// The number of timed tokens after which their rate may fail a generation that will be late.
 const MIN_TOKENS_FOR_ESTIMATE: u32 = 4;
 
 impl Generation {
-    /// When a step of `positions` positions sent `now` counts as lost.
+    /// When a step of `positions` positions that is sent at `now` times out.
     pub(super) fn step_timeout_at(&self, now: Duration, positions: u32) -> Duration {
         let expected = self.step_times.expected(positions);
         let wait = expected.saturating_mul(self.cfg.step_timeout_factor);
@@ -28,13 +28,13 @@
         }
     }
 
-    /// The expected time for `tokens` tokens, if the pace is known.
+    /// The expected time for `tokens` tokens; `None` if no token has been timed yet.
     pub(super) fn expected_time(&self, tokens: u32) -> Option<Duration> {
         let token = self.step_times.token?;
         Some(token.saturating_mul(tokens))
     }
 
-    /// Whether the pace observed says that the deadline will be missed.
+    /// Whether the deadline has passed, or will be missed according to the observed token rate.
     pub(super) fn will_miss_deadline(&self, now: Duration) -> bool {
         let trusted =
             self.stages.is_empty() || self.tokens_since_recovery >= MIN_TOKENS_FOR_ESTIMATE;
@@ -47,7 +47,8 @@
                     .is_some_and(|needed| needed > left))
     }
 
-    /// Gives up for time. The time that a whole answer takes says when to come back.
+    /// Fails the generation for its deadline. The caller should retry after the expected time of a
+    /// complete answer.
     pub(super) fn fail_at_deadline(&mut self, actions: &mut Vec<Action>) {
         let kind = match self.contacted.is_empty() {
             true => ErrorKind::DeadlineTooShort,
--- a/crates/delivery/src/generation/message.rs
+++ b/crates/delivery/src/generation/message.rs
@@ -1,4 +1,4 @@
-//! What a generation is told, and what it asks for.
+//! The configuration, events and actions of a generation.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     error::ErrorKind,
 };
 
-/// What is to be generated.
+/// The specification of what is to be generated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Spec {
     /// The request's id, unique over all workspaces.
@@ -23,38 +23,38 @@
     pub layers: u32,
     /// The prompt's token ids. Not empty.
     pub prompt: Vec<u64>,
-    /// How many tokens to generate. At least 1.
+    /// The number of tokens to generate. At least 1.
     pub max_tokens: u32,
-    /// 0 is served first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// When the caller's time is up.
+    /// The caller's deadline.
     pub deadline: Duration,
     /// Hashes of the prompt's prefix blocks.
     pub prefix: Vec<u64>,
 }
 
-/// Bounds and habits of a generation.
+/// The limits and timing of a generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
-    /// How many replacements and rebuilt caches one generation may use up.
+    /// The maximum number of replacements and cache rebuilds of one generation.
     pub max_replacements: u32,
-    /// How often one step is sent before its endpoint counts as lost. At least 1.
+    /// The maximum number of times that a step is sent before its stage is replaced. At least 1.
     pub max_step_sends: u32,
-    /// No step counts as late before this.
+    /// The minimum timeout of a step.
     pub min_step_timeout: Duration,
-    /// A step is late after this many times its expected duration.
+    /// The timeout of a step, as a multiple of its expected duration.
     pub step_timeout_factor: u32,
-    /// What the host has learned of step durations so far.
+    /// The step durations that the host has observed so far.
     pub step_times: StepTimes,
-    /// The wait before an endpoint that is still freeing an older attempt is asked again.
+    /// The base delay before a step is sent again to an endpoint that still holds an older attempt.
     pub free_retry_delay: Duration,
-    /// The most bytes of activations that are kept for replacements.
+    /// The maximum size of the activations that are kept for replacements, in bytes.
     pub max_kept_bytes: u64,
-    /// The size of one position's activation.
+    /// The size of one position's activation, in bytes.
     pub activation_bytes: u64,
-    /// A KV checkpoint is asked for every so many tokens; 0 is never.
+    /// The number of tokens between requests for KV checkpoints; 0 disables checkpoints.
     pub export_every_tokens: u32,
-    /// How long a handover waits for the token in flight.
+    /// The maximum time that a handover waits for the token in flight.
     pub handover_timeout: Duration,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// What another host needs to go on with a generation.
+/// The state that another host needs to continue a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeState {
     /// The request's id.
@@ -86,52 +86,52 @@
     pub layers: u32,
     /// The prompt's token ids.
     pub prompt: Vec<u64>,
-    /// How many tokens the whole answer has.
+    /// The number of tokens of the complete answer.
     pub max_tokens: u32,
-    /// 0 is served first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// The time left until the deadline.
+    /// The remaining time until the deadline.
     pub left: Duration,
     /// Hashes of the prompt's prefix blocks.
     pub prefix: Vec<u64>,
     /// The tokens released so far, in order.
     pub released: Vec<u64>,
-    /// The last attempt used; the next one is greater.
+    /// The last attempt number used; the next attempt has a greater number.
     pub attempt: u32,
-    /// The endpoints whose KV caches hold all positions but the last token's; empty if there are
-    /// none.
+    /// The chain whose KV caches hold all positions except that of the last token; empty if there
+    /// is no such chain.
     pub stages: Vec<Stage>,
-    /// All endpoints that may hold something for the request.
+    /// All endpoints that may hold a session of the request.
     pub used: Vec<EndpointId>,
 }
 
-/// What happened.
+/// An input of a generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The chain is chosen; may come once.
+    /// A chain was chosen. Ignored once the generation has a chain.
     Start(Chain),
-    /// Go on with the chain of [`Resume::stages`]; ignored if there is none.
+    /// Continue with the chain of [`ResumeState::stages`]; ignored if it is empty.
     Continue,
     /// An endpoint answered a step.
     Result {
-        /// Who answered.
+        /// The endpoint that answered.
         endpoint: EndpointId,
-        /// The answer.
+        /// The endpoint's answer.
         result: wire::StepResult,
     },
-    /// A step's answer was lost, or the endpoint is gone.
+    /// The answer of a step will not arrive: it was lost, or the endpoint is unreachable.
     StepLost {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The attempt of the step.
+        /// The attempt number of the step.
         attempt: u32,
-        /// The position of the step.
+        /// The first position of the step.
         start: u32,
     },
-    /// Endpoints for a range asked for by [`Action::Replace`].
+    /// Endpoints for the layers of [`Action::Replace`].
     Replacement(Chain),
-    /// There are no endpoints for a range asked for by [`Action::Replace`], or the budget of
-    /// retries is spent.
+    /// There are no endpoints for the layers of [`Action::Replace`] or for a first chain, or the
+    /// retry budget is used up.
     NoReplacement,
     /// An endpoint exported its KV cache.
     Exported {
@@ -140,82 +140,86 @@
         /// The KV cache.
         checkpoint: wire::KvCheckpoint,
     },
-    /// An endpoint took the KV cache of [`Action::Import`].
+    /// An endpoint imported the KV cache of [`Action::Import`].
     Imported {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The attempt of the checkpoint that it took.
+        /// The attempt number of the imported checkpoint.
         attempt: u32,
     },
-    /// An endpoint did not take the KV cache of [`Action::Import`], or its answer was lost.
+    /// An endpoint did not import the KV cache of [`Action::Import`], or its answer was lost.
     ImportFailed {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The attempt of the checkpoint.
+        /// The attempt number of the checkpoint.
         attempt: u32,
     },
-    /// Time passed.
+    /// The time of [`Generation::next_wake`] has come.
+    ///
+    /// [`Generation::next_wake`]: super::Generation::next_wake
     Tick,
-    /// This host is leaving: move to another one.
+    /// This host is shutting down: move the generation to another host.
     Handover,
-    /// The caller gave up.
+    /// The caller cancelled the request.
     Cancel,
 }
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a step. The host does not time it: see [`Generation::next_wake`].
+    /// Send a step. The host needs no timeout of its own: see [`Generation::next_wake`].
     ///
     /// [`Generation::next_wake`]: super::Generation::next_wake
     Send {
-        /// To whom.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
         /// The step.
         step: wire::Step,
     },
     /// Release the next token to the caller.
     Release {
-        /// Its place in the answer, from 0.
+        /// The index of the token in the answer, from 0.
         index: u32,
         /// The token id.
         token: u64,
     },
-    /// Find other endpoints for `layers` and answer with [`Event::Replacement`].
+    /// Find other endpoints for `layers`, and answer with [`Event::Replacement`] or
+    /// [`Event::NoReplacement`].
     Replace {
-        /// The layers that were lost.
+        /// The layers to replace.
         layers: wire::Layers,
-        /// The endpoint that lost them.
+        /// The endpoint that failed.
         failed: EndpointId,
     },
-    /// Export the KV cache of the request and answer with [`Event::Exported`]; a failure needs no
+    /// Export the KV cache of the request, and answer with [`Event::Exported`]; a failure needs no
     /// answer.
     Export {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The position that the endpoint's cache has reached, or passed.
+        /// The position that the endpoint's cache has reached or passed.
         position: u32,
     },
-    /// Import a KV cache and answer with [`Event::Imported`] or [`Event::ImportFailed`].
+    /// Import a KV cache, and answer with [`Event::Imported`] or [`Event::ImportFailed`].
     Import {
         /// The endpoint.
         endpoint: EndpointId,
         /// The KV cache.
         checkpoint: wire::KvCheckpoint,
     },
-    /// Free what an endpoint holds.
+    /// Free the slot that an endpoint holds for the request.
     Free {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The order to it.
+        /// The message to the endpoint.
         cancel: wire::Cancel,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finish,
-    /// The generation ended here, to go on elsewhere. Nothing more is released here.
+    /// The generation has ended at this host and is to continue at another one. No more tokens are
+    /// released at this host.
     Moved(ResumeState),
-    /// The generation ended without its whole answer. [`Generation::retry_after`] says when to
-    /// come back.
+    /// The generation ended without its complete answer. [`Generation::retry_after`] says when the
+    /// caller should retry.
     ///
     /// [`Generation::retry_after`]: super::Generation::retry_after
     Fail(ErrorKind),
--- a/crates/delivery/src/generation/mod.rs
+++ b/crates/delivery/src/generation/mod.rs
@@ -1,16 +1,19 @@
-//! One generation: a request driven through a chain of stages, token by token.
+//! One generation: the state machine that drives a request through a chain of stages, token by
+//! token.
 //!
-//! [`Generation`] lives from the first step sent until it is finished, moved or failed. The host
-//! feeds it [`Event`]s, also an [`Event::Tick`] at [`Generation::next_wake`], and carries out the
-//! [`Action`]s it returns. A token is released only when receipts for its position show that each
-//! layer ran exactly once, in order.
+//! A [`Generation`] ends when it has finished, moved to another host or failed. The host passes
+//! [`Event`]s to it, including an [`Event::Tick`] at [`Generation::next_wake`], and carries out the
+//! [`Action`]s that it returns. A token is released only when the receipts for its position show
+//! that each layer ran exactly once, in order.
 //!
-//! Results are told apart by endpoint, attempt and first position: what is late, doubled or out of
-//! order is not the awaited one and is dropped. The attempt grows with each change of the chain.
+//! A result is matched to the pending step by endpoint, attempt and first position. A result that
+//! is late, duplicated or out of order does not match and is dropped. The attempt number increases
+//! with each change of the chain.
 //!
-//! How a fault is met is in `recover`: the step is asked again, then only the lost stage is
-//! replaced, and its KV cache is rebuilt from a checkpoint or from kept activations. If neither is
-//! at hand the whole chain is built anew from the prompt and the released tokens.
+//! The `recover` module handles faults: it first sends the step again, then replaces only the
+//! failed stage and rebuilds the stage's KV cache from a checkpoint or from kept activations. If
+//! neither is available, it replaces the whole chain and rebuilds it from the prompt and the
+//! released tokens.
 
 mod deadline;
 mod message;
@@ -31,43 +34,43 @@
 use crate::{chain::Chain, error::ErrorKind};
 use stage::{Inputs, StageState};
 
-/// When to come back after a failure of endpoints.
+/// The time after which a caller should retry when endpoints have failed.
 const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Where a generation stands.
+/// The phase of a generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
-    /// No chain yet.
+    /// There is no chain yet.
     Waiting,
-    /// Stage `at` is running the positions from its `done` on.
+    /// A stage is running a step.
     Running(PendingCall),
-    /// Stage `at` is importing a KV cache.
+    /// A stage is importing a KV cache.
     Importing(PendingCall),
-    /// Stage `at` is to be asked again at `until`.
+    /// A stage's step is to be sent again at `until`.
     BackingOff {
         pending: PendingCall,
         until: Duration,
     },
-    /// A stage is being replaced, or, for `None`, the whole chain.
+    /// A stage, or for `None` the whole chain, is waiting for its replacement.
     Replacing { stage: Option<usize> },
-    /// Finished, failed, moved or cancelled.
+    /// The generation has finished, failed, moved or been cancelled.
     Ended,
 }
 
-/// What is awaited.
+/// A step or import whose answer is pending.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingCall {
-    /// The stage.
+    /// The index of the stage.
     stage_index: usize,
-    /// How often it was asked.
+    /// How many times it was sent.
     sends: u32,
-    /// When it was last asked.
+    /// When it was last sent.
     sent_at: Duration,
-    /// When it counts as lost.
+    /// When its answer times out.
     timeout_at: Duration,
 }
 
-/// A receipt, and the position it reaches.
+/// The layers of a receipt, and the end of the positions that it covers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct StageReceipt {
     layers: wire::Layers,
@@ -77,7 +80,7 @@
 /// The state of one generation.
 ///
 /// Invariants: `tokens` are the released tokens; the inputs of stage 0 are the prompt and `tokens`;
-/// `used` lists every endpoint that was sent anything.
+/// `contacted` lists every endpoint to which anything was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Generation {
     spec: Spec,
@@ -90,21 +93,21 @@
     tokens: Vec<u64>,
     replacements: u32,
     step_times: StepTimes,
-    /// Tokens observed since the last recovery.
+    /// The number of tokens timed since the last recovery.
     tokens_since_recovery: u32,
-    /// When the pass for the next token began; `None` if a recovery fell into it.
+    /// When the pass for the next token started; `None` if a recovery took place during it.
     pass_started_at: Option<Duration>,
     handover_deadline: Option<Duration>,
     retry_after: Option<Duration>,
 }
 
 impl Generation {
-    /// A generation without a chain yet.
+    /// Makes a generation without a chain, with the default configuration.
     pub fn new(spec: Spec) -> Self {
         Self::with_config(spec, Config::default())
     }
 
-    /// A generation without a chain yet, with bounds of its own.
+    /// Makes a generation without a chain, with the configuration `cfg`.
     pub fn with_config(spec: Spec, cfg: Config) -> Self {
         Self {
             step_times: cfg.step_times,
@@ -124,27 +127,27 @@
         }
     }
 
-    /// What is being generated.
+    /// The specification of what is generated.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// The tokens released so far, those before a handover included.
+    /// The tokens released so far, including those released before a handover.
     pub fn released(&self) -> &[u64] {
         &self.tokens
     }
 
-    /// What was learned of step durations.
+    /// The step durations, updated by the steps of this generation.
     pub fn step_times(&self) -> StepTimes {
         self.step_times
     }
 
-    /// When to come back after [`Action::Fail`].
+    /// The time after which the caller should retry after [`Action::Fail`].
     pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 
-    /// When [`Event::Tick`] is due; `None` after the end. Read it after each event.
+    /// When [`Event::Tick`] is due; `None` after the end. It may change with each event.
     pub fn next_wake(&self) -> Option<Duration> {
         let due = match &self.phase {
             Phase::Ended => return None,
@@ -156,7 +159,7 @@
         Some(self.handover_deadline.map_or(due, |until| due.min(until)))
     }
 
-    /// Handles `event` at `now`, appending what is to be done to `actions`.
+    /// Handles `event` at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if self.phase == Phase::Ended {
             return;
@@ -202,7 +205,7 @@
         self.start_pass(now, actions);
     }
 
-    /// Makes fresh stages of a whole chain.
+    /// Replaces all stages by those of `chain`, with empty KV caches.
     fn build_stages(&mut self, chain: &Chain) {
         let stages = chain.stages().iter().cloned();
         self.stages = stages
@@ -217,7 +220,7 @@
         self.send_to_stage(now, 0, actions);
     }
 
-    /// Asks stage `at` for what is next: an import or a step.
+    /// Sends the next import or step to a stage.
     fn send_to_stage(&mut self, now: Duration, stage_index: usize, actions: &mut Vec<Action>) {
         let pending = PendingCall {
             stage_index,
@@ -273,7 +276,7 @@
         }
     }
 
-    /// The running step, if an answer of (`endpoint`, `attempt`, `start`) is the awaited one.
+    /// The pending step, if an answer from `endpoint` for `attempt` and `start` matches it.
     fn pending_step(&self, endpoint: &EndpointId, attempt: u32, start: u32) -> Option<PendingCall> {
         let (Phase::Running(pending) | Phase::BackingOff { pending, .. }) = &self.phase else {
             return None;
@@ -342,7 +345,7 @@
             self.release_token(now, outputs[outputs.len() - 1], actions);
             return;
         };
-        // A rebuilt stage ran positions again whose outputs the next stage has already.
+        // A rebuilt stage repeats positions whose outputs were already forwarded to the next stage.
         let already_forwarded = (forwarded - start) as usize;
         next.inputs
             .values
@@ -351,7 +354,7 @@
         self.send_to_stage(now, stage_index + 1, actions);
     }
 
-    /// The last stage answered: releases the token and feeds it back.
+    /// Releases the token that the last stage returned, and starts the pass for the next token.
     fn release_token(&mut self, now: Duration, token: u64, actions: &mut Vec<Action>) {
         if !self.receipts_cover_layers() {
             self.fail(
@@ -387,7 +390,7 @@
         self.start_pass(now, actions);
     }
 
-    /// Whether the receipts cover each layer exactly once, in order, all at the same position.
+    /// Whether the receipts cover each layer exactly once, in order, up to the same position.
     fn receipts_cover_layers(&self) -> bool {
         let end = self.stages[0].inputs.end();
         let mut next = 0;
@@ -432,7 +435,8 @@
         actions.push(Action::Fail(kind));
     }
 
-    /// Frees the slots of every endpoint that was ever asked, so also of those that came back.
+    /// Frees the slots of all contacted endpoints, including those that failed and may have
+    /// recovered.
     fn free_all(&self, actions: &mut Vec<Action>) {
         for endpoint in &self.contacted {
             actions.push(self.free(endpoint, self.attempt));
--- a/crates/delivery/src/generation/recover.rs
+++ b/crates/delivery/src/generation/recover.rs
@@ -1,8 +1,9 @@
-//! What a generation does about faults.
+//! Recovery of a generation from faults.
 //!
-//! In order: ask the same step again, as its answer may only be lost; go on from what the
-//! endpoint still holds; replace the stage and import its checkpoint; replace it and run the kept
-//! activations; replace the whole chain and run the prompt and the released tokens.
+//! The measures, in order: send the same step again, as only its answer may be lost; continue from
+//! the positions that the endpoint still holds; replace the stage and import its checkpoint;
+//! replace the stage and run the kept activations; replace the whole chain and run the prompt and
+//! the released tokens.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 use crate::{chain::Chain, error::ErrorKind};
 
 impl Generation {
-    /// The host says that the answer of a step will not come.
+    /// Handles the host's report that the answer of a step will not arrive.
     pub(super) fn on_step_lost(
         &mut self,
         now: Duration,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// No answer in time: asks once more, then replaces.
+    /// Sends the unanswered step again, or replaces the stage if no send is left.
     pub(super) fn retry_or_replace(
         &mut self,
         now: Duration,
@@ -56,7 +57,7 @@
         actions: &mut Vec<Action>,
     ) {
         match reason {
-            // A session of other layers, from before the chain was built anew.
+            // The endpoint holds a session of other layers, from before the chain was replaced.
             wire::StepRefusal::Layers
                 if expected > 0 && self.stages[pending.stage_index].cache_end == 0 =>
             {
@@ -66,7 +67,7 @@
                 self.on_position_mismatch(now, pending, expected, actions);
             }
             wire::StepRefusal::StaleAttempt => {
-                // Another host drives the request with newer attempts.
+                // Another host drives the request with a newer attempt.
                 self.fail(
                     ErrorKind::RunningElsewhere,
                     Some(FAILURE_RETRY_AFTER),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The endpoint's KV cache ends at `expected`.
+    /// Handles a refusal by an endpoint whose KV cache ends at `expected`.
     fn on_position_mismatch(
         &mut self,
         now: Duration,
@@ -123,7 +124,8 @@
         self.send_to_stage(now, stage_index, actions);
     }
 
-    /// The endpoint still holds the cache of an older attempt: has it freed, and asks again.
+    /// Frees the KV cache of an older attempt that the endpoint still holds, and sends the step
+    /// again after a delay.
     fn free_older_attempt(
         &mut self,
         now: Duration,
@@ -145,8 +147,8 @@
         };
     }
 
-    /// Asks the host for other endpoints in place of stage `at`, or of the whole chain if the
-    /// stage's KV cache can't be rebuilt.
+    /// Requests other endpoints for a stage, or for the whole chain if the stage's KV cache can't
+    /// be rebuilt.
     pub(super) fn request_replacement(&mut self, stage_index: usize, actions: &mut Vec<Action>) {
         if !self.spend_replacement() {
             self.fail(
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Puts the stages of `chain` in place of stage `at`.
+    /// Replaces a stage by the stages of `chain`.
     fn splice_stages(&mut self, stage_index: usize, chain: &Chain) {
         let old = &self.stages[stage_index];
         let from = old.usable_checkpoint().map_or(0, |c| c.position);
@@ -242,7 +244,7 @@
         self.fail(kind, Some(FAILURE_RETRY_AFTER), actions);
     }
 
-    /// Asks for checkpoints if they are due.
+    /// Requests checkpoints of all stages if they are due.
     pub(super) fn request_checkpoints(&self, actions: &mut Vec<Action>) {
         let every = self.cfg.export_every_tokens;
         if every == 0 || !(self.tokens.len() as u32).is_multiple_of(every) {
@@ -300,9 +302,9 @@
         (attempt == self.attempt && stage.endpoint == *endpoint).then_some(pending.stage_index)
     }
 
-    /// The import at stage `at` failed or may have: goes on without the checkpoint.
+    /// Continues without the checkpoint after its import failed or may have failed.
     ///
-    /// The attempt grows, so that an import that arrives late is refused as stale.
+    /// The attempt number increases, so that an import that arrives late is refused as stale.
     pub(super) fn continue_without_checkpoint(
         &mut self,
         now: Duration,
@@ -320,7 +322,7 @@
         self.send_to_stage(now, stage_index, actions);
     }
 
-    /// Keeps the activations within their budget: first forgets those before a checkpoint, then
+    /// Keeps the activations within their size limit: drops first those before a checkpoint, then
     /// those of the first stages.
     pub(super) fn limit_kept_activations(&mut self) {
         if self.kept_activation_bytes() <= self.cfg.max_kept_bytes {
@@ -340,13 +342,13 @@
         }
     }
 
-    /// The bytes of activations kept. Token ids are not counted.
+    /// The size of the kept activations, in bytes. Token ids are not counted.
     fn kept_activation_bytes(&self) -> u64 {
         let kept = self.stages.iter().skip(1).map(|s| s.inputs.values.len());
         kept.sum::<usize>() as u64 * self.cfg.activation_bytes
     }
 
-    /// Uses up one replacement; false if none is left.
+    /// Uses one replacement; returns false if none is left.
     fn spend_replacement(&mut self) -> bool {
         self.pass_started_at = None;
         self.tokens_since_recovery = 0;
--- a/crates/delivery/src/generation/resume.rs
+++ b/crates/delivery/src/generation/resume.rs
@@ -1,8 +1,8 @@
 //! Moving a generation to another host.
 //!
-//! Between two tokens all stages hold the same positions, so the other host can go on with the same
-//! chain and nothing is run again. If the token in flight takes too long the generation moves
-//! without its chain, and the other host runs the prompt and the released tokens anew.
+//! Between two tokens all stages hold the same positions, so the other host can continue with the
+//! same chain and nothing is run again. If the token in flight takes too long, the generation moves
+//! without its chain, and the other host runs the prompt and the released tokens again.
 
 use std::time::Duration;
 
@@ -12,8 +12,9 @@
 };
 
 impl Generation {
-    /// Goes on with a generation that was moved here; [`Event::Continue`](super::Event::Continue)
-    /// or [`Event::Start`](super::Event::Start) with another chain is to follow.
+    /// Makes a generation that continues one that was moved to this host. The next event has to be
+    /// [`Event::Continue`](super::Event::Continue), or [`Event::Start`](super::Event::Start) with
+    /// another chain.
     pub fn resume(now: Duration, resume: ResumeState, cfg: Config) -> Self {
         let spec = Spec {
             request: resume.request,
@@ -38,7 +39,7 @@
         this
     }
 
-    /// Goes on with the chain that was moved here.
+    /// Continues with the chain of the generation that was moved to this host.
     pub(super) fn continue_chain(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.phase != Phase::Waiting || self.stages.is_empty() {
             return;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Ends the generation here; with its chain if `between_tokens`.
+    /// Ends the generation at this host. It moves with its chain if `between_tokens`.
     pub(super) fn finish_handover(
         &mut self,
         now: Duration,
--- a/crates/delivery/src/generation/stage.rs
+++ b/crates/delivery/src/generation/stage.rs
@@ -1,15 +1,15 @@
-//! What is known of each stage of a running chain.
+//! The state of each stage of a running chain.
 
 use dragonflyrill_engines::wire;
 
 use crate::chain::Stage;
 
-/// The inputs of one stage, for the positions that are kept.
+/// The kept inputs of one stage, for a contiguous range of positions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Inputs {
-    /// The first position kept.
+    /// The first position whose input is kept.
     pub(super) from: u32,
-    /// The inputs of the positions from `from` on.
+    /// The inputs of the positions starting at `from`.
     pub(super) values: Vec<u64>,
 }
 
@@ -21,17 +21,17 @@
         }
     }
 
-    /// One past the last position kept.
+    /// One past the last position whose input is kept.
     pub(super) fn end(&self) -> u32 {
         self.from + self.values.len() as u32
     }
 
-    /// The inputs from `position`, which is kept or the end, on.
+    /// The inputs starting at `position`, which is a kept position or the end.
     pub(super) fn tail_from(&self, position: u32) -> &[u64] {
         &self.values[(position - self.from) as usize..]
     }
 
-    /// Forgets the positions before `position`.
+    /// Drops the inputs of the positions before `position`.
     pub(super) fn drop_before(&mut self, position: u32) {
         let position = position.clamp(self.from, self.end());
         self.values.drain(..(position - self.from) as usize);
@@ -41,20 +41,20 @@
 
 /// One stage of the running chain.
 ///
-/// Invariants: the endpoint's KV cache held the positions before `done` when it last answered;
-/// `done <= passed_on <= inputs.end()`.
+/// Invariants: the endpoint's KV cache held the positions before `cache_end` when it last answered;
+/// `cache_end <= forwarded <= inputs.end()`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StageState {
     pub(super) stage: Stage,
     pub(super) inputs: Inputs,
     pub(super) cache_end: u32,
-    /// The positions whose outputs the next stage has, or that were released.
+    /// One past the last position whose output was forwarded to the next stage or released.
     pub(super) forwarded: u32,
-    /// The life of the endpoint whose KV cache holds `done` positions; `None` if unknown.
+    /// The incarnation of the endpoint whose KV cache ends at `cache_end`; `None` if unknown.
     pub(super) incarnation: Option<u64>,
-    /// The newest checkpoint; covers exactly the stage's layers.
+    /// The newest checkpoint. It covers exactly the stage's layers.
     pub(super) checkpoint: Option<wire::KvCheckpoint>,
-    /// The checkpoint is to be imported before the next step.
+    /// Whether the checkpoint has to be imported before the next step.
     pub(super) import_pending: bool,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether an empty KV cache can be brought to the present position by running kept inputs.
+    /// Whether the kept inputs are enough to rebuild the stage's KV cache from an empty one.
     pub(super) fn has_all_inputs(&self) -> bool {
         self.inputs.from == 0
     }
@@ -87,12 +87,13 @@
         usable.then_some(checkpoint)
     }
 
-    /// Whether the KV cache can be rebuilt at another endpoint.
+    /// Whether the stage's KV cache can be rebuilt at another endpoint.
     pub(super) fn can_rebuild(&self) -> bool {
         self.has_all_inputs() || self.usable_checkpoint().is_some()
     }
 
-    /// Takes a checkpoint if it is of this stage, newer than the one at hand, and of known inputs.
+    /// Stores a checkpoint if it is of this stage's layers, newer than the stored one, and its
+    /// position is within the kept inputs.
     pub(super) fn keep_checkpoint(&mut self, checkpoint: wire::KvCheckpoint) {
         let layers = self.stage.layers;
         let fits = checkpoint.layers == layers
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Prepares the stage for an endpoint whose cache is empty, to be filled from `checkpoint` or,
-    /// without one, by running the inputs kept.
+    /// Prepares the stage for an endpoint with an empty KV cache, which is to be filled by an
+    /// import of `checkpoint` or, without one, by running the kept inputs.
     pub(super) fn rebuild(&mut self, checkpoint: Option<wire::KvCheckpoint>) {
         self.incarnation = None;
         self.cache_end = checkpoint.as_ref().map_or(self.inputs.from, |c| c.position);
@@ -113,7 +114,7 @@
         self.checkpoint = checkpoint;
     }
 
-    /// The part of the stage's checkpoint that covers `layers`.
+    /// The slice of the stage's usable checkpoint that covers `layers`.
     pub(super) fn slice_checkpoint(&self, layers: wire::Layers) -> Option<wire::KvCheckpoint> {
         let full = self.usable_checkpoint()?;
         let first = (layers.first - full.layers.first) as usize;
--- a/crates/delivery/src/generation/timing.rs
+++ b/crates/delivery/src/generation/timing.rs
@@ -1,25 +1,25 @@
-//! How long steps take, learned from those that were answered.
+//! Expected step durations, estimated from answered steps.
 
 use std::time::Duration;
 
-/// One observation counts for one part in this many.
+/// A new observation has the weight `1 / SMOOTHING_DIVISOR` in the moving average.
 const SMOOTHING_DIVISOR: u32 = 8;
 
-/// Expected durations of steps. A host keeps one for all its generations: it gives it to each in
-/// [`Config::times`](super::Config::times) and takes back what it learned from
-/// [`Generation::times`](super::Generation::times).
+/// Expected durations of steps. A host shares one value between all its generations: it passes the
+/// value to each generation in [`Config::step_times`](super::Config::step_times) and stores the
+/// updated value of [`Generation::step_times`](super::Generation::step_times).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepTimes {
-    /// A step of one position.
+    /// The duration of a step of one position.
     pub step: Duration,
-    /// Each further position of a step.
+    /// The additional duration of each further position of a step.
     pub position: Duration,
-    /// From token to token; `None` before one was observed.
+    /// The time from one token to the next; `None` before it was observed.
     pub token: Option<Duration>,
 }
 
 impl Default for StepTimes {
-    /// Generous values for a host that has observed nothing yet.
+    /// High values for a host that has not observed any step yet.
     fn default() -> Self {
         Self {
             step: Duration::from_millis(60),
@@ -37,7 +37,7 @@
             .saturating_add(self.position.saturating_mul(further))
     }
 
-    /// Learns from a step that was answered on its first sending.
+    /// Updates the estimate from a step that was answered after its first dispatch.
     pub(super) fn observe_step(&mut self, positions: u32, took: Duration) {
         match positions {
             0 => {}
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Learns from a token that took no recovery.
+    /// Updates the estimate from a token without a recovery.
     pub(super) fn observe_token(&mut self, took: Duration) {
         self.token = Some(self.token.map_or(took, |mean| smooth(mean, took)));
     }
