--- a/crates/delivery/benches/group_commit.rs
+++ b/crates/delivery/benches/group_commit.rs
@@ -1,9 +1,10 @@
-//! Group commit over a fake table: writes spent and latency added, by interval and rate of calls.
+//! Group commit over a simulated table: transactions used and latency added, by batch interval and
+//! call rate.
 //!
-//! Simulated time and a seeded generator, so the figures are the same in every run. The table is
-//! one queue of [`TABLE_WRITES`] transactions a second behind a fixed round trip. Calls come at
-//! random (exponential gaps) at one host; each is finished a fixed time after its permit, and its
-//! end travels with later inserts.
+//! Time is simulated and the random generator is seeded, so the figures are the same in every run.
+//! The table is a queue that processes [`TABLE_TXNS_PER_SECOND`] transactions a second, behind a
+//! fixed round trip. Calls arrive at one host with exponentially distributed gaps. Each call ends a
+//! fixed time after its permit, and its end update shares a transaction with later inserts.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,17 +16,17 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Transactions a second that the table does.
-const TABLE_WRITES: u32 = 400;
-/// The round trip to the table, beside its queue.
+/// The number of transactions that the table processes per second.
+const TABLE_TXNS_PER_SECOND: u32 = 400;
+/// The round-trip time to the table, without the time in its queue.
 const ROUND_TRIP: Duration = Duration::from_millis(1);
-/// From permit to end of a call.
-const CALL_TIME: Duration = Duration::from_millis(20);
-/// The length of a run.
-const RUN: Duration = Duration::from_secs(30);
+/// The time from the permit of a call to its end.
+const CALL_DURATION: Duration = Duration::from_millis(20);
+/// The simulated duration of a run.
+const RUN_DURATION: Duration = Duration::from_secs(30);
 
 #[derive(Debug)]
-enum Due {
+enum TimedEvent {
     Call,
     Table(TxnId),
     End(RecordTicket),
@@ -35,11 +36,11 @@
     recorder: Recorder,
     rng: Pcg64,
     rate: f64,
-    /// What is due, by time and order.
-    due: BTreeMap<(Duration, u64), Due>,
+    /// The scheduled events, by time and insertion order.
+    events: BTreeMap<(Duration, u64), TimedEvent>,
     seq: u64,
-    table_free: Duration,
-    began: BTreeMap<RecordTicket, Duration>,
+    table_free_at: Duration,
+    started_at: BTreeMap<RecordTicket, Duration>,
     latency: Histogram<u64>,
     calls: u64,
     recorded: u64,
@@ -60,10 +61,10 @@
             recorder: Recorder::new(cfg),
             rng: Pcg64::seed_from_u64(4),
             rate: f64::from(rate),
-            due: BTreeMap::new(),
+            events: BTreeMap::new(),
             seq: 0,
-            table_free: Duration::ZERO,
-            began: BTreeMap::new(),
+            table_free_at: Duration::ZERO,
+            started_at: BTreeMap::new(),
             latency: Histogram::new(3).expect("a histogram"),
             calls: 0,
             recorded: 0,
@@ -73,21 +74,21 @@
         }
     }
 
-    fn at(&mut self, time: Duration, due: Due) {
-        self.due.insert((time, self.seq), due);
+    fn schedule(&mut self, time: Duration, event: TimedEvent) {
+        self.events.insert((time, self.seq), event);
         self.seq += 1;
     }
 
     fn next_call(&mut self, now: Duration) {
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.rate;
-        self.at(now + Duration::from_secs_f64(gap), Due::Call);
+        self.schedule(now + Duration::from_secs_f64(gap), TimedEvent::Call);
     }
 
     fn run(&mut self) {
         self.next_call(Duration::ZERO);
         loop {
             let tick = self.recorder.next_tick();
-            let next = self.due.first_key_value().map(|((time, _), _)| *time);
+            let next = self.events.first_key_value().map(|((time, _), _)| *time);
             let Some(next) = next else { return };
             let mut actions = Vec::new();
             let now = match tick.filter(|tick| *tick <= next) {
@@ -96,34 +97,34 @@
                     tick
                 }
                 None => {
-                    self.step(&mut actions);
+                    self.handle_next(&mut actions);
                     next
                 }
             };
-            if now > RUN {
+            if now > RUN_DURATION {
                 return;
             }
             self.carry_out(now, actions);
         }
     }
 
-    fn step(&mut self, actions: &mut Vec<Action>) {
-        let Some(((now, _), due)) = self.due.pop_first() else {
+    fn handle_next(&mut self, actions: &mut Vec<Action>) {
+        let Some(((now, _), event)) = self.events.pop_first() else {
             return;
         };
-        match due {
-            Due::Call => {
+        match event {
+            TimedEvent::Call => {
                 let key = format!("workspace/{:016x}", self.calls);
                 let ticket = self.recorder.begin(now, &key, 1, actions);
                 self.calls += 1;
-                self.began.insert(ticket, now);
+                self.started_at.insert(ticket, now);
                 self.next_call(now);
             }
-            Due::Table(id) => {
+            TimedEvent::Table(id) => {
                 self.recorder
                     .on_table_result(now, id, Ok(TxnOutcome::done(0)), actions);
             }
-            Due::End(ticket) => {
+            TimedEvent::End(ticket) => {
                 let answer = CallAnswer {
                     status: 200,
                     content_type: "application/json".to_owned(),
@@ -143,16 +144,18 @@
                     if let TableCall::Write(txn) = &call {
                         self.puts += txn.ops.iter().filter(is_put).count() as u64;
                     }
-                    self.table_free =
-                        self.table_free.max(now) + Duration::from_secs(1) / TABLE_WRITES;
-                    self.at(self.table_free + ROUND_TRIP, Due::Table(id));
+                    self.table_free_at = self.table_free_at.max(now)
+                        + Duration::from_secs(1) / TABLE_TXNS_PER_SECOND;
+                    self.schedule(self.table_free_at + ROUND_TRIP, TimedEvent::Table(id));
                 }
                 Action::Recorded { ticket, .. } => {
-                    let began = self.began.remove(&ticket).unwrap_or(now);
-                    let micros = (now - began).as_micros() as u64;
-                    self.latency.record(micros).expect("it resizes itself");
+                    let started_at = self.started_at.remove(&ticket).unwrap_or(now);
+                    let micros = (now - started_at).as_micros() as u64;
+                    self.latency
+                        .record(micros)
+                        .expect("the histogram resizes itself");
                     self.recorded += 1;
-                    self.at(now + CALL_TIME, Due::End(ticket));
+                    self.schedule(now + CALL_DURATION, TimedEvent::End(ticket));
                 }
                 Action::Refused { .. } => self.refused += 1,
                 Action::AlreadyRecorded { .. } => {}
@@ -160,8 +163,8 @@
         }
     }
 
-    fn row(&self, rate: u32, interval: Duration) {
-        let seconds = RUN.as_secs_f64();
+    fn print_row(&self, rate: u32, interval: Duration) {
+        let seconds = RUN_DURATION.as_secs_f64();
         let ms = |q| self.latency.value_at_quantile(q) as f64 / 1000.0;
         println!(
             "| {rate} | {} | {:.0} | {:.1} | {:.0} | {:.1} | {:.1} | {:.1} |",
@@ -186,7 +189,7 @@
             let interval = Duration::from_millis(interval);
             let mut sim = Sim::new(rate, interval);
             sim.run();
-            sim.row(rate, interval);
+            sim.print_row(rate, interval);
         }
     }
 }
--- a/crates/delivery/benches/steps.rs
+++ b/crates/delivery/benches/steps.rs
@@ -1,4 +1,4 @@
-//! What a token costs in the generation, per stage, and a record in the recorder.
+//! The processing time of a token in the generation, per stage, and of a record in the recorder.
 
 use std::{hint::black_box, time::Duration};
 
@@ -13,11 +13,11 @@
 use dragonflyrill_store::table::TxnOutcome;
 
 const TOKENS: u32 = 256;
-const PROMPT: usize = 256;
-/// Records of one round; more than fit into one transaction.
-const RECORDS: usize = 420;
-/// Recorded calls that have not ended: 2 s of calls at 2,000 a second.
-const OPEN: usize = 4000;
+const PROMPT_TOKENS: usize = 256;
+/// The number of records of one iteration; more than fit into one transaction.
+const NEW_RECORDS: usize = 420;
+/// The number of recorded calls that have not ended: 2 s of calls at 2,000 a second.
+const OPEN_CALLS: usize = 4000;
 
 fn chain(stages: u32) -> Chain {
     let stage = |i| Stage {
@@ -39,7 +39,7 @@
         request: "workspace/0123456789abcdef".to_owned(),
         model: "model".to_owned(),
         layers: stages,
-        prompt: vec![7; PROMPT],
+        prompt: vec![7; PROMPT_TOKENS],
         max_tokens: TOKENS,
         priority: 0,
         deadline: Duration::from_secs(1000),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Answers every step at once, as an engine would.
+/// Runs a generation whose steps are all answered at once, and returns the number of its tokens.
 fn generate(stages: u32, chain: Chain) -> u32 {
     let mut generation = Generation::with_config(spec(stages), Config::default());
     let mut actions = Vec::new();
@@ -88,7 +88,7 @@
     let id = HostId(Name::try_from("host").expect("a name"));
     let host = HostRef { id, incarnation: 1 };
     Recorder::new(record::Config {
-        max_waiting: OPEN,
+        max_waiting: OPEN_CALLS,
         ..record::Config::new(host, Duration::from_secs(1_000_000))
     })
 }
@@ -98,7 +98,7 @@
     keys.map(|i| format!("workspace/{i:016x}")).collect()
 }
 
-/// Begins calls, and has the table take all inserts.
+/// Starts calls whose inserts all succeed, and returns the number of recorded calls.
 fn record_all(recorder: &mut Recorder, keys: &[String]) -> usize {
     let mut actions = Vec::new();
     for key in keys {
@@ -129,14 +129,14 @@
     }
     group.finish();
     let mut group = c.benchmark_group("recorder, per record");
-    group.throughput(Throughput::Elements(RECORDS as u64));
-    let new = keys(OPEN, RECORDS);
-    for open in [0, OPEN] {
+    group.throughput(Throughput::Elements(NEW_RECORDS as u64));
+    let new = keys(OPEN_CALLS, NEW_RECORDS);
+    for open in [0, OPEN_CALLS] {
         let mut busy = recorder();
         assert_eq!(record_all(&mut busy, &keys(0, open)), open);
         group.bench_function(format!("{open} calls open"), |b| {
             let fresh = || busy.clone();
-            let run = |mut recorder| assert_eq!(record_all(&mut recorder, &new), RECORDS);
+            let run = |mut recorder| assert_eq!(record_all(&mut recorder, &new), NEW_RECORDS);
             b.iter_batched(fresh, run, BatchSize::LargeInput);
         });
     }
--- a/crates/delivery/src/generation/message.rs
+++ b/crates/delivery/src/generation/message.rs
@@ -108,7 +108,7 @@
 /// An input of a generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A chain was chosen. Ignored once the generation has a chain.
+    /// A chain was chosen. Only the first chain is accepted.
     Start(Chain),
     /// Continue with the chain of [`ResumeState::stages`]; ignored if it is empty.
     Continue,
--- a/crates/delivery/src/generation/stage.rs
+++ b/crates/delivery/src/generation/stage.rs
@@ -76,9 +76,8 @@
         self.inputs.from == 0
     }
 
-    /// The checkpoint, if the inputs that follow it are kept, there is at least one, and all
-    /// earlier outputs were passed on: the outputs of a checkpoint's positions can't be had from
-    /// it.
+    /// The checkpoint, if the inputs that follow it are kept, there is at least one of them, and
+    /// the outputs of all its positions were forwarded: they can't be computed from the checkpoint.
     pub(super) fn usable_checkpoint(&self) -> Option<&wire::KvCheckpoint> {
         let checkpoint = self.checkpoint.as_ref()?;
         let follows = self.inputs.from..self.inputs.end();
--- a/crates/delivery/tests/dedup.rs
+++ b/crates/delivery/tests/dedup.rs
@@ -1,4 +1,5 @@
-//! The home of a request key.
+//! The home host of a request key: it is the same at all hosts, spread evenly, and moves only if
+//! its host leaves.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn the_order_of_peers_means_nothing() {
+fn the_home_does_not_depend_on_the_order_of_peers() {
     let peers = peers(7);
     let reversed: Vec<_> = peers.iter().rev().cloned().collect();
     for i in 0..100 {
--- a/crates/delivery/tests/error_table.rs
+++ b/crates/delivery/tests/error_table.rs
@@ -1,4 +1,4 @@
-//! The documentation's table of errors is the program's table.
+//! The table of errors in the documentation equals the table in the code.
 
 use dragonflyrill_delivery::{ErrorKind, RunStatus};
 
--- a/crates/delivery/tests/generation_random.rs
+++ b/crates/delivery/tests/generation_random.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults over the real generation and the stand-in engines: the answer is that
-//! of a run without faults, whatever happens on the way.
+//! Random schedules of messages and faults over the generation and the stand-in engines. The answer
+//! has to equal that of a run without faults.
 
 mod support;
 
@@ -51,7 +51,7 @@
         })
 }
 
-/// The same cases in every run; `PROPTEST_RNG_SEED` and `PROPTEST_CASES` ask for others.
+/// Runs the same cases in every run, unless `PROPTEST_RNG_SEED` or `PROPTEST_CASES` is set.
 fn config() -> ProptestConfig {
     let asked = ProptestConfig::default();
     let rng_seed = match asked.rng_seed {
@@ -80,8 +80,8 @@
         let restarts = plan.schedule.iter().any(|step| matches!(step, Step::Restart(_)));
         let mut fleet = Fleet::new(plan);
         fleet.run();
-        // A restarted engine has forgotten which steps it must refuse.
-        prop_assert!(restarts || !fleet.holds_a_slot(), "a slot is held after the end");
+        // A restarted engine has lost the cancels that would make it refuse late steps.
+        prop_assert!(restarts || !fleet.holds_slot(), "a slot is held after the end");
         prop_assert_eq!(fleet.end, Some(Ok(())));
         prop_assert_eq!(&fleet.released, &fleet.expected());
     }
--- a/crates/delivery/tests/generation_steps.rs
+++ b/crates/delivery/tests/generation_steps.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a generation: when it waits, gives up, frees and moves.
+//! Single decisions of a generation: timeouts, deadlines, freed endpoints, refusals and handovers.
 
 use std::time::Duration;
 
@@ -45,12 +45,12 @@
     actions
 }
 
-fn sent(actions: &[Action]) -> (EndpointId, wire::Step) {
-    let mut sent = actions.iter().filter_map(|action| match action {
+fn sent_step(actions: &[Action]) -> (EndpointId, wire::Step) {
+    let mut steps = actions.iter().filter_map(|action| match action {
         Action::Send { endpoint, step } => Some((endpoint.clone(), step.clone())),
         _ => None,
     });
-    sent.next().expect("a step is sent")
+    steps.next().expect("a step is sent")
 }
 
 fn answer((endpoint, step): (EndpointId, wire::Step)) -> Event {
@@ -72,18 +72,18 @@
     Event::Result { endpoint, result }
 }
 
-/// Runs `n` steps of `each`, and answers the time and the last actions.
+/// Runs `n` steps that take `each`, and returns the time and the last actions.
 fn run(generation: &mut Generation, n: u32, each: Duration) -> (Duration, Vec<Action>) {
     let mut now = Duration::ZERO;
     let mut actions = handle(generation, now, Event::Start(chain("e0")));
     for _ in 0..n {
         now += each;
-        actions = handle(generation, now, answer(sent(&actions)));
+        actions = handle(generation, now, answer(sent_step(&actions)));
     }
     (now, actions)
 }
 
-fn ended(actions: &[Action]) -> Option<ErrorKind> {
+fn failure(actions: &[Action]) -> Option<ErrorKind> {
     actions.iter().find_map(|action| match action {
         Action::Fail(kind) => Some(*kind),
         _ => None,
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn a_frozen_stage_is_asked_again_and_then_replaced_well_under_a_second() {
+fn a_frozen_stage_gets_one_retry_and_is_replaced_within_half_a_second() {
     let mut generation = Generation::new(spec(ms(60_000)));
     let (began, actions) = run(&mut generation, 60, ms(4));
-    let first = sent(&actions);
+    let first = sent_step(&actions);
     let due = generation.next_wake().expect("a time");
     let again = handle(&mut generation, due, Event::Tick);
-    let (_, mut step) = sent(&again);
+    let (_, mut step) = sent_step(&again);
     step.deadline_ms = first.1.deadline_ms;
     assert_eq!(step, first.1, "the same step under the same id");
     let due = generation.next_wake().expect("a time");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_slow_stage_is_given_more_time() {
+fn a_slow_stage_gets_a_longer_timeout() {
     let wait = |each| {
         let mut generation = Generation::new(spec(ms(600_000)));
         let (now, _) = run(&mut generation, 60, each);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_long_prefill_is_given_more_time() {
+fn a_long_prefill_gets_a_longer_timeout() {
     let wait = |positions: usize| {
         let spec = Spec {
             prompt: vec![1; positions],
@@ -143,23 +143,23 @@
 }
 
 #[test]
-fn a_tick_that_comes_early_does_nothing() {
+fn an_early_tick_does_nothing() {
     let mut generation = Generation::new(spec(ms(60_000)));
     handle(&mut generation, ms(0), Event::Start(chain("e0")));
     assert_eq!(handle(&mut generation, ms(1), Event::Tick), []);
 }
 
 #[test]
-fn work_that_cannot_make_it_is_given_up_at_once_with_a_time_to_come_back() {
+fn a_generation_that_will_miss_its_deadline_fails_at_once_with_a_retry_time() {
     let mut generation = Generation::new(spec(ms(5000)));
     let (now, actions) = run(&mut generation, 5, ms(100));
-    assert_eq!(ended(&actions), Some(ErrorKind::DeadlineExceeded));
+    assert_eq!(failure(&actions), Some(ErrorKind::DeadlineExceeded));
     assert!(now < ms(5000));
     assert!(generation.retry_after().is_some_and(|wait| wait > ms(5000)));
 }
 
 #[test]
-fn work_that_cannot_make_it_is_not_begun() {
+fn a_generation_that_will_miss_its_deadline_is_not_started() {
     let cfg = Config {
         step_times: StepTimes {
             token: Some(ms(100)),
@@ -173,10 +173,10 @@
 }
 
 #[test]
-fn the_time_left_shrinks_from_hop_to_hop() {
+fn the_remaining_time_decreases_with_each_step() {
     let mut generation = Generation::new(spec(ms(60_000)));
     let (now, actions) = run(&mut generation, 3, ms(100));
-    let (_, step) = sent(&actions);
+    let (_, step) = sent_step(&actions);
     assert_eq!(now, ms(300));
     assert_eq!(step.deadline_ms, 59_700);
 }
@@ -196,14 +196,14 @@
     handle(&mut generation, now, Event::Replacement(chain("e1")));
     let actions = handle(&mut generation, now, Event::Cancel);
     assert_eq!(freed(&actions), ["e0", "e1"]);
-    assert_eq!(ended(&actions), Some(ErrorKind::Cancelled));
+    assert_eq!(failure(&actions), Some(ErrorKind::Cancelled));
 }
 
 #[test]
 fn a_newer_attempt_elsewhere_ends_the_generation() {
     let mut generation = Generation::new(spec(ms(60_000)));
     let (now, actions) = run(&mut generation, 2, ms(1));
-    let (endpoint, step) = sent(&actions);
+    let (endpoint, step) = sent_step(&actions);
     let result = wire::StepResult {
         request: step.request,
         attempt: step.attempt,
@@ -214,14 +214,14 @@
         },
     };
     let actions = handle(&mut generation, now, Event::Result { endpoint, result });
-    assert_eq!(ended(&actions), Some(ErrorKind::RunningElsewhere));
+    assert_eq!(failure(&actions), Some(ErrorKind::RunningElsewhere));
 }
 
 #[test]
 fn a_restarted_endpoint_gets_the_kept_inputs_again() {
     let mut generation = Generation::new(spec(ms(60_000)));
     let (now, actions) = run(&mut generation, 2, ms(1));
-    let (endpoint, step) = sent(&actions);
+    let (endpoint, step) = sent_step(&actions);
     let result = wire::StepResult {
         request: step.request,
         attempt: step.attempt,
@@ -232,32 +232,32 @@
         },
     };
     let actions = handle(&mut generation, now, Event::Result { endpoint, result });
-    let (_, step) = sent(&actions);
+    let (_, step) = sent_step(&actions);
     assert_eq!((step.start, step.attempt), (0, 2));
     assert_eq!(step.inputs, [1, 2, 3, 3, 3]);
 }
 
 #[test]
-fn a_moved_generation_goes_on_where_it_was() {
+fn a_moved_generation_continues_at_its_position() {
     let mut generation = Generation::new(spec(ms(60_000)));
     let (now, actions) = run(&mut generation, 2, ms(1));
     assert_eq!(handle(&mut generation, now, Event::Handover), []);
-    let actions = handle(&mut generation, now, answer(sent(&actions)));
+    let actions = handle(&mut generation, now, answer(sent_step(&actions)));
     let [Action::Release { index: 2, .. }, Action::Moved(resume)] = &actions[..] else {
         panic!("{actions:?}");
     };
     assert_eq!(generation.next_wake(), None);
     let mut generation = Generation::resume(ms(7), resume.clone(), Config::default());
-    let (_, step) = sent(&handle(&mut generation, ms(7), Event::Continue));
+    let (_, step) = sent_step(&handle(&mut generation, ms(7), Event::Continue));
     assert_eq!((step.start, step.attempt), (5, 2));
     assert_eq!(step.inputs.len(), 1);
 }
 
 #[test]
-fn an_endpoint_that_still_holds_other_layers_is_freed_and_asked_again() {
+fn an_endpoint_that_still_holds_other_layers_is_freed_and_retried() {
     let mut generation = Generation::new(spec(ms(60_000)));
     let actions = handle(&mut generation, ms(0), Event::Start(chain("e0")));
-    let (endpoint, step) = sent(&actions);
+    let (endpoint, step) = sent_step(&actions);
     let result = wire::StepResult {
         request: step.request.clone(),
         attempt: step.attempt,
@@ -270,6 +270,6 @@
     let actions = handle(&mut generation, ms(0), Event::Result { endpoint, result });
     assert_eq!(freed(&actions), ["e0"]);
     let due = generation.next_wake().expect("a time");
-    let (_, again) = sent(&handle(&mut generation, due, Event::Tick));
+    let (_, again) = sent_step(&handle(&mut generation, due, Event::Tick));
     assert_eq!((again.attempt, again.start), (step.attempt, 0));
 }
--- a/crates/delivery/tests/kinds.rs
+++ b/crates/delivery/tests/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of errors before and after a dispatch.
+//! Each error kind belongs either to the kinds before dispatch or to those after it.
 
 use dragonflyrill_delivery::{
     ErrorKind, RunStatus,
--- a/crates/delivery/tests/record_search.rs
+++ b/crates/delivery/tests/record_search.rs
@@ -1,8 +1,8 @@
-//! Exhaustive bounded search over two real recorders, a table and one key: every order of calls,
-//! transactions and dispatches, with lost answers, delayed writes, crashes and pauses up to a
-//! bound.
+//! Exhaustive bounded search over two recorders, a table and one key: every order of calls,
+//! transactions and dispatches, with lost answers, delayed transactions, crashes and pauses.
 //!
-//! `SEARCH_FAULTS` raises the bound on faults.
+//! The number of faults is bounded; `SEARCH_FAULTS` sets the bound of the tests that have to hold.
+//! Each mutant removes one check, and the search has to detect the resulting violation.
 
 mod support;
 
@@ -19,75 +19,79 @@
     skew: Duration::ZERO,
     trims: 0,
     mutant: Mutant::None,
-    twice_only: false,
+    only_double_dispatch: false,
 };
 
-const TWICE: Setup = Setup {
+const DOUBLE_DISPATCH: Setup = Setup {
     faults: 1,
-    twice_only: true,
+    only_double_dispatch: true,
     ..BASE
 };
 
-fn bound(fallback: u32) -> u32 {
+/// The maximum number of faults: `SEARCH_FAULTS`, or `default` if it is not set.
+fn max_faults(default: u32) -> u32 {
     let raw = std::env::var("SEARCH_FAULTS").ok();
-    raw.and_then(|raw| raw.parse().ok()).unwrap_or(fallback)
+    raw.and_then(|raw| raw.parse().ok()).unwrap_or(default)
 }
 
 fn search(name: &str, setup: Setup) -> Report {
     let report = explore(Records::new(setup));
     println!(
         "{name}: {} states, depth {}, {} ends",
-        report.states, report.depth, report.ends
+        report.states, report.depth, report.end_states
     );
     report
 }
 
-fn holds(name: &str, setup: Setup) {
+fn assert_holds(name: &str, setup: Setup) {
     let report = search(name, setup);
     assert_eq!(report.counterexample, None, "{name}");
-    assert!(report.ends > 0, "{name}: no run ends");
+    assert!(report.end_states > 0, "{name}: no run ends");
 }
 
-fn caught(mutant: Mutant, setup: Setup) {
+fn assert_detected(mutant: Mutant, setup: Setup) {
     let report = search(&format!("{mutant:?}"), Setup { mutant, ..setup });
-    let (steps, broken) = report.counterexample.expect("the mutant is caught");
-    println!("{mutant:?}: caught after {} steps: {broken}", steps.len());
+    let (steps, violation) = report.counterexample.expect("the mutant is detected");
+    println!(
+        "{mutant:?}: detected after {} steps: {violation}",
+        steps.len()
+    );
 }
 
 #[test]
 fn two_calls_run_at_most_once() {
-    let faults = bound(2);
-    holds("two calls", Setup { faults, ..BASE });
+    let faults = max_faults(2);
+    assert_holds("two calls", Setup { faults, ..BASE });
 }
 
 #[test]
 fn three_calls_run_at_most_once() {
     let setup = Setup {
         calls: 3,
-        faults: bound(1),
+        faults: max_faults(1),
         ..BASE
     };
-    holds("three calls", setup);
+    assert_holds("three calls", setup);
 }
 
 #[test]
 fn calls_run_at_most_once_while_records_are_trimmed() {
     let setup = Setup {
         trims: 1,
-        faults: bound(1),
+        faults: max_faults(1),
         ..BASE
     };
-    holds("trims", setup);
+    assert_holds("trims", setup);
 }
 
 #[test]
-fn calls_run_at_most_once_with_clocks_apart() {
+fn calls_run_at_most_once_with_skewed_clocks() {
     let setup = Setup {
         skew: Duration::from_secs(90),
-        faults: bound(1),
+        faults: max_faults(1),
         ..BASE
     };
-    holds("clocks apart", setup);
+    assert_holds("clocks apart", setup);
 }
 
 #[test]
@@ -97,67 +101,71 @@
         faults: 0,
         ..BASE
     };
-    caught(Mutant::TermIgnored, setup);
+    assert_detected(Mutant::TermIgnored, setup);
 }
 
 #[test]
 fn begun_records_must_not_be_taken_over() {
-    caught(Mutant::BegunTakenOver, TWICE);
+    assert_detected(Mutant::BegunTakenOver, DOUBLE_DISPATCH);
 }
 
 #[test]
 fn a_lost_answer_must_not_count_as_done() {
-    caught(Mutant::UnknownIsDone, TWICE);
+    assert_detected(Mutant::UnknownIsDone, DOUBLE_DISPATCH);
 }
 
 #[test]
 fn a_lost_answer_must_not_count_as_never_sent() {
-    caught(Mutant::UnknownIsNotSent, BASE);
+    assert_detected(Mutant::UnknownIsNotSent, BASE);
 }
 
 #[test]
 fn inserts_have_to_be_conditional() {
-    caught(Mutant::NoConditions, TWICE);
+    assert_detected(Mutant::NoConditions, DOUBLE_DISPATCH);
 }
 
 #[test]
-fn inserts_have_to_look_into_the_next_buckets() {
+fn inserts_have_to_check_the_adjacent_buckets() {
     let setup = Setup {
         skew: Duration::from_secs(90),
         faults: 0,
         ..BASE
     };
-    caught(Mutant::OneBucket, setup);
+    assert_detected(Mutant::OneBucket, setup);
 }
 
 #[test]
-fn writes_have_to_be_told_apart() {
-    caught(Mutant::SameWriteIds, TWICE);
+fn writes_need_distinct_ids() {
+    assert_detected(Mutant::SameWriteIds, DOUBLE_DISPATCH);
 }
 
 #[test]
-fn a_takeover_has_to_depend_on_what_was_read() {
-    let setup = Setup { calls: 3, ..TWICE };
-    caught(Mutant::BlindTakeover, setup);
+fn a_takeover_has_to_depend_on_the_row_that_was_read() {
+    let setup = Setup {
+        calls: 3,
+        ..DOUBLE_DISPATCH
+    };
+    assert_detected(Mutant::BlindTakeover, setup);
 }
 
-/// Takes the named steps, and then searches everything that may follow without further faults.
-fn follow(setup: Setup, steps: &[&str]) {
+/// Applies the named steps, and then searches all states that are reachable from there. `steps`
+/// should use up all faults of `setup`.
+fn search_after(setup: Setup, steps: &[&str]) {
     let mut world = Records::new(setup);
     for step in steps {
-        let mut next = world.next().into_iter();
+        let mut next = world.next_steps().into_iter();
         let found = next.find(|(name, _)| name == step);
-        let Some((_, taken)) = found else {
+        let Some((_, after)) = found else {
             panic!("{step} is not possible");
         };
-        world = taken;
+        world = after;
     }
     let report = explore(world);
     assert_eq!(report.counterexample, None);
 }
 
 #[test]
-fn a_takeover_that_was_given_up_cannot_take_effect_late() {
+fn an_abandoned_takeover_cannot_take_effect_late() {
     let steps = [
         "Call(0)",
         "Tick(0)",
@@ -172,5 +180,5 @@
         "Tick(0)",
         "Run(0)",
     ];
-    follow(Setup { faults: 3, ..BASE }, &steps);
+    search_after(Setup { faults: 3, ..BASE }, &steps);
 }
--- a/crates/delivery/tests/record_steps.rs
+++ b/crates/delivery/tests/record_steps.rs
@@ -1,4 +1,5 @@
-//! Single decisions of a recorder.
+//! Single decisions of a recorder: batching, refusals, existing records, expired permits and
+//! deletion of old records.
 
 mod support;
 
@@ -25,19 +26,20 @@
     Config::new(host, Duration::from_secs(1_000_000))
 }
 
-/// Runs all transactions of `actions` and of their answers, and answers the other actions.
-fn settle(
+/// Runs all transactions of `actions` and of the actions that follow from their results, and
+/// returns the other actions.
+fn run_transactions(
     recorder: &mut Recorder,
     table: &mut MemoryTable,
     now: Duration,
     actions: Vec<Action>,
 ) -> Vec<Action> {
-    let mut todo = actions;
+    let mut queue = actions;
     let mut rest = Vec::new();
-    while let Some(action) = todo.pop() {
+    while let Some(action) = queue.pop() {
         match action {
             Action::CallTable { id, call } => {
-                recorder.on_table_result(now, id, Ok(table.call(&call)), &mut todo);
+                recorder.on_table_result(now, id, Ok(table.call(&call)), &mut queue);
             }
             other => rest.push(other),
         }
@@ -48,7 +50,7 @@
 fn tick(recorder: &mut Recorder, table: &mut MemoryTable, now: Duration) -> Vec<Action> {
     let mut actions = Vec::new();
     recorder.tick(now, &mut actions);
-    settle(recorder, table, now, actions)
+    run_transactions(recorder, table, now, actions)
 }
 
 fn begin(recorder: &mut Recorder, now: Duration, key: &str) -> (RecordTicket, Vec<Action>) {
@@ -102,7 +104,7 @@
     for i in 0..20 {
         begun.extend(begin(&mut second, ms(0), &format!("w/{i}")).1);
     }
-    let mut actions = settle(&mut second, &mut table, ms(0), begun);
+    let mut actions = run_transactions(&mut second, &mut table, ms(0), begun);
     actions.extend(tick(&mut second, &mut table, ms(10)));
     assert_eq!(known(&actions).map(|r| &r.state), Some(&RecordState::Begun));
     assert_eq!(permits(actions).len(), 19);
@@ -122,19 +124,19 @@
 }
 
 #[test]
-fn a_full_transaction_leaves_at_once_and_within_its_bound() {
+fn a_full_transaction_is_sent_at_once_and_within_its_size_limit() {
     let mut recorder = Recorder::new(config("h0"));
     let sent = (0..60).find_map(|i| {
         let (_, actions) = begin(&mut recorder, ms(0), &format!("w/{i}"));
         (!actions.is_empty()).then(|| only_txn(actions).1)
     });
-    let txn = sent.expect("it leaves");
+    let txn = sent.expect("a full transaction is sent");
     assert!(txn.conditions.len() + txn.ops.len() <= MAX_ENTRIES);
     assert_eq!(txn.ops.len(), 20);
 }
 
 #[test]
-fn with_the_table_out_of_reach_calls_are_refused_at_once() {
+fn calls_are_refused_at_once_while_the_table_is_unavailable() {
     let mut recorder = Recorder::new(config("h0"));
     begin(&mut recorder, ms(0), "w/1");
     let mut actions = Vec::new();
@@ -154,11 +156,11 @@
     let (_, actions) = begin(&mut recorder, ms(12), "w/2");
     assert!(matches!(actions[..], [Action::Refused { .. }]));
     let (_, actions) = begin(&mut recorder, ms(600), "w/3");
-    assert_eq!(actions, [], "the table is tried again after a while");
+    assert_eq!(actions, [], "the table is used again after the backoff");
 }
 
 #[test]
-fn a_silent_table_is_given_up_within_the_limit() {
+fn calls_are_refused_within_their_term_if_the_table_does_not_answer() {
     let mut recorder = Recorder::new(config("h0"));
     let (ticket, mut actions) = begin(&mut recorder, ms(0), "w/1");
     while !actions.iter().any(|a| matches!(a, Action::Refused { .. })) {
@@ -191,7 +193,7 @@
 }
 
 #[test]
-fn the_answer_is_known_at_other_hosts() {
+fn other_hosts_find_the_answer_in_the_record() {
     let mut table = MemoryTable::default();
     let mut first = Recorder::new(config("h0"));
     let (ticket, _) = begin(&mut first, ms(0), "w/1");
@@ -212,7 +214,7 @@
 }
 
 #[test]
-fn a_lapsed_permit_frees_the_key_for_another_host() {
+fn an_expired_permit_frees_the_key_for_another_host() {
     let mut table = MemoryTable::default();
     let mut first = Recorder::new(config("h0"));
     begin(&mut first, ms(0), "w/1");
@@ -236,22 +238,22 @@
     for (days, left) in [(1, 1), (2, 1), (3, 0)] {
         let mut actions = Vec::new();
         recorder.trim(day * days, &mut actions);
-        settle(&mut recorder, &mut table, day * days, actions);
+        run_transactions(&mut recorder, &mut table, day * days, actions);
         assert_eq!(table.keys().count(), left, "after {days} days");
     }
 }
 
 #[test]
-fn the_end_of_a_call_outlives_a_conflict_of_its_transaction() {
+fn the_end_of_a_call_is_sent_again_after_a_conflict_in_its_transaction() {
     let mut table = MemoryTable::default();
     let mut first = Recorder::new(config("h0"));
-    begin(&mut first, ms(0), "w/taken");
+    begin(&mut first, ms(0), "w/existing");
     tick(&mut first, &mut table, ms(10));
     let mut second = Recorder::new(config("h1"));
     let (ended, _) = begin(&mut second, ms(0), "w/1");
     tick(&mut second, &mut table, ms(10));
     second.finish(ms(20), ended, Outcome::Answered(answer()));
-    begin(&mut second, ms(20), "w/taken");
+    begin(&mut second, ms(20), "w/existing");
     tick(&mut second, &mut table, ms(30));
     tick(&mut second, &mut table, ms(40));
     let mut third = Recorder::new(config("h2"));
--- a/crates/delivery/tests/support/engine.rs
+++ b/crates/delivery/tests/support/engine.rs
@@ -1,5 +1,5 @@
-//! A tiny engine that can be copied, so that a search can branch on it. It keeps the rules of the
-//! engine interface and runs the reference model.
+//! A minimal engine that can be cloned, so that a search can branch on it. It follows the rules of
+//! the engine interface and runs the reference model.
 
 use dragonflyrill_engines::wire::{self, StepOutcome, StepRefusal};
 use dragonflyrill_standins::reference;
@@ -7,7 +7,7 @@
 pub(crate) const MODEL: &str = "m";
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Kept {
+struct CachedAnswer {
     attempt: u32,
     start: u32,
     outputs: Vec<u64>,
@@ -16,14 +16,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Session {
     layers: wire::Layers,
-    seen: u32,
-    ran: u32,
+    latest_attempt: u32,
+    last_run_attempt: u32,
     position: u32,
-    states: Vec<u64>,
-    kept: Vec<Kept>,
+    layer_states: Vec<u64>,
+    cached_answers: Vec<CachedAnswer>,
 }
 
-/// One engine with room for one request.
+/// An engine with capacity for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Engine {
     pub(crate) id: String,
@@ -32,8 +32,8 @@
     model_layers: u32,
     session: Option<Session>,
     cancelled: u32,
-    seen: u32,
-    /// Runs a step whatever position it starts at: for mutations.
+    latest_attempt: u32,
+    /// Whether a step has to start at the session's position; false only for a mutant.
     pub(crate) checks_position: bool,
 }
 
@@ -46,12 +46,12 @@
             model_layers,
             session: None,
             cancelled: 0,
-            seen: 0,
+            latest_attempt: 0,
             checks_position: true,
         }
     }
 
-    pub(crate) fn holds_a_slot(&self) -> bool {
+    pub(crate) fn holds_slot(&self) -> bool {
         self.session.is_some() && !self.dead
     }
 
@@ -59,7 +59,7 @@
         self.incarnation += 1;
         self.session = None;
         self.cancelled = 0;
-        self.seen = 0;
+        self.latest_attempt = 0;
     }
 
     pub(crate) fn step(&mut self, step: &wire::Step) -> wire::StepResult {
@@ -90,37 +90,42 @@
         if step.attempt <= self.cancelled {
             return Err(StepRefusal::Cancelled);
         }
-        if step.attempt < self.session.as_ref().map_or(self.seen, |s| s.seen) {
+        if step.attempt
+            < self
+                .session
+                .as_ref()
+                .map_or(self.latest_attempt, |s| s.latest_attempt)
+        {
             return Err(StepRefusal::StaleAttempt);
         }
         if self.session.is_none() {
             if step.start != 0 && self.checks_position {
                 return Err(StepRefusal::Position);
             }
-            self.session = Some(fresh(step));
+            self.session = Some(new_session(step));
         }
         let last_layer = step.layers.end == self.model_layers;
         let checks_position = self.checks_position;
         let Some(session) = self.session.as_mut() else {
             return Err(StepRefusal::Busy);
         };
-        session.seen = step.attempt;
+        session.latest_attempt = step.attempt;
         if session.layers != step.layers {
             return Err(StepRefusal::Layers);
         }
-        let mut kept = session.kept.iter();
+        let mut kept = session.cached_answers.iter();
         if let Some(kept) = kept.find(|k| k.attempt == step.attempt && k.start == step.start) {
             return Ok(kept.outputs.clone());
         }
         if step.start != session.position && checks_position {
             return Err(StepRefusal::Position);
         }
-        if session.ran != step.attempt {
-            session.kept.clear();
-            session.ran = step.attempt;
+        if session.last_run_attempt != step.attempt {
+            session.cached_answers.clear();
+            session.last_run_attempt = step.attempt;
         }
         let outputs = session.run(step, last_layer);
-        session.kept.push(Kept {
+        session.cached_answers.push(CachedAnswer {
             attempt: step.attempt,
             start: step.start,
             outputs: outputs.clone(),
@@ -130,9 +135,12 @@
 
     pub(crate) fn cancel(&mut self, cancel: &wire::Cancel) {
         self.cancelled = self.cancelled.max(cancel.attempt);
-        self.seen = self.seen.max(cancel.attempt);
-        if let Some(session) = self.session.take_if(|s| s.ran <= cancel.attempt) {
-            self.seen = self.seen.max(session.seen);
+        self.latest_attempt = self.latest_attempt.max(cancel.attempt);
+        if let Some(session) = self
+            .session
+            .take_if(|s| s.last_run_attempt <= cancel.attempt)
+        {
+            self.latest_attempt = self.latest_attempt.max(session.latest_attempt);
         }
     }
 
@@ -140,39 +148,42 @@
         let session = self.session.as_ref()?;
         Some(wire::KvCheckpoint {
             request: request.to_owned(),
-            attempt: session.ran,
+            attempt: session.last_run_attempt,
             model: MODEL.to_owned(),
             layers: session.layers,
             position: session.position,
-            state: session.states.clone(),
+            state: session.layer_states.clone(),
         })
     }
 
     pub(crate) fn import(&mut self, kv: &wire::KvCheckpoint) -> bool {
-        let seen = self.session.as_ref().map_or(self.seen, |s| s.seen);
-        if kv.attempt <= self.cancelled || kv.attempt < seen {
+        let latest_attempt = self
+            .session
+            .as_ref()
+            .map_or(self.latest_attempt, |s| s.latest_attempt);
+        if kv.attempt <= self.cancelled || kv.attempt < latest_attempt {
             return false;
         }
         self.session = Some(Session {
             layers: kv.layers,
-            seen: kv.attempt,
-            ran: kv.attempt,
+            latest_attempt: kv.attempt,
+            last_run_attempt: kv.attempt,
             position: kv.position,
-            states: kv.state.clone(),
-            kept: Vec::new(),
+            layer_states: kv.state.clone(),
+            cached_answers: Vec::new(),
         });
         true
     }
 }
 
-fn fresh(step: &wire::Step) -> Session {
+fn new_session(step: &wire::Step) -> Session {
     Session {
         layers: step.layers,
-        seen: step.attempt,
-        ran: step.attempt,
+        latest_attempt: step.attempt,
+        last_run_attempt: step.attempt,
         position: 0,
-        states: reference::initial_states(MODEL, step.layers.first, step.layers.end),
-        kept: Vec::new(),
+        layer_states: reference::initial_states(MODEL, step.layers.first, step.layers.end),
+        cached_answers: Vec::new(),
     }
 }
 
@@ -181,7 +192,7 @@
         let mut outputs = Vec::new();
         for &input in &step.inputs {
             let first = self.layers.first;
-            let x = reference::run_position(&mut self.states, first, self.position, input);
+            let x = reference::run_position(&mut self.layer_states, first, self.position, input);
             outputs.push(match last_layer {
                 true => reference::token_id(x),
                 false => x,
--- a/crates/delivery/tests/support/explore.rs
+++ b/crates/delivery/tests/support/explore.rs
@@ -1,4 +1,4 @@
-//! Exhaustive bounded search by breadth, so that a counterexample is a shortest one.
+//! Exhaustive breadth-first search, which finds a shortest counterexample.
 
 use std::{
     cell::Cell,
@@ -10,41 +10,41 @@
 use pathfinding::prelude::bfs;
 use xxhash_rust::xxh3;
 
-/// A system whose every next step is known.
+/// A system whose possible next steps can be enumerated.
 pub(crate) trait System: Clone + Debug {
-    /// The states after each possible next step, and the step's name.
-    fn next(&self) -> Vec<(String, Self)>;
-    /// The broken invariant, if one is.
-    fn broken(&self) -> Option<String>;
+    /// Each possible next step: its name and the state after it.
+    fn next_steps(&self) -> Vec<(String, Self)>;
+    /// A description of the violated invariant, if there is one.
+    fn violation(&self) -> Option<String>;
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug)]
 pub(crate) struct Report {
-    /// Distinct states.
+    /// The number of distinct states.
     pub(crate) states: usize,
-    /// The longest of the shortest ways to a state.
+    /// The length of the longest of the shortest paths to a state.
     pub(crate) depth: usize,
-    /// States without a next step.
-    pub(crate) ends: usize,
-    /// The shortest way to a broken invariant, and the invariant.
+    /// The number of states without a next step.
+    pub(crate) end_states: usize,
+    /// The steps of a shortest path to a violated invariant, and the description of the violation.
     pub(crate) counterexample: Option<(Vec<String>, String)>,
 }
 
-/// States are equal if their debug texts are: the digest has 128 bits.
+/// A visited state. States are equal if the 128-bit digests of their `Debug` texts are equal.
 struct Node<S> {
     digest: u128,
     depth: usize,
-    by: String,
+    step_name: String,
     system: Rc<S>,
 }
 
 impl<S: System> Node<S> {
-    fn new(system: S, by: String, depth: usize) -> Self {
+    fn new(system: S, step_name: String, depth: usize) -> Self {
         Self {
             digest: xxh3::xxh3_128(format!("{system:?}").as_bytes()),
             depth,
-            by,
+            step_name,
             system: Rc::new(system),
         }
     }
@@ -55,7 +55,7 @@
         Self {
             digest: self.digest,
             depth: self.depth,
-            by: self.by.clone(),
+            step_name: self.step_name.clone(),
             system: self.system.clone(),
         }
     }
@@ -75,31 +75,35 @@
     }
 }
 
-/// Searches all states that `start` can reach.
+/// Searches all states that are reachable from `start`.
 pub(crate) fn explore<S: System>(start: S) -> Report {
-    let (states, depth, ends) = (Cell::new(0), Cell::new(0), Cell::new(0));
+    let (states, depth, end_states) = (Cell::new(0), Cell::new(0), Cell::new(0));
     let successors = |node: &Node<S>| {
         states.set(states.get() + 1);
         depth.set(depth.get().max(node.depth));
-        let next = node.system.next();
-        ends.set(ends.get() + usize::from(next.is_empty()));
+        let next = node.system.next_steps();
+        end_states.set(end_states.get() + usize::from(next.is_empty()));
         let next = next.into_iter();
         let next: Vec<_> = next
-            .map(|(by, system)| Node::new(system, by, node.depth + 1))
+            .map(|(step_name, system)| Node::new(system, step_name, node.depth + 1))
             .collect();
         next
     };
     let first = Node::new(start, "start".to_owned(), 0);
-    let found = bfs(&first, successors, |node| node.system.broken().is_some());
+    let found = bfs(&first, successors, |node| node.system.violation().is_some());
     let counterexample = found.map(|path| {
-        let broken = path.last().and_then(|node| node.system.broken());
-        let steps = path.into_iter().skip(1).map(|node| node.by).collect();
-        (steps, broken.unwrap_or_default())
+        let violation = path.last().and_then(|node| node.system.violation());
+        let steps = path
+            .into_iter()
+            .skip(1)
+            .map(|node| node.step_name)
+            .collect();
+        (steps, violation.unwrap_or_default())
     });
     Report {
         states: states.get(),
         depth: depth.get(),
-        ends: ends.get(),
+        end_states: end_states.get(),
         counterexample,
     }
 }
--- a/crates/delivery/tests/support/fleet.rs
+++ b/crates/delivery/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A generation before the stand-in engines, under a random schedule of messages and faults.
+//! A generation and stand-in engines, under a random schedule of messages and faults.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,10 +14,10 @@
 
 const MODEL: &str = "m";
 const REQUEST: &str = "w/1";
-/// After this many steps a run counts as stuck.
+/// The number of steps after which a run is considered stuck.
 const MAX_STEPS: usize = 20_000;
 
-/// What is run, and what goes wrong.
+/// The request, the chain and the schedule of one run.
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
     pub(crate) stages: u32,
@@ -29,14 +29,14 @@
     pub(crate) schedule: Vec<Step>,
 }
 
-/// One step of the schedule. Numbers are taken modulo what there is.
+/// One step of the schedule. Indices are taken modulo the number of messages or endpoints.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Step {
     Deliver(usize),
     Copy(usize),
     Drop(usize),
     Restart(usize),
-    /// No message to or from the endpoint moves for so many steps.
+    /// No message to or from the endpoint is delivered for the given number of steps.
     Freeze(usize, u8),
     Tick,
     Handover(bool),
@@ -57,7 +57,7 @@
     id: EndpointId,
     engine: core::Engine,
     incarnation: u64,
-    frozen: usize,
+    frozen_steps: usize,
 }
 
 pub(crate) struct Fleet {
@@ -66,14 +66,14 @@
     generation: Generation,
     endpoints: Vec<Endpoint>,
     net: Vec<(usize, Message)>,
-    /// How often each stage was replaced, so that spares are used in turn.
+    /// The number of replacements so far, which selects the next spares.
     replaced: usize,
     same_chain: bool,
     pub(crate) released: Vec<u64>,
     pub(crate) end: Option<Result<(), ErrorKind>>,
 }
 
-fn cfg(plan: &Plan) -> Config {
+fn config(plan: &Plan) -> Config {
     Config {
         max_replacements: 64,
         min_step_timeout: Duration::from_millis(50),
@@ -98,17 +98,17 @@
         };
         let endpoint = |i: u32| {
             let id = format!("e{i}");
-            let cfg = EngineConfig::new(&id, MODEL, layers);
+            let config = EngineConfig::new(&id, MODEL, layers);
             Endpoint {
                 id: EndpointId::try_from(id.as_str()).expect("a name"),
-                engine: core::Engine::new(cfg, 1),
+                engine: core::Engine::new(config, 1),
                 incarnation: 1,
-                frozen: 0,
+                frozen_steps: 0,
             }
         };
         Self {
             now: Duration::ZERO,
-            generation: Generation::with_config(spec, cfg(&plan)),
+            generation: Generation::with_config(spec, config(&plan)),
             endpoints: (0..plan.stages * 4).map(endpoint).collect(),
             net: Vec::new(),
             replaced: 0,
@@ -125,21 +125,22 @@
         reference::expected_tokens(MODEL, layers, &self.plan.prompt, n)
     }
 
-    /// Whether an engine holds a slot.
-    pub(crate) fn holds_a_slot(&self) -> bool {
+    /// Whether any engine holds a slot for the request.
+    pub(crate) fn holds_slot(&self) -> bool {
         let mut engines = self.endpoints.iter().map(|e| &e.engine);
         engines.any(|engine| engine.export(REQUEST).is_some())
     }
 
-    /// Follows the schedule, and then lets everything arrive until nothing moves.
+    /// Applies the schedule, and then delivers all messages until the generation has ended and none
+    /// is left.
     pub(crate) fn run(&mut self) {
-        let chain = self.chain(whole(&self.plan), 0);
+        let chain = self.chain(all_layers(&self.plan), 0);
         self.handle(Event::Start(chain));
         for step in self.plan.schedule.clone() {
-            self.take(step);
+            self.apply(step);
         }
         for endpoint in &mut self.endpoints {
-            endpoint.frozen = 0;
+            endpoint.frozen_steps = 0;
         }
         for _ in 0..MAX_STEPS {
             if !self.net.is_empty() {
@@ -153,9 +154,9 @@
         panic!("the run is stuck");
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         for endpoint in &mut self.endpoints {
-            endpoint.frozen = endpoint.frozen.saturating_sub(1);
+            endpoint.frozen_steps = endpoint.frozen_steps.saturating_sub(1);
         }
         let n = self.net.len().max(1);
         let endpoints = self.endpoints.len();
@@ -170,13 +171,15 @@
                     self.net.push(message);
                 }
             }
-            Step::Drop(i) => self.lose(i % n),
+            Step::Drop(i) => self.drop_message(i % n),
             Step::Restart(i) => {
                 let endpoint = &mut self.endpoints[i % endpoints];
                 endpoint.incarnation += 1;
                 endpoint.engine.restart(endpoint.incarnation);
             }
-            Step::Freeze(i, steps) => self.endpoints[i % endpoints].frozen = usize::from(steps),
+            Step::Freeze(i, steps) => {
+                self.endpoints[i % endpoints].frozen_steps = usize::from(steps);
+            }
             Step::Tick => self.tick(),
             Step::Handover(same_chain) => {
                 self.same_chain = same_chain;
@@ -185,9 +188,11 @@
         }
     }
 
-    /// Loses a message; every other loss is noticed at once as a broken connection.
-    fn lose(&mut self, i: usize) {
-        // A lost cancel would be repeated by the engine's idle time, which is not played here.
+    /// Drops a message. Every second dropped step or result is reported at once, as by a broken
+    /// connection.
+    fn drop_message(&mut self, i: usize) {
+        // Cancels are not dropped: an engine ends the session of a lost cancel by its idle timeout,
+        // which is not simulated here.
         if !self
             .net
             .get(i)
@@ -220,7 +225,7 @@
     }
 
     fn deliver(&mut self, i: usize) {
-        if self.endpoints[self.net[i].0].frozen > 0 {
+        if self.endpoints[self.net[i].0].frozen_steps > 0 {
             return;
         }
         let (at, message) = self.net.remove(i);
@@ -246,8 +251,8 @@
                 self.net.extend(kv.map(|kv| (at, Message::Exported(kv))));
             }
             Message::Import(kv) => {
-                let took = endpoint.engine.import(ms, &kv).is_ok();
-                self.net.push((at, Message::Imported(kv.attempt, took)));
+                let accepted = endpoint.engine.import(ms, &kv).is_ok();
+                self.net.push((at, Message::Imported(kv.attempt, accepted)));
             }
             Message::Result(result) => self.handle(Event::Result {
                 endpoint: id,
@@ -281,18 +286,18 @@
 
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Send { endpoint, step } => self.post(&endpoint, Message::Step(step)),
-            Action::Export { endpoint, .. } => self.post(&endpoint, Message::Export),
+            Action::Send { endpoint, step } => self.send(&endpoint, Message::Step(step)),
+            Action::Export { endpoint, .. } => self.send(&endpoint, Message::Export),
             Action::Import {
                 endpoint,
                 checkpoint,
-            } => self.post(&endpoint, Message::Import(checkpoint)),
-            Action::Free { endpoint, cancel } => self.post(&endpoint, Message::Cancel(cancel)),
+            } => self.send(&endpoint, Message::Import(checkpoint)),
+            Action::Free { endpoint, cancel } => self.send(&endpoint, Message::Cancel(cancel)),
             Action::Release { index, token } => {
                 assert_eq!(
                     index as usize,
                     self.released.len(),
-                    "a token is doubled or missing"
+                    "a token is duplicated or missing"
                 );
                 self.released.push(token);
             }
@@ -302,29 +307,30 @@
             }
             Action::Finish => self.end = Some(Ok(())),
             Action::Fail(kind) => self.end = Some(Err(kind)),
-            Action::Moved(resume) => return Some(self.moved(resume)),
+            Action::Moved(resume) => return Some(self.resume_elsewhere(resume)),
         }
         None
     }
 
-    /// Another host takes the generation up.
-    fn moved(&mut self, resume: ResumeState) -> Event {
-        let go_on = self.same_chain && !resume.stages.is_empty();
-        self.generation = Generation::resume(self.now, resume, cfg(&self.plan));
-        match go_on {
+    /// Continues the generation at another host.
+    fn resume_elsewhere(&mut self, resume: ResumeState) -> Event {
+        let continue_chain = self.same_chain && !resume.stages.is_empty();
+        self.generation = Generation::resume(self.now, resume, config(&self.plan));
+        match continue_chain {
             true => Event::Continue,
-            false => Event::Start(self.chain(whole(&self.plan), self.replaced)),
+            false => Event::Start(self.chain(all_layers(&self.plan), self.replaced)),
         }
     }
 
-    fn post(&mut self, endpoint: &EndpointId, message: Message) {
+    fn send(&mut self, endpoint: &EndpointId, message: Message) {
         let at = self.endpoints.iter().position(|e| e.id == *endpoint);
         self.net.push((at.expect("an endpoint"), message));
     }
 
-    /// Endpoints for `layers`; with each `turn` others, and now and then other boundaries. The
-    /// endpoints of turn `t` for the layers of stage `s` are number `4 s + t % 4`.
-    fn chain(&self, layers: wire::Layers, turn: usize) -> Chain {
+    /// A chain for `layers`, with other endpoints in each `round` and other boundaries in every
+    /// third one. The endpoint of round `r` for the layers of stage `s` has the index `4 s + r %
+    /// 4`.
+    fn chain(&self, layers: wire::Layers, round: usize) -> Chain {
         let per_stage = self.plan.layers_per_stage;
         let mut stages = Vec::new();
         let mut first = layers.first;
@@ -332,13 +338,13 @@
             let end = (first / per_stage + 1) * per_stage;
             let end = end.min(layers.end);
             let at = (first / per_stage) as usize * 4;
-            let split = turn % 3 == 2 && end - first > 1;
+            let split = round % 3 == 2 && end - first > 1;
             let middle = first + (end - first) / 2;
             if split {
-                stages.push(self.stage(at + (turn + 1) % 4, first, middle));
+                stages.push(self.stage(at + (round + 1) % 4, first, middle));
                 first = middle;
             }
-            stages.push(self.stage(at + turn % 4, first, end));
+            stages.push(self.stage(at + round % 4, first, end));
             first = end;
         }
         Chain::new(layers, stages).expect("a cover")
@@ -352,7 +358,7 @@
     }
 }
 
-fn whole(plan: &Plan) -> wire::Layers {
+fn all_layers(plan: &Plan) -> wire::Layers {
     wire::Layers {
         first: 0,
         end: plan.stages * plan.layers_per_stage,
--- a/crates/delivery/tests/support/mod.rs
+++ b/crates/delivery/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state machines share.
+//! Models and the search that the tests of the state machines share.
 #![allow(dead_code)]
 
 pub(crate) mod engine;
--- a/crates/delivery/tests/support/records.rs
+++ b/crates/delivery/tests/support/records.rs
@@ -1,4 +1,4 @@
-//! Two hosts that record calls under one key, the table, and what gets lost between them.
+//! Two hosts that record calls under one key, the table, and the faults between them.
 
 use std::{fmt, time::Duration};
 
@@ -17,43 +17,43 @@
 const KEY: &str = "w/1";
 const TERM: Duration = Duration::from_millis(10);
 const BUCKET: Duration = Duration::from_secs(100);
-/// Ticks further away are never waited for.
-const SOON: Duration = Duration::from_secs(60);
+/// Ticks that are due later than this are not simulated.
+const MAX_TICK_WAIT: Duration = Duration::from_secs(60);
 
-/// A check that is taken away, to show that the search finds what it prevents.
+/// A check that is removed, to show that the search detects the violation that the check prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mutant {
     None,
-    /// Calls are dispatched whether or not their permit is still good.
+    /// Calls are dispatched even if their permit has expired.
     TermIgnored,
-    /// A record begun by another seems abandoned.
+    /// Every existing record appears to be abandoned.
     BegunTakenOver,
-    /// A write without an answer counts as done.
+    /// A transaction without an answer is treated as successful.
     UnknownIsDone,
-    /// A write without an answer counts as never sent.
+    /// A transaction without an answer is treated as never sent.
     UnknownIsNotSent,
     /// Inserts have no conditions.
     NoConditions,
-    /// Inserts look into their own bucket only.
+    /// Inserts check only their own bucket.
     OneBucket,
-    /// Both hosts name their writes alike.
+    /// Both hosts use the same write ids.
     SameWriteIds,
-    /// Taking over a record does not depend on the version that was read.
+    /// The replacement of an abandoned record does not depend on the revision that was read.
     BlindTakeover,
 }
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Setup {
-    /// How many times the call comes, at either host.
+    /// The total number of times that the call arrives, at either host.
     pub(crate) calls: u32,
     pub(crate) faults: u32,
-    /// By how much the second host's wall clock is behind.
+    /// The time by which the second host's wall clock is behind that of the first.
     pub(crate) skew: Duration,
-    /// Whether time may pass beyond terms and buckets, and records be trimmed.
+    /// The number of times that time may pass beyond terms and buckets and old records are deleted.
     pub(crate) trims: u32,
     pub(crate) mutant: Mutant,
-    /// Only a call that is dispatched twice counts as broken.
-    pub(crate) twice_only: bool,
+    /// Whether a call that is dispatched twice is the only violation to report.
+    pub(crate) only_double_dispatch: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,23 +75,23 @@
     Crash(usize),
     /// All hosts are paused beyond every term.
     PassTerm,
-    /// All hosts are paused until the present records are old, and the records are trimmed.
+    /// All hosts are paused until all records are old, and the records are deleted.
     PassBuckets,
 }
 
 #[derive(Debug)]
-enum Stand {
-    Asked,
+enum CallState {
+    Pending,
     Recorded(Option<Permit>),
     Running,
-    /// Refused, answered or forgotten.
-    Over,
+    /// Refused, answered, abandoned or already recorded.
+    Ended,
 }
 
 #[derive(Debug)]
 struct Call {
     ticket: RecordTicket,
-    stand: Stand,
+    state: CallState,
     dispatched: bool,
     not_run: bool,
 }
@@ -104,7 +104,7 @@
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentTxn {
     host: usize,
     incarnation: u64,
     id: TxnId,
@@ -120,27 +120,27 @@
     now: Duration,
     hosts: Vec<Host>,
     table: MemoryTable,
-    net: Vec<Sent>,
-    late: Vec<TableCall>,
-    /// Dispatches since the record was last trimmed.
+    net: Vec<SentTxn>,
+    delayed: Vec<TableCall>,
+    /// The number of dispatches since the records were last deleted.
     dispatches: u32,
     ever_dispatched: bool,
     crashed: bool,
-    fault: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-/// Permits can't be copied, so a copy of the world takes the same way again.
+/// Permits can't be cloned, so a clone is made by applying the same steps again.
 impl Clone for Records {
     fn clone(&self) -> Self {
         let mut copy = Self::new(self.setup);
         for choice in &self.path {
-            copy.take(*choice);
+            copy.apply(*choice);
         }
         copy
     }
 }
 
-/// The way to a state is not part of it.
+/// Leaves out the path to the state, which is not part of the state.
 impl fmt::Debug for Records {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
@@ -153,16 +153,16 @@
             hosts,
             table,
             net,
-            late,
+            delayed,
             dispatches,
             ever_dispatched,
             crashed,
-            fault,
+            violation,
         } = self;
         write!(f, "{calls} {faults} {trims} {now:?} {hosts:?} {table:?} ")?;
         write!(
             f,
-            "{net:?} {late:?} {dispatches} {ever_dispatched} {crashed} {fault:?}"
+            "{net:?} {delayed:?} {dispatches} {ever_dispatched} {crashed} {violation:?}"
         )
     }
 }
@@ -204,15 +204,15 @@
             hosts: hosts.collect(),
             table: MemoryTable::default(),
             net: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             dispatches: 0,
             ever_dispatched: false,
             crashed: false,
-            fault: None,
+            violation: None,
         }
     }
 
-    fn take(&mut self, choice: Choice) {
+    fn apply(&mut self, choice: Choice) {
         self.path.push(choice);
         match choice {
             Choice::Call(host) => {
@@ -235,16 +235,16 @@
                 self.faults -= 1;
                 let sent = self.net.remove(i);
                 self.table.call(&sent.call);
-                self.unknown(sent);
+                self.answer_unknown(sent);
             }
             Choice::Delay(i) => {
                 self.faults -= 1;
                 let sent = self.net.remove(i);
-                self.late.push(sent.call.clone());
-                self.unknown(sent);
+                self.delayed.push(sent.call.clone());
+                self.answer_unknown(sent);
             }
             Choice::RunLate(i) => {
-                let call = self.late.remove(i);
+                let call = self.delayed.remove(i);
                 self.table.call(&call);
             }
             Choice::Fail(i) => {
@@ -265,8 +265,9 @@
             Choice::PassBuckets => {
                 self.trims -= 1;
                 self.now += BUCKET * 4;
-                // The bound on lost writes: none takes effect buckets later.
-                self.late.clear();
+                // A delayed transaction is assumed never to take effect this long after it was
+                // sent.
+                self.delayed.clear();
                 let mut actions = Vec::new();
                 self.hosts[1].recorder.trim(self.now, &mut actions);
                 for action in actions {
@@ -287,7 +288,7 @@
         let ticket = recorder.begin(self.now, KEY, 1, &mut actions);
         self.hosts[host].calls.push(Call {
             ticket,
-            stand: Stand::Asked,
+            state: CallState::Pending,
             dispatched: false,
             not_run: false,
         });
@@ -299,34 +300,34 @@
             match action {
                 Action::CallTable { id, call } => self.send(host, id, call),
                 Action::Recorded { ticket, permit } => {
-                    let call = self.asked(host, ticket);
-                    call.stand = Stand::Recorded(Some(permit));
+                    let call = self.pending_call(host, ticket);
+                    call.state = CallState::Recorded(Some(permit));
                 }
                 Action::Refused { ticket, .. } => {
-                    let call = self.asked(host, ticket);
-                    call.stand = Stand::Over;
+                    let call = self.pending_call(host, ticket);
+                    call.state = CallState::Ended;
                     call.not_run = true;
                 }
                 Action::AlreadyRecorded { ticket, record } => {
                     let ran = matches!(record.state, RecordState::Done { .. });
                     if ran && !self.ever_dispatched {
-                        self.fault = Some("an answer is known of a call that never ran");
+                        self.violation = Some("a call that never ran has an answer");
                     }
                     if record.state == RecordState::Abandoned {
-                        self.fault = Some("an abandoned record is shown to a caller");
+                        self.violation = Some("an abandoned record is returned to a caller");
                     }
-                    self.asked(host, ticket).stand = Stand::Over;
+                    self.pending_call(host, ticket).state = CallState::Ended;
                 }
             }
         }
     }
 
-    fn asked(&mut self, host: usize, ticket: RecordTicket) -> &mut Call {
+    fn pending_call(&mut self, host: usize, ticket: RecordTicket) -> &mut Call {
         let calls = &mut self.hosts[host].calls;
         let at = calls.iter().position(|c| c.ticket == ticket);
         let call = &mut calls[at.expect("the ticket of a call")];
-        if !matches!(call.stand, Stand::Asked) {
-            self.fault = Some("a call got two verdicts");
+        if !matches!(call.state, CallState::Pending) {
+            self.violation = Some("a call got two results");
         }
         call
     }
@@ -336,7 +337,7 @@
             self.mutate(txn);
         }
         let incarnation = self.hosts[host].incarnation;
-        self.net.push(Sent {
+        self.net.push(SentTxn {
             host,
             incarnation,
             id,
@@ -365,13 +366,13 @@
         }
     }
 
-    fn answer(&mut self, sent: Sent, mut result: Result<TxnOutcome, PlatformError>) {
+    fn answer(&mut self, sent: SentTxn, mut result: Result<TxnOutcome, PlatformError>) {
         let host = &mut self.hosts[sent.host];
         if host.incarnation != sent.incarnation {
             return;
         }
         if let (Mutant::BegunTakenOver, Ok(outcome)) = (self.setup.mutant, &mut result) {
-            outcome.rows.iter_mut().flatten().for_each(seems_abandoned);
+            outcome.rows.iter_mut().flatten().for_each(set_abandoned);
         }
         let mut actions = Vec::new();
         host.recorder
@@ -379,7 +380,7 @@
         self.carry_out(sent.host, actions);
     }
 
-    fn unknown(&mut self, sent: Sent) {
+    fn answer_unknown(&mut self, sent: SentTxn) {
         let result = match self.setup.mutant {
             Mutant::UnknownIsDone => Ok(TxnOutcome {
                 succeeded: true,
@@ -395,18 +396,18 @@
         let (now, mutant) = (self.now, self.setup.mutant);
         let host = &mut self.hosts[host];
         let call = &mut host.calls[i];
-        let Stand::Recorded(permit) = &mut call.stand else {
+        let CallState::Recorded(permit) = &mut call.state else {
             return;
         };
         let checked = permit.take().map(|permit| permit.consume(now));
         match checked {
             Some(Err(expired)) if mutant != Mutant::TermIgnored => {
                 host.recorder.abandon(now, expired);
-                call.stand = Stand::Over;
+                call.state = CallState::Ended;
                 call.not_run = true;
             }
             _ => {
-                call.stand = Stand::Running;
+                call.state = CallState::Running;
                 call.dispatched = true;
                 self.dispatches += 1;
                 self.ever_dispatched = true;
@@ -416,7 +417,7 @@
 
     fn finish(&mut self, host: usize, i: usize) {
         let host = &mut self.hosts[host];
-        host.calls[i].stand = Stand::Over;
+        host.calls[i].state = CallState::Ended;
         let answer = CallAnswer {
             status: 200,
             content_type: String::new(),
@@ -445,20 +446,20 @@
                 all.extend([Choice::LoseAnswer(i), Choice::Delay(i), Choice::Fail(i)]);
             }
         }
-        all.extend((0..self.late.len()).map(Choice::RunLate));
+        all.extend((0..self.delayed.len()).map(Choice::RunLate));
         for (h, host) in self.hosts.iter().enumerate() {
             if self.calls > 0 {
                 all.push(Choice::Call(h));
             }
             let due = host.recorder.next_tick();
-            if due.is_some_and(|due| due <= self.now + SOON) {
+            if due.is_some_and(|due| due <= self.now + MAX_TICK_WAIT) {
                 all.push(Choice::Tick(h));
             }
             for (i, call) in host.calls.iter().enumerate() {
-                match call.stand {
-                    Stand::Recorded(_) => all.push(Choice::Dispatch(h, i)),
-                    Stand::Running => all.push(Choice::Finish(h, i)),
-                    Stand::Asked | Stand::Over => {}
+                match call.state {
+                    CallState::Recorded(_) => all.push(Choice::Dispatch(h, i)),
+                    CallState::Running => all.push(Choice::Finish(h, i)),
+                    CallState::Pending | CallState::Ended => {}
                 }
             }
             if self.faults > 0 && !host.calls.is_empty() {
@@ -475,7 +476,7 @@
     }
 }
 
-fn seems_abandoned(row: &mut Row) {
+fn set_abandoned(row: &mut Row) {
     if let Ok(record) = serde_json::from_slice::<Record>(&row.value) {
         let state = RecordState::Abandoned;
         let record = Record { state, ..record };
@@ -484,38 +485,42 @@
 }
 
 impl System for Records {
-    fn next(&self) -> Vec<(String, Self)> {
+    fn next_steps(&self) -> Vec<(String, Self)> {
         let choices = self.choices().into_iter();
         let next = choices.map(|choice| {
             let mut world = self.clone();
-            world.take(choice);
+            world.apply(choice);
             (format!("{choice:?}"), world)
         });
         next.collect()
     }
 
-    fn broken(&self) -> Option<String> {
+    fn violation(&self) -> Option<String> {
         if self.dispatches > 1 {
             return Some("a call is dispatched twice".to_owned());
         }
-        if self.setup.twice_only {
+        if self.setup.only_double_dispatch {
             return None;
         }
-        if let Some(fault) = self.fault {
-            return Some(fault.to_owned());
+        if let Some(violation) = self.violation {
+            return Some(violation.to_owned());
         }
         let calls: Vec<&Call> = self.hosts.iter().flat_map(|host| &host.calls).collect();
         if calls.iter().any(|call| call.not_run && call.dispatched) {
-            return Some("not run is said of a dispatched call".to_owned());
+            return Some("a dispatched call is reported as not run".to_owned());
         }
-        let over = calls.iter().all(|call| matches!(call.stand, Stand::Over));
-        let asked = calls.iter().any(|call| matches!(call.stand, Stand::Asked));
+        let ended = calls
+            .iter()
+            .all(|call| matches!(call.state, CallState::Ended));
+        let waiting = calls
+            .iter()
+            .any(|call| matches!(call.state, CallState::Pending));
         let due = |host: &Host| {
             host.recorder
                 .next_tick()
-                .is_some_and(|t| t <= self.now + SOON)
+                .is_some_and(|t| t <= self.now + MAX_TICK_WAIT)
         };
-        let idle = self.net.is_empty() && self.late.is_empty() && !self.hosts.iter().any(due);
+        let idle = self.net.is_empty() && self.delayed.is_empty() && !self.hosts.iter().any(due);
         let begun = self
             .table
             .range(&KeyRange::prefix("0"), 0)
@@ -525,11 +530,11 @@
                 let record = serde_json::from_slice::<Record>(&row.value);
                 record.is_ok_and(|record| record.state == RecordState::Begun)
             });
-        if idle && over && begun && !self.crashed {
-            return Some("a key stays begun though its writer lives".to_owned());
+        if idle && ended && begun && !self.crashed {
+            return Some("a key stays in state begun although its writer did not crash".to_owned());
         }
-        if idle && asked {
-            return Some("a call waits for ever".to_owned());
+        if idle && waiting {
+            return Some("a call is never resolved".to_owned());
         }
         None
     }
--- a/crates/delivery/tests/support/world.rs
+++ b/crates/delivery/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! A generation, its engines and the network between them, with every fault as a possible step.
+//! A generation, its engines and the network between them. Every fault is a possible step.
 
 use std::time::Duration;
 
@@ -18,47 +18,47 @@
 const REQUEST: &str = "w/1";
 const DEADLINE: Duration = Duration::from_secs(3600);
 
-/// A check that is taken away, to show that the search finds what it prevents.
+/// A check that is removed, to show that the search detects the violation that the check prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mutant {
     None,
-    /// Late results count as the awaited one whatever their attempt and position.
-    StaleResultsTaken,
-    /// Results count as the awaited one whatever their position, if the attempt is right.
+    /// Every result matches the pending step, whatever its attempt and position.
+    StaleResultsAccepted,
+    /// A result of the current attempt matches the pending step, whatever its position.
     PositionIgnored,
-    /// Every receipt seems to be of the first life of the endpoint.
+    /// Every receipt appears to be of the endpoint's first incarnation.
     IncarnationIgnored,
-    /// Every receipt seems to be of the layers asked for, and the engine runs fewer.
+    /// Every receipt appears to cover the requested layers, but the engine runs fewer.
     ReceiptLayersIgnored,
     /// Only the endpoints of the last chain are freed.
     ReplacedNotFreed,
-    /// The last released token is left out of a handover.
-    TokenLeftOut,
-    /// Nothing is timed.
+    /// A handover omits the last released token.
+    TokenOmitted,
+    /// Nothing times out.
     NoTimeouts,
-    /// A replacement gets only the newest input in place of all that are kept, and the number of
+    /// A replacement gets only the newest input instead of all kept inputs, and the number of
     /// outputs is not checked.
     OnlyNewestInput,
-    /// The layers of an imported checkpoint are mixed up.
-    CheckpointMixedUp,
-    /// The end of a request that was sent is said to be not run.
-    SaysNotRun,
-    /// What was released is released again when a stage is replaced.
-    ReleasesAgain,
-    /// An answer ends when a stage can't be replaced, as if it were whole.
-    EndsEarly,
+    /// The layers of an imported checkpoint are in reverse order.
+    CheckpointLayersReversed,
+    /// The failure of a request that was sent is reported as not run.
+    ClaimsNotRun,
+    /// All released tokens are released again when a stage is replaced.
+    TokensReleasedAgain,
+    /// An answer ends as complete when the generation fails.
+    AnswerTruncated,
 }
 
-/// How many faults may still come.
+/// The numbers of faults that may still occur.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Faults {
-    /// Of any kind together.
+    /// The total of all kinds.
     pub(crate) any: u32,
     pub(crate) drops: u32,
     pub(crate) copies: u32,
     pub(crate) restarts: u32,
     pub(crate) deaths: u32,
-    /// Timeouts while an answer may still come: frozen or slow endpoints.
+    /// Timeouts while an answer may still arrive, as with frozen or slow endpoints.
     pub(crate) early_ticks: u32,
     pub(crate) cancels: u32,
     pub(crate) handovers: u32,
@@ -93,14 +93,14 @@
 
 #[derive(Debug, Clone, PartialEq)]
 enum Ended {
-    Whole,
+    Complete,
     Failed(ErrorKind),
 }
 
-/// What a search is about.
+/// The parameters of a search.
 #[derive(Debug, Clone)]
 pub(crate) struct Setup {
-    pub(crate) cuts: Vec<u32>,
+    pub(crate) stage_ends: Vec<u32>,
     pub(crate) tokens: u32,
     pub(crate) export_every: u32,
     pub(crate) keep_bytes: u64,
@@ -115,11 +115,11 @@
     faults: Faults,
     now: Duration,
     generations: Vec<Generation>,
-    /// Endpoint number i of the chain has the spare number i + n.
+    /// For n stages: the n endpoints of the first chain, their n spares, and one more spare.
     engines: Vec<Engine>,
     stages: Vec<wire::Layers>,
     net: Vec<Message>,
-    replace: Option<wire::Layers>,
+    replacement_for: Option<wire::Layers>,
     replaced: Vec<usize>,
     moved: Option<ResumeState>,
     released: Vec<u64>,
@@ -127,13 +127,13 @@
     ended: Option<Ended>,
     sent: bool,
     last_sent: Option<(usize, wire::Step)>,
-    /// The inputs of the last step sent, before a mutation.
+    /// The number of inputs of the last step sent, before a mutation.
     last_inputs: usize,
-    /// A cancel was lost, or an engine forgot one.
+    /// Whether a cancel was lost in the network or by a restart of its engine.
     cancel_lost: bool,
-    /// The caller cancelled, there were no endpoints or no time: the answer need not be whole.
-    excused: bool,
-    fault: Option<String>,
+    /// Whether the answer may be incomplete: after a cancel, a missing replacement or the deadline.
+    failure_allowed: bool,
+    violation: Option<String>,
 }
 
 fn endpoint(i: usize) -> EndpointId {
@@ -142,10 +142,10 @@
 
 impl World {
     pub(crate) fn new(setup: Setup) -> Self {
-        let layers = *setup.cuts.last().expect("a stage");
+        let layers = *setup.stage_ends.last().expect("a stage");
         let mut first = 0;
         let mut stages = Vec::new();
-        for &end in &setup.cuts {
+        for &end in &setup.stage_ends {
             stages.push(wire::Layers { first, end });
             first = end;
         }
@@ -176,7 +176,7 @@
             engines,
             stages,
             net: Vec::new(),
-            replace: None,
+            replacement_for: None,
             replaced: Vec::new(),
             moved: None,
             released: Vec::new(),
@@ -186,15 +186,15 @@
             last_sent: None,
             last_inputs: 0,
             cancel_lost: false,
-            excused: false,
-            fault: None,
+            failure_allowed: false,
+            violation: None,
         };
         let chain = this.chain(0);
         this.handle(0, Event::Start(chain));
         this
     }
 
-    /// The chain of the first choice, or of the spares.
+    /// The first chain for `skip` 0, or the chain of the spares for `skip` n.
     fn chain(&self, skip: usize) -> Chain {
         let layers = wire::Layers {
             first: 0,
@@ -219,17 +219,17 @@
         for action in actions {
             self.carry_out(action);
         }
-        self.canonical();
+        self.sort_messages();
     }
 
-    /// The order of messages in flight means nothing.
-    fn canonical(&mut self) {
+    /// Sorts the messages in flight, as states that differ only in their order are equal.
+    fn sort_messages(&mut self) {
         self.net.sort_by_cached_key(|m| format!("{m:?}"));
     }
 
     fn carry_out(&mut self, action: Action) {
         if self.ended.is_some() && !matches!(action, Action::Free { .. }) {
-            self.fault = Some("something follows the end".to_owned());
+            self.violation = Some("an action follows the end".to_owned());
         }
         match action {
             Action::Send { endpoint, mut step } => {
@@ -243,22 +243,22 @@
             }
             Action::Release { index, token } => {
                 if index as usize != self.released.len() {
-                    self.fault = Some("a token is doubled or missing".to_owned());
+                    self.violation = Some("a token is duplicated or missing".to_owned());
                 }
                 self.released.push(token);
             }
             Action::Replace { layers, .. } => {
-                if self.mutant == Mutant::ReleasesAgain {
+                if self.mutant == Mutant::TokensReleasedAgain {
                     self.released.extend_from_within(..);
                 }
-                self.replace = Some(layers);
+                self.replacement_for = Some(layers);
             }
             Action::Export { endpoint, .. } => self.net.push(Message::Export(number(&endpoint))),
             Action::Import {
                 endpoint,
                 mut checkpoint,
             } => {
-                if self.mutant == Mutant::CheckpointMixedUp {
+                if self.mutant == Mutant::CheckpointLayersReversed {
                     checkpoint.state.reverse();
                 }
                 self.net
@@ -271,14 +271,14 @@
                     self.net.push(Message::Cancel(i, cancel));
                 }
             }
-            Action::Finish => self.ended = Some(Ended::Whole),
+            Action::Finish => self.ended = Some(Ended::Complete),
             Action::Moved(resume) => self.moved = Some(resume),
-            Action::Fail(_) if self.mutant == Mutant::EndsEarly => {
-                self.ended = Some(Ended::Whole);
+            Action::Fail(_) if self.mutant == Mutant::AnswerTruncated => {
+                self.ended = Some(Ended::Complete);
             }
             Action::Fail(kind) => {
                 let kind = match self.mutant {
-                    Mutant::SaysNotRun => ErrorKind::Overloaded,
+                    Mutant::ClaimsNotRun => ErrorKind::Overloaded,
                     _ => kind,
                 };
                 self.ended = Some(Ended::Failed(kind));
@@ -290,7 +290,7 @@
         self.generations.len() - 1
     }
 
-    /// Hands a message over.
+    /// Delivers a message to its engine, or to the current generation.
     fn deliver(&mut self, message: Message) {
         let dead = |this: &Self, i: usize| this.engines[i].dead;
         match message {
@@ -312,31 +312,31 @@
                 }
             }
             Message::Import(i, kv) => {
-                let took = self.engines[i].import(&kv);
-                self.net.push(Message::Imported(i, kv.attempt, took));
+                let accepted = self.engines[i].import(&kv);
+                self.net.push(Message::Imported(i, kv.attempt, accepted));
             }
             Message::Result(i, result) => self.result(i, result),
             Message::Lost(i, attempt, start) => {
                 let endpoint = endpoint(i);
-                self.tell(Event::StepLost {
+                self.deliver_event(Event::StepLost {
                     endpoint,
                     attempt,
                     start,
                 });
             }
-            Message::Exported(i, checkpoint) => self.tell(Event::Exported {
+            Message::Exported(i, checkpoint) => self.deliver_event(Event::Exported {
                 endpoint: endpoint(i),
                 checkpoint,
             }),
-            Message::Imported(i, attempt, took) => {
+            Message::Imported(i, attempt, accepted) => {
                 let endpoint = endpoint(i);
-                self.tell(match took {
+                self.deliver_event(match accepted {
                     true => Event::Imported { endpoint, attempt },
                     false => Event::ImportFailed { endpoint, attempt },
                 });
             }
         }
-        self.canonical();
+        self.sort_messages();
     }
 
     fn run(&mut self, i: usize, mut step: wire::Step) -> wire::StepResult {
@@ -346,9 +346,9 @@
         self.engines[i].step(&step)
     }
 
-    /// Events go to the host that drives.
-    fn tell(&mut self, event: Event) {
-        self.excused |= matches!(event, Event::Cancel | Event::NoReplacement);
+    /// Passes an event to the generation of the current host.
+    fn deliver_event(&mut self, event: Event) {
+        self.failure_allowed |= matches!(event, Event::Cancel | Event::NoReplacement);
         self.handle(self.host(), event);
     }
 
@@ -357,7 +357,7 @@
         if let Some((at, last)) = self.last_sent.clone() {
             let layers = last.layers;
             match self.mutant {
-                Mutant::StaleResultsTaken => {
+                Mutant::StaleResultsAccepted => {
                     (from, result.attempt, result.start) = (at, last.attempt, last.start);
                 }
                 Mutant::PositionIgnored if result.attempt == last.attempt && at == i => {
@@ -376,7 +376,7 @@
                     }
                     Mutant::IncarnationIgnored => receipt.incarnation = 1,
                     Mutant::ReceiptLayersIgnored => receipt.layers = layers,
-                    Mutant::StaleResultsTaken => {
+                    Mutant::StaleResultsAccepted => {
                         receipt.layers = layers;
                         receipt.endpoint = format!("e{at}");
                         receipt.incarnation = 1;
@@ -385,13 +385,13 @@
                 }
             }
         }
-        self.tell(Event::Result {
+        self.deliver_event(Event::Result {
             endpoint: endpoint(from),
             result,
         });
     }
 
-    /// The chains that may replace `layers`: the spares, or two endpoints with other boundaries.
+    /// The chains that may replace `layers`: of spares, or of two endpoints with other boundaries.
     fn replacements(&self, layers: wire::Layers) -> Vec<Chain> {
         let n = self.stages.len();
         if layers.range().len() as u32 == self.setup_layers && n > 1 {
@@ -433,7 +433,7 @@
             return;
         };
         self.now = self.now.max(due);
-        self.excused |= self.now >= DEADLINE;
+        self.failure_allowed |= self.now >= DEADLINE;
         self.handle(self.host(), Event::Tick);
     }
 
@@ -461,13 +461,13 @@
                 let message = world.net[i].clone();
                 next.push((format!("copy {message:?}"), {
                     world.net.push(message);
-                    world.canonical();
+                    world.sort_messages();
                     world
                 }));
             }
         }
         for i in 0..self.engines.len() {
-            if !self.engines[i].holds_a_slot() {
+            if !self.engines[i].holds_slot() {
                 continue;
             }
             if let Some(mut world) = spent(|f| &mut f.restarts) {
@@ -488,7 +488,7 @@
             next.push(("early tick".to_owned(), world));
         }
         if let Some(mut world) = spent(|f| &mut f.cancels) {
-            world.tell(Event::Cancel);
+            world.deliver_event(Event::Cancel);
             next.push(("cancel".to_owned(), world));
         }
         if let Some(mut world) = spent(|f| &mut f.handovers) {
@@ -497,32 +497,33 @@
         }
     }
 
-    /// The host that a generation moved to takes it up, with the same chain or with the spares.
-    fn next_moves(&self, resume: &ResumeState, next: &mut Vec<(String, Self)>) {
+    /// The host to which a generation moved continues it with the same chain, or starts it again
+    /// with the first chain.
+    fn next_resumptions(&self, resume: &ResumeState, next: &mut Vec<(String, Self)>) {
         let mut resume = resume.clone();
-        if self.mutant == Mutant::TokenLeftOut {
+        if self.mutant == Mutant::TokenOmitted {
             resume.released.pop();
         }
         let cfg = Config {
             handover_timeout: Duration::from_millis(1),
-            ..plain()
+            ..base_config()
         };
-        let taken = self.with(|w| {
+        let prepared = self.with(|w| {
             w.moved = None;
             w.generations
                 .push(Generation::resume(w.now, resume.clone(), cfg));
         });
         if !resume.stages.is_empty() {
-            let world = taken.with(|w| w.handle(1, Event::Continue));
+            let world = prepared.with(|w| w.handle(1, Event::Continue));
             next.push(("continue".to_owned(), world));
         }
         let chain = self.chain(0);
-        let world = taken.with(|w| w.handle(1, Event::Start(chain)));
+        let world = prepared.with(|w| w.handle(1, Event::Start(chain)));
         next.push(("start again".to_owned(), world));
     }
 }
 
-fn plain() -> Config {
+fn base_config() -> Config {
     Config {
         max_replacements: 3,
         min_step_timeout: Duration::from_millis(1),
@@ -542,7 +543,7 @@
     Config {
         export_every_tokens: setup.export_every,
         max_kept_bytes: setup.keep_bytes,
-        ..plain()
+        ..base_config()
     }
 }
 
@@ -551,21 +552,24 @@
 }
 
 impl System for World {
-    fn next(&self) -> Vec<(String, Self)> {
+    fn next_steps(&self) -> Vec<(String, Self)> {
         let mut next = Vec::new();
         if let Some(resume) = &self.moved {
-            self.next_moves(resume, &mut next);
+            self.next_resumptions(resume, &mut next);
             return next;
         }
-        if let Some(layers) = self.replace {
-            let taken = self.with(|w| w.replace = None);
+        if let Some(layers) = self.replacement_for {
+            let prepared = self.with(|w| w.replacement_for = None);
             for chain in self.replacements(layers) {
                 let name = format!("replacement {chain:?}");
-                next.push((name, taken.with(|w| w.tell(Event::Replacement(chain)))));
+                next.push((
+                    name,
+                    prepared.with(|w| w.deliver_event(Event::Replacement(chain))),
+                ));
             }
-            let world = taken.with(|w| w.tell(Event::NoReplacement));
+            let world = prepared.with(|w| w.deliver_event(Event::NoReplacement));
             next.push(("no replacement".to_owned(), world));
-            // Messages that arrive meanwhile are told apart as at any other time.
+            // Messages may also be delivered before the replacement arrives.
         }
         for i in 0..self.net.len() {
             if i > 0 && self.net[i] == self.net[i - 1] {
@@ -578,7 +582,7 @@
             });
             next.push((name, world));
         }
-        let idle = self.net.is_empty() && self.replace.is_none();
+        let idle = self.net.is_empty() && self.replacement_for.is_none();
         if idle && self.ended.is_none() && self.mutant != Mutant::NoTimeouts {
             next.push(("tick".to_owned(), self.with(Self::tick)));
         }
@@ -586,29 +590,31 @@
         next
     }
 
-    fn broken(&self) -> Option<String> {
-        if let Some(fault) = &self.fault {
-            return Some(fault.clone());
+    fn violation(&self) -> Option<String> {
+        if let Some(violation) = &self.violation {
+            return Some(violation.clone());
         }
         if !self.expected.starts_with(&self.released) {
             return Some("a released token is not that of a run without faults".to_owned());
         }
         let whole = self.released == self.expected;
         match &self.ended {
-            Some(Ended::Whole) if !whole => return Some("an answer is cut".to_owned()),
+            Some(Ended::Complete) if !whole => return Some("an answer is truncated".to_owned()),
             Some(Ended::Failed(kind)) if self.sent && kind.answer().run == RunStatus::NotRun => {
-                return Some("not run is said of what was sent".to_owned());
+                return Some("a request that was sent is reported as not run".to_owned());
             }
-            Some(Ended::Failed(kind)) if !self.excused => {
-                return Some(format!("failed with {kind:?}, though endpoints were there"));
+            Some(Ended::Failed(kind)) if !self.failure_allowed => {
+                return Some(format!(
+                    "failed with {kind:?} although endpoints were available"
+                ));
             }
             _ => {}
         }
-        let idle = self.net.is_empty() && self.replace.is_none() && self.moved.is_none();
+        let idle = self.net.is_empty() && self.replacement_for.is_none() && self.moved.is_none();
         if idle && self.ended.is_none() && self.mutant == Mutant::NoTimeouts {
             return Some("a request is stuck".to_owned());
         }
-        let slots = self.engines.iter().any(Engine::holds_a_slot);
+        let slots = self.engines.iter().any(Engine::holds_slot);
         if idle && self.ended.is_some() && slots && !self.cancel_lost {
             return Some("a slot is held after the end".to_owned());
         }
