--- a/crates/delivery/src/generation/deadline.rs
+++ b/crates/delivery/src/generation/deadline.rs
@@ -5,7 +5,8 @@
 use super::{Action, Generation};
 use crate::error::ErrorKind;
 
-/// The number of timed tokens after which their rate may fail a generation that will be late.
+/// The number of tokens that have to be timed since the last recovery before a running generation
+/// fails early because of its token rate.
 const MIN_TOKENS_FOR_ESTIMATE: u32 = 4;
 
 impl Generation {
--- a/crates/delivery/src/generation/recover.rs
+++ b/crates/delivery/src/generation/recover.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sends the unanswered step again, or replaces the stage if no send is left.
+    /// Sends the unanswered step again, or replaces the stage after `max_step_sends` sends.
     pub(super) fn retry_or_replace(
         &mut self,
         now: Duration,
--- a/crates/delivery/src/generation/timing.rs
+++ b/crates/delivery/src/generation/timing.rs
@@ -37,7 +37,7 @@
             .saturating_add(self.position.saturating_mul(further))
     }
 
-    /// Updates the estimate from a step that was answered after its first dispatch.
+    /// Updates the estimate from a step that was answered after it was sent once.
     pub(super) fn observe_step(&mut self, positions: u32, took: Duration) {
         match positions {
             0 => {}
--- a/crates/delivery/src/lifecycle.rs
+++ b/crates/delivery/src/lifecycle.rs
@@ -32,7 +32,10 @@
 //! The same steps in order compile:
 //!
 //! ```
-//! use dragonflyrill_delivery::{error::{AfterDispatchKind, NotRunKind, RunStatus}, lifecycle::Request};
+//! use dragonflyrill_delivery::{
+//!     error::{AfterDispatchKind, NotRunKind, RunStatus},
+//!     lifecycle::Request,
+//! };
 //! let refused = Request::received("w/1".into()).admit().refuse(NotRunKind::Overloaded);
 //! assert_eq!(refused.kind().answer().run, RunStatus::NotRun);
 //! let failed = Request::received("w/1".into()).admit().dispatch().fail(AfterDispatchKind::EndpointFailed);
--- a/crates/delivery/src/record/abandoned.rs
+++ b/crates/delivery/src/record/abandoned.rs
@@ -28,6 +28,7 @@
     record: Record,
     /// The row that the insert replaces, and still may replace.
     replaces: Option<RowVersion>,
+    /// The existing row that the next attempt changes.
     found_row: Option<RowVersion>,
     attempts: u32,
     /// When the next attempt is due.
--- a/crates/delivery/src/record/batch.rs
+++ b/crates/delivery/src/record/batch.rs
@@ -29,7 +29,8 @@
     pub(super) replaces: Option<RowVersion>,
     /// How many times the insert was sent.
     pub(super) sends: u32,
-    /// Whether a dispatch without an answer may have taken effect, or still may.
+    /// Whether the insert was sent without getting an answer, so that it may have taken effect, or
+    /// still may.
     pub(super) in_doubt: bool,
 }
 
--- a/crates/delivery/src/record/mod.rs
+++ b/crates/delivery/src/record/mod.rs
@@ -14,7 +14,7 @@
 //!
 //! # Lost answers
 //! An insert whose answer was lost is sent again: either it takes effect now, or the reads of its
-//! failure branch show the row with the insert's own write id. If no answer arrives at all, the
+//! failure branch show the row with the insert's own write id. If it is not answered again, the
 //! call is refused as not run. That is true because the recorder has dropped the ticket and no
 //! other host may dispatch the call. In the background the recorder marks the key
 //! [`RecordState::Abandoned`], so that a lost insert can't take effect late and a retry by the
--- a/crates/delivery/src/record/results.rs
+++ b/crates/delivery/src/record/results.rs
@@ -42,7 +42,7 @@
     }
 
     /// Queues end updates again after a condition of an insert made their transaction fail. Such a
-    /// failure does not count as a dispatch, as each one resolves the insert that caused it.
+    /// failure is not counted in `sends`, as each one resolves the insert that caused it.
     fn requeue_end_updates(&mut self, now: Duration, end_updates: Vec<EndUpdate>) {
         for mut end_update in end_updates.into_iter().rev() {
             end_update.sends -= 1;
--- a/crates/delivery/tests/support/fleet.rs
+++ b/crates/delivery/tests/support/fleet.rs
@@ -328,8 +328,8 @@
     }
 
     /// A chain for `layers`, with other endpoints in each `round` and other boundaries in every
-    /// third one. The endpoint of round `r` for the layers of stage `s` has the index `4 s + r %
-    /// 4`.
+    /// third one. In round `r` the endpoint for the layers of stage `s` has the index
+    /// `4 s + r % 4`.
     fn chain(&self, layers: wire::Layers, round: usize) -> Chain {
         let per_stage = self.plan.layers_per_stage;
         let mut stages = Vec::new();
--- a/crates/delivery/tests/support/world.rs
+++ b/crates/delivery/tests/support/world.rs
@@ -597,9 +597,9 @@
         if !self.expected.starts_with(&self.released) {
             return Some("a released token is not that of a run without faults".to_owned());
         }
-        let whole = self.released == self.expected;
+        let complete = self.released == self.expected;
         match &self.ended {
-            Some(Ended::Complete) if !whole => return Some("an answer is truncated".to_owned()),
+            Some(Ended::Complete) if !complete => return Some("an answer is truncated".to_owned()),
             Some(Ended::Failed(kind)) if self.sent && kind.answer().run == RunStatus::NotRun => {
                 return Some("a request that was sent is reported as not run".to_owned());
             }
