--- a/crates/delivery/src/error.rs
+++ b/crates/delivery/src/error.rs
@@ -1,18 +1,18 @@
-//! The closed list of error kinds, and the one table from kind to answer.
+//! The closed list of error kinds, and the table that maps each kind to its answer.
 
-/// Whether the work behind an error was run.
+/// Whether the work of a request that ended with an error was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Run {
-    /// Nothing reached an endpoint, now or later.
+pub enum RunStatus {
+    /// Nothing of the request has reached an endpoint, and nothing will.
     NotRun,
-    /// An endpoint may have run some or all of it.
+    /// An endpoint may have run some or all of the work.
     MayHaveRun,
-    /// It ran; only the answer is not at hand.
+    /// The work ran; only its answer is not available.
     Ran,
 }
 
-impl Run {
-    /// The machine-readable word in an error body.
+impl RunStatus {
+    /// The machine-readable value in an error body.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -22,7 +22,7 @@
     }
 }
 
-/// How a kind of error is answered.
+/// How an error kind is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -30,10 +30,10 @@
     /// The machine-readable code.
     pub code: &'static str,
     /// Whether the work was run.
-    pub run: Run,
-    /// Whether the answer carries `Retry-After`.
+    pub run: RunStatus,
+    /// Whether the answer has a `Retry-After` header.
     pub retry_after: bool,
-    /// What it means, for the documentation.
+    /// The meaning of the error, for the documentation.
     pub meaning: &'static str,
 }
 
@@ -59,7 +59,7 @@
         }
 
         impl TryFrom<ErrorKind> for $name {
-            /// The kind, which is one of the others.
+            /// The unchanged kind, if it is not in this subset.
             type Error = ErrorKind;
 
             fn try_from(kind: ErrorKind) -> Result<Self, ErrorKind> {
@@ -77,7 +77,7 @@
         NotRun { $($early:ident, $early_status:literal, $early_code:literal, $early_retry:literal, $early_meaning:literal;)* }
         AfterDispatch { $($kind:ident, $status:literal, $code:literal, $run:ident, $retry:literal, $meaning:literal;)* }
     ) => {
-        /// Why a request was not answered whole.
+        /// Why a request did not get its complete answer.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum ErrorKind {
             $(#[doc = $early_meaning] $early,)*
@@ -88,20 +88,20 @@
             /// All kinds, in the order of the documentation.
             pub const ALL: &'static [Self] = &[$(Self::$early,)* $(Self::$kind,)*];
 
-            /// The table from kind to answer.
+            /// The answer to this kind of error.
             pub fn answer(self) -> Answer {
                 match self {
                     $(Self::$early => Answer {
                         status: $early_status,
                         code: $early_code,
-                        run: Run::NotRun,
+                        run: RunStatus::NotRun,
                         retry_after: $early_retry,
                         meaning: $early_meaning,
                     },)*
                     $(Self::$kind => Answer {
                         status: $status,
                         code: $code,
-                        run: Run::$run,
+                        run: RunStatus::$run,
                         retry_after: $retry,
                         meaning: $meaning,
                     },)*
@@ -110,13 +110,13 @@
         }
 
         subset! {
-            /// The kinds that say truthfully that nothing was run: only a request that was not
-            /// dispatched can end with them.
+            /// The kinds that state that nothing was run: only a request that was not dispatched
+            /// can end with one of them.
             NotRunKind: $($early, $early_meaning;)*
         }
 
         subset! {
-            /// The kinds that a dispatched request can end with.
+            /// The kinds with which a dispatched request can end.
             AfterDispatchKind: $($kind, $meaning;)*
         }
     };
@@ -133,18 +133,18 @@
         KeyReused, 422, "idempotency_key_reused", false, "The idempotency key was used with another request.";
         OverLimit, 429, "over_limit", true, "The workspace's limit is in use.";
         Overloaded, 503, "overloaded", true, "The endpoints can't take the work in time.";
-        DeadlineShort, 503, "deadline_too_short", true, "The work can't be done before its deadline; it was not begun.";
+        DeadlineTooShort, 503, "deadline_too_short", true, "The work can't be done before its deadline; it was not begun.";
         NoEndpoint, 503, "no_endpoint", true, "No live endpoints cover the target.";
         RecordUnavailable, 503, "record_unavailable", true, "A call that is not repeatable can't be recorded now, so it was not begun.";
         NotReady, 503, "not_ready", true, "The host has no catalogue yet, or is draining.";
     }
     AfterDispatch {
         RecordUnknown, 503, "record_unknown", MayHaveRun, true, "A call that is not repeatable was not begun here, but may have been before under the same key, and its record can't be read now.";
-        Elsewhere, 409, "running_elsewhere", MayHaveRun, true, "Another host has begun this call; its answer isn't there yet.";
+        RunningElsewhere, 409, "running_elsewhere", MayHaveRun, true, "Another host has begun this call; its answer isn't there yet.";
         DeadlineExceeded, 504, "deadline_exceeded", MayHaveRun, true, "The deadline passed while the work was running.";
         EndpointFailed, 502, "endpoint_failed", MayHaveRun, true, "Endpoints failed while the work was running.";
         Interrupted, 503, "interrupted", MayHaveRun, true, "The host had to stop before the work ended.";
         Cancelled, 499, "cancelled", MayHaveRun, false, "The caller cancelled the request.";
-        AnswerLost, 409, "answer_not_kept", Ran, false, "The work ran, and its answer is no longer kept.";
+        AnswerNotKept, 409, "answer_not_kept", Ran, false, "The work ran, and its answer is no longer kept.";
     }
 }
