--- a/crates/entry/src/control/orders/calls.rs
+++ b/crates/entry/src/control/orders/calls.rs
@@ -51,7 +51,7 @@
         Self {
             clock,
             leases,
-            table: Table::new(cfg.platform, cfg.lease.answer_limit),
+            table: Table::new(cfg.platform, cfg.lease.answer_timeout),
             http,
             limit,
             tx,
--- a/crates/entry/src/control/orders/driver.rs
+++ b/crates/entry/src/control/orders/driver.rs
@@ -118,7 +118,7 @@
             Event::Table(id, result) => {
                 let mut actions = Vec::new();
                 let mut leases = self.leases.borrow_mut();
-                leases.table(now, id, result, &mut actions);
+                leases.handle_table_result(now, id, result, &mut actions);
                 drop(leases);
                 self.leases_did(actions);
             }
@@ -199,8 +199,8 @@
         let names: Vec<_> = self.groups.keys().cloned().collect();
         for name in names {
             let me = &self.cfg.me().id;
-            if lease::prefers(&name, me, &self.peers, CANDIDATES) {
-                self.leases.borrow_mut().want(self.clock.now(), &name);
+            if lease::is_candidate(&name, me, &self.peers, CANDIDATES) {
+                self.leases.borrow_mut().request(self.clock.now(), &name);
             } else {
                 self.give_up(&name);
             }
@@ -209,7 +209,7 @@
 
     /// Gives a lease back. The right to act ends first.
     fn give_up(&mut self, name: &LeaseName) {
-        self.leases.borrow_mut().unwant(self.clock.now(), name);
+        self.leases.borrow_mut().release(self.clock.now(), name);
         self.run_group(name, Group::lease_lost);
     }
 
@@ -217,7 +217,7 @@
         let now = self.clock.now();
         for action in actions {
             match action {
-                lease::Action::Table { id, call } => self.calls.table(id, call),
+                lease::Action::CallTable { id, call } => self.calls.table(id, call),
                 lease::Action::Held(name, fence) => {
                     self.run_group(&name, |group, actions| {
                         group.lease_held(now, fence, actions);
@@ -274,7 +274,7 @@
             }
             group::Action::RaiseFence(floor) => {
                 let now = self.clock.now();
-                self.leases.borrow_mut().raise(now, name, floor);
+                self.leases.borrow_mut().raise_fence(now, name, floor);
             }
         }
     }
--- a/crates/orders/benches/orders.rs
+++ b/crates/orders/benches/orders.rs
@@ -96,10 +96,10 @@
         let mut actions = Vec::new();
         leases.tick(self.now, &mut actions);
         while let Some(action) = actions.pop() {
-            if let lease::Action::Table { id, call } = action {
+            if let lease::Action::CallTable { id, call } = action {
                 self.txns.count(&call);
                 let outcome = self.table.call(&call);
-                leases.table(self.now, id, Ok(outcome), &mut actions);
+                leases.handle_table_result(self.now, id, Ok(outcome), &mut actions);
             }
         }
     }
@@ -113,7 +113,7 @@
 fn table_load() {
     const SECONDS: u64 = 300;
     println!("table load, 25 data centres x 3 models, 14 hosts each, term 10 s:");
-    for (what, batch, together) in [
+    for (what, max_batch, together) in [
         ("each lease its own candidates, batches of 1", 1, false),
         ("each lease its own candidates, batches of 64", 64, false),
         (
@@ -129,7 +129,7 @@
     ] {
         let mut fleet = Fleet::new(vec![]);
         for dc in 0..25 {
-            add_data_centre(&mut fleet, dc, batch, together);
+            add_data_centre(&mut fleet, dc, max_batch, together);
         }
         fleet.run_until(Duration::from_secs(60));
         fleet.txns = Txns::default();
@@ -146,12 +146,12 @@
     }
 }
 
-fn add_data_centre(fleet: &mut Fleet, dc: u64, batch: usize, together: bool) {
+fn add_data_centre(fleet: &mut Fleet, dc: u64, max_batch: usize, together: bool) {
     let names: Vec<_> = (0..14).map(|i| format!("dc{dc}-{i}")).collect();
     let peers: Vec<HostId> = names.iter().map(|name| host(name).id).collect();
     for (i, peer) in peers.iter().enumerate() {
         let cfg = LeaseConfig {
-            batch,
+            max_batch,
             ..config(&names[i], dc * 100 + i as u64)
         };
         let mut leases = Leases::new(cfg);
@@ -160,8 +160,8 @@
             let lease = LeaseName::try_from(name.as_str()).unwrap();
             let shared = LeaseName::try_from(format!("dc{dc}").as_str()).unwrap();
             let by = if together { &shared } else { &lease };
-            if lease::prefers(by, peer, &peers, 2) {
-                leases.want(Duration::ZERO, &lease);
+            if lease::is_candidate(by, peer, &peers, 2) {
+                leases.request(Duration::ZERO, &lease);
             }
         }
         fleet.hosts.push((leases, true));
@@ -188,19 +188,19 @@
 fn takeover_time(seed: u64, delay: Option<u64>) -> Duration {
     let name = LeaseName::try_from("orders/m/d").unwrap();
     let mut fleet = Fleet::new([config("a", 2 * seed), config("b", 2 * seed + 1)]);
-    fleet.hosts[0].0.want(Duration::ZERO, &name);
+    fleet.hosts[0].0.request(Duration::ZERO, &name);
     fleet.run_until(Duration::from_secs(15));
     if delay.is_none() {
-        fleet.hosts[1].0.want(fleet.now, &name);
+        fleet.hosts[1].0.request(fleet.now, &name);
     }
     let death = Duration::from_secs(20) + STEP * (seed % 250) as u32;
     fleet.run_until(death);
     fleet.hosts[0].1 = false;
     if let Some(delay) = delay {
         fleet.run_until(death + Duration::from_secs(delay));
-        fleet.hosts[1].0.want(fleet.now, &name);
+        fleet.hosts[1].0.request(fleet.now, &name);
     }
-    while fleet.hosts[1].0.held(fleet.now, &name).is_none() {
+    while fleet.hosts[1].0.held_fence(fleet.now, &name).is_none() {
         let next = fleet.now + STEP;
         fleet.run_until(next);
     }
--- a/crates/orders/src/group/machine.rs
+++ b/crates/orders/src/group/machine.rs
@@ -53,7 +53,7 @@
     /// The endpoint may get work again, as far as orders go.
     Undrain(EndpointId),
     /// An engine has seen this fence, which is higher than the lease's: see
-    /// [`Leases::raise`](crate::lease::Leases::raise).
+    /// [`Leases::raise_fence`](crate::lease::Leases::raise_fence).
     RaiseFence(Fence),
 }
 
--- a/crates/orders/src/jitter.rs
+++ b/crates/orders/src/jitter.rs
@@ -1,39 +1,39 @@
-//! Seeded spreading of points in time.
+//! Seeded jitter of delays.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Draws factors around 1, the same ones for the same seed.
+/// Multiplies delays by pseudorandom factors around 1; the sequence depends only on the seed.
 ///
-/// Holds only the seed and the number of draws, so that a state that contains it can be compared
+/// Stores only the seed and the number of draws, so that a state that contains it can be compared
 /// and hashed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Jitter {
     seed: u64,
-    drawn: u64,
-    /// The largest part of a wait that is added or taken off, in percent.
-    percent: u32,
+    draw_count: u64,
+    /// The largest change of a delay in either direction, in percent of the delay; 0 to 100.
+    max_percent: u32,
 }
 
 impl Jitter {
-    pub(crate) fn new(seed: u64, percent: u32) -> Self {
+    pub(crate) fn new(seed: u64, max_percent: u32) -> Self {
         Self {
             seed,
-            drawn: 0,
-            percent: percent.min(100),
+            draw_count: 0,
+            max_percent: max_percent.min(100),
         }
     }
 
-    /// `mean`, longer or shorter by a random part.
-    pub(crate) fn around(&mut self, mean: Duration) -> Duration {
-        if self.percent == 0 {
+    /// Returns `mean` changed by a pseudorandom amount of at most `max_percent` percent.
+    pub(crate) fn apply(&mut self, mean: Duration) -> Duration {
+        if self.max_percent == 0 {
             return mean;
         }
-        self.drawn += 1;
-        let mut rng = Pcg32::seed_from_u64(self.seed ^ self.drawn.rotate_left(32));
-        let percent = rng.random_range(100 - self.percent..=100 + self.percent);
+        self.draw_count += 1;
+        let mut rng = Pcg32::seed_from_u64(self.seed ^ self.draw_count.rotate_left(32));
+        let percent = rng.random_range(100 - self.max_percent..=100 + self.max_percent);
         mean * percent / 100
     }
 }
--- a/crates/orders/src/lease/batch.rs
+++ b/crates/orders/src/lease/batch.rs
@@ -1,7 +1,7 @@
-//! Many leases in one transaction.
+//! Transactions that renew, acquire or read several leases.
 //!
-//! A transaction is all or nothing, so one lost lease fails the whole batch. Its failure branch
-//! reads every row of the batch, which tells the lost leases from the others in the same round trip.
+//! A transaction is atomic, so one lost lease fails the whole batch. The failure branch of the
+//! transaction reads every row of the batch, so that the same round trip shows which leases are lost.
 
 use std::time::Duration;
 
@@ -9,95 +9,95 @@
 
 use super::{
     LeaseName, LeaseRow,
-    slot::{Intent, Known},
+    slot::{Intent, RowState},
 };
 
-/// One lease's part in a transaction.
+/// The entry of one lease in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Part {
+pub(super) struct BatchEntry {
     pub(super) name: LeaseName,
-    /// The row that the write replaces.
-    pub(super) base: Known,
-    /// The row to write; `None` only reads.
+    /// The row that the write replaces, as last known. The transaction fails if the row has changed.
+    pub(super) expected: RowState,
+    /// The row to write; `None` to only read the row.
     pub(super) write: Option<LeaseRow>,
 }
 
-/// A transaction without an answer.
+/// A transaction whose result is pending.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Batch {
     pub(super) intent: Intent,
-    /// Before it was sent.
-    pub(super) sent: Duration,
-    /// The highest revision of the table known then.
-    pub(super) revision: u64,
-    pub(super) parts: Vec<Part>,
+    /// Time read before the transaction was sent.
+    pub(super) sent_at: Duration,
+    /// The highest table revision known when the transaction was sent.
+    pub(super) known_revision: u64,
+    pub(super) entries: Vec<BatchEntry>,
 }
 
 impl Batch {
     pub(super) fn call(&self) -> TableCall {
         if self.intent == Intent::Read {
-            let keys = self.parts.iter().map(|part| part.name.key());
+            let keys = self.entries.iter().map(|entry| entry.name.key());
             return TableCall::Read(keys.collect());
         }
         TableCall::Write(Txn {
-            conditions: self.parts.iter().map(condition).collect(),
-            ops: self.parts.iter().filter_map(put).collect(),
+            conditions: self.entries.iter().map(condition).collect(),
+            ops: self.entries.iter().filter_map(put).collect(),
         })
     }
 
-    /// What each part's row is after the transaction.
-    pub(super) fn results(&self, outcome: &TxnOutcome) -> Vec<Known> {
+    /// Returns the state of each entry's row after the transaction, in the order of the entries.
+    pub(super) fn results(&self, outcome: &TxnOutcome) -> Vec<RowState> {
         if self.intent != Intent::Read && outcome.succeeded {
-            let written = |part: &Part| written(part, outcome.table_revision);
-            return self.parts.iter().map(written).collect();
+            let written = |entry: &BatchEntry| written_state(entry, outcome.table_revision);
+            return self.entries.iter().map(written).collect();
         }
         let mut rows = outcome.rows.iter();
-        let mut found = |part: &Part| match rows.next() {
-            Some(row) => known(part, row.as_ref()),
-            None => part.base.clone(),
+        let mut found = |entry: &BatchEntry| match rows.next() {
+            Some(row) => row_state(entry, row.as_ref()),
+            None => entry.expected.clone(),
         };
-        self.parts.iter().map(&mut found).collect()
+        self.entries.iter().map(&mut found).collect()
     }
 }
 
-fn condition(part: &Part) -> Condition {
-    let key = part.name.key();
-    match part.base {
-        Known::Present { mod_revision, .. } | Known::Malformed { mod_revision } => {
+fn condition(entry: &BatchEntry) -> Condition {
+    let key = entry.name.key();
+    match entry.expected {
+        RowState::Present { mod_revision, .. } | RowState::Malformed { mod_revision } => {
             Condition::Unchanged { key, mod_revision }
         }
-        Known::Unread | Known::Absent => Condition::Absent(key),
+        RowState::Unread | RowState::Absent => Condition::Absent(key),
     }
 }
 
-fn put(part: &Part) -> Option<Op> {
-    let row = part.write.as_ref()?;
+fn put(entry: &BatchEntry) -> Option<Op> {
+    let row = entry.write.as_ref()?;
     Some(Op::Put {
-        key: part.name.key(),
+        key: entry.name.key(),
         value: row.encode(),
     })
 }
 
-fn written(part: &Part, mod_revision: u64) -> Known {
-    match &part.write {
-        Some(row) => Known::Present {
+fn written_state(entry: &BatchEntry, mod_revision: u64) -> RowState {
+    match &entry.write {
+        Some(row) => RowState::Present {
             row: row.clone(),
             mod_revision,
         },
-        None => part.base.clone(),
+        None => entry.expected.clone(),
     }
 }
 
-fn known(part: &Part, found: Option<&Row>) -> Known {
+fn row_state(entry: &BatchEntry, found: Option<&Row>) -> RowState {
     let Some(found) = found else {
-        return Known::Absent;
+        return RowState::Absent;
     };
     let mod_revision = found.mod_revision;
     match LeaseRow::decode(&found.value) {
-        Ok(row) => Known::Present { row, mod_revision },
+        Ok(row) => RowState::Present { row, mod_revision },
         Err(e) => {
-            log::error!("lease: {}: the row is no lease: {e}", part.name);
-            Known::Malformed { mod_revision }
+            log::error!("lease: {}: cannot decode the lease row: {e}", entry.name);
+            RowState::Malformed { mod_revision }
         }
     }
 }
--- a/crates/orders/src/lease/name.rs
+++ b/crates/orders/src/lease/name.rs
@@ -2,34 +2,34 @@
 
 use std::{fmt, sync::Arc};
 
-/// Where lease rows are in the table.
+/// The prefix of the table keys of lease rows.
 const KEY_PREFIX: &str = "leases/";
 
-/// The longest name in bytes.
-const MAX_LEN: usize = 255;
+/// The largest length of a lease name in bytes.
+const MAX_NAME_BYTES: usize = 255;
 
 /// The name of a lease: 1 to 255 printable ASCII characters without spaces.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseName(Arc<str>);
 
-/// Why a text is no [`LeaseName`].
+/// Why a text is not a valid [`LeaseName`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseNameError {
-    /// Empty or too long.
-    #[error("a lease name has 1 to {MAX_LEN} bytes, this one has {0}")]
+    /// The text is empty or too long; its length in bytes.
+    #[error("a lease name must have 1 to {MAX_NAME_BYTES} bytes, but this one has {0}")]
     Length(usize),
-    /// A character that isn't allowed.
+    /// The text contains this character, which isn't allowed.
     #[error("{0:?} is not allowed in a lease name: only printable ASCII without spaces is")]
     Character(char),
 }
 
 impl LeaseName {
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The table's key of the lease's row.
+    /// Returns the table key of the lease's row.
     pub fn key(&self) -> String {
         format!("{KEY_PREFIX}{}", self.0)
     }
@@ -39,7 +39,7 @@
     type Error = LeaseNameError;
 
     fn try_from(raw: &str) -> Result<Self, LeaseNameError> {
-        if raw.is_empty() || raw.len() > MAX_LEN {
+        if raw.is_empty() || raw.len() > MAX_NAME_BYTES {
             return Err(LeaseNameError::Length(raw.len()));
         }
         if let Some(c) = raw.chars().find(|c| !c.is_ascii_graphic()) {
@@ -61,6 +61,6 @@
     }
 }
 
-/// A fencing number. A host that takes a lease over from another has a higher one than any before.
+/// A fencing number. A host that takes a lease over gets a higher number than all earlier holders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fence(pub u64);
--- a/crates/orders/src/lease/rendezvous.rs
+++ b/crates/orders/src/lease/rendezvous.rs
@@ -1,37 +1,39 @@
-//! Which hosts should go for a lease, so that not all of them race.
+//! Selects the hosts that request a lease by rendezvous hashing, so that not all hosts compete.
 
 use dragonflyrill_protocol::HostId;
 use xxhash_rust::xxh3;
 
 use super::LeaseName;
 
-/// How many of `peers` come before `me` for this lease, by highest random weight.
+/// Returns how many of `peers` rank before `host` for this lease, by highest random weight.
 ///
-/// Hosts that see the same peers agree; when a host leaves, only its own places move.
+/// Hosts that see the same peers compute the same order. When a host is removed, only the leases
+/// for which it was a candidate get other candidates.
 pub fn rank<'a>(
     name: &LeaseName,
-    me: &HostId,
+    host: &HostId,
     peers: impl IntoIterator<Item = &'a HostId>,
 ) -> usize {
-    let mine = weight(name, me);
-    let before = |peer: &&HostId| *peer != me && weight(name, peer) > mine;
-    peers.into_iter().filter(before).count()
+    let own_weight = weight(name, host);
+    let ranks_before = |peer: &&HostId| *peer != host && weight(name, peer) > own_weight;
+    peers.into_iter().filter(ranks_before).count()
 }
 
-/// Whether `me` is among the first `candidates` hosts for this lease.
+/// Whether `host` is among the first `candidates` hosts for this lease.
 ///
-/// With 2, one holds the lease and one watches its row, so that the watcher's wait has begun when
-/// the holder dies. This is only about cost: any host may want any lease.
-pub fn prefers<'a>(
+/// With two candidates, one host holds the lease and the other one watches its row, so that the
+/// wait before a takeover is already running when the holder fails. This only limits the number of
+/// table calls: any host may safely request any lease.
+pub fn is_candidate<'a>(
     name: &LeaseName,
-    me: &HostId,
+    host: &HostId,
     peers: impl IntoIterator<Item = &'a HostId>,
     candidates: usize,
 ) -> bool {
-    rank(name, me, peers) < candidates
+    rank(name, host, peers) < candidates
 }
 
-/// Equal weights are told apart by the host's name.
+/// The sort key of a host for a lease. Equal hashes are ordered by the host's name.
 fn weight<'a>(name: &LeaseName, host: &'a HostId) -> (u64, &'a str) {
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(name.as_str().as_bytes());
--- a/crates/orders/src/lease/row.rs
+++ b/crates/orders/src/lease/row.rs
@@ -1,4 +1,4 @@
-//! The row of a lease as stored.
+//! The stored row of a lease.
 
 use dragonflyrill_protocol::HostRef;
 use serde::{Deserialize, Serialize};
@@ -6,31 +6,31 @@
 /// The row of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who wrote it.
+    /// The host that wrote the row.
     pub holder: HostRef,
-    /// The fencing number of the hold. Never falls as long as the table keeps its rows.
+    /// The fencing number of the hold. Never decreases as long as the table keeps its rows.
     pub fence: u64,
-    /// How long the write lets the holder act, in milliseconds; 0 means released.
+    /// How long the holder may act after the write, in milliseconds; 0 if the lease is released.
     pub term_ms: u64,
-    /// The write that made the row; unique to it.
+    /// The unique id of the write that created this version of the row.
     pub write_id: String,
 }
 
 impl LeaseRow {
-    /// The stored bytes.
+    /// Encodes the row for the table, as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a lease row is plain data")
+        serde_json::to_vec(self).expect("a lease row can be serialized")
     }
 
-    /// Reads stored bytes.
+    /// Decodes a row from the table.
     ///
     /// # Errors
-    /// When they are no lease row.
+    /// Fails if the bytes are not a lease row.
     pub fn decode(raw: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(raw)
     }
 
-    /// Whether the holder gave the lease back.
+    /// Whether the holder released the lease.
     pub fn is_released(&self) -> bool {
         self.term_ms == 0
     }
--- a/crates/orders/src/lease/slot.rs
+++ b/crates/orders/src/lease/slot.rs
@@ -1,135 +1,142 @@
-//! What one host knows and does about one lease.
+//! The state of one lease on one host.
 
 use std::time::Duration;
 
 use super::{Fence, LeaseConfig, LeaseRow, TxnId};
 
-/// The most writes in doubt that are remembered. A forgotten one that takes effect after all only
-/// makes this host take the lease anew.
-const MAX_IN_DOUBT: usize = 16;
+/// The largest number of unconfirmed writes that a slot records. If a write that is no longer
+/// recorded takes effect, this host only has to acquire the lease again.
+const MAX_UNCONFIRMED_WRITES: usize = 16;
 
-/// The table's row as last read or written.
+/// The state of the lease's row in the table, as last read or written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) enum Known {
+pub(super) enum RowState {
     /// Not read yet.
     Unread,
-    /// There is no row.
+    /// The table has no row for the lease.
     Absent,
-    /// There is a row.
+    /// The table has this row.
     Present { row: LeaseRow, mod_revision: u64 },
-    /// There is a row that is no lease. An operator has to mend it.
+    /// The row can't be decoded as a lease. An operator has to repair it.
     Malformed { mod_revision: u64 },
 }
 
-/// A write that may have taken effect.
+/// A write that may have taken effect, but isn't confirmed by a row that was read.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct InDoubt {
+pub(super) struct UnconfirmedWrite {
     pub(super) row: LeaseRow,
-    /// Before it was sent.
-    pub(super) sent: Duration,
+    /// Time read before the write was sent.
+    pub(super) sent_at: Duration,
 }
 
-/// The right to act.
+/// The right to act under a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Hold {
     pub(super) fence: Fence,
-    /// From here on acting is forbidden.
-    pub(super) until: Duration,
+    /// The first instant at which acting is forbidden.
+    pub(super) expires_at: Duration,
 }
 
-/// What to ask the table for a lease.
+/// The kind of the next table call for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Intent {
-    /// Write the row that this host made before: renew, or release.
-    Keep,
-    /// Take over another host's row, or make the first.
+    /// Replace the row that this host wrote: renew or release the lease.
+    Update,
+    /// Take over another host's row, or create the first row.
     Acquire,
     /// Read the row.
     Read,
 }
 
-/// How [`Slot::learn`] changed the right to act.
+/// How [`Slot::observe`] changed the right to act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Turn {
-    Same,
+pub(super) enum HoldChange {
+    Unchanged,
+    /// The lease is held under this fence, which differs from the previous one.
     Held(Fence),
     Lost,
 }
 
-/// One lease.
+/// The state of one lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Slot {
-    pub(super) wanted: bool,
-    pub(super) known: Known,
-    /// When this host first got an answer that showed `known`.
-    pub(super) since: Duration,
+    pub(super) requested: bool,
+    pub(super) row_state: RowState,
+    /// When this host first received an answer that showed `row_state`, or detected that the table
+    /// was restored, if later.
+    pub(super) row_state_since: Duration,
     pub(super) hold: Option<Hold>,
-    /// Oldest first. All compare with `known`, so none can succeed once the row has changed.
-    pub(super) in_doubt: Vec<InDoubt>,
-    /// The transaction without an answer that this lease is part of.
-    pub(super) busy: Option<TxnId>,
-    /// When to ask the table next.
-    pub(super) due: Duration,
-    /// The next hold's fence is higher than this.
-    pub(super) floor: u64,
+    /// Oldest first. All are conditional on `row_state`, so none can succeed once the row has
+    /// changed.
+    pub(super) unconfirmed: Vec<UnconfirmedWrite>,
+    /// The pending transaction that contains this lease.
+    pub(super) pending_txn: Option<TxnId>,
+    /// When to call the table next.
+    pub(super) next_call_at: Duration,
+    /// The fence of the next hold is higher than this.
+    pub(super) fence_floor: u64,
 }
 
 impl Slot {
     pub(super) fn new(now: Duration) -> Self {
         Self {
-            wanted: true,
-            known: Known::Unread,
-            since: now,
+            requested: true,
+            row_state: RowState::Unread,
+            row_state_since: now,
             hold: None,
-            in_doubt: Vec::new(),
-            busy: None,
-            due: now,
-            floor: 0,
+            unconfirmed: Vec::new(),
+            pending_txn: None,
+            next_call_at: now,
+            fence_floor: 0,
         }
     }
 
-    /// The fence while acting is allowed.
-    pub(super) fn held(&self, now: Duration) -> Option<Fence> {
-        let hold = self.hold.filter(|hold| now < hold.until)?;
+    /// Returns the fence if acting is allowed at `now`.
+    pub(super) fn held_fence(&self, now: Duration) -> Option<Fence> {
+        let hold = self.hold.filter(|hold| now < hold.expires_at)?;
         Some(hold.fence)
     }
 
-    /// Whether the row is one that this life of this host wrote and hasn't released.
-    pub(super) fn is_mine(&self, cfg: &LeaseConfig) -> bool {
-        match &self.known {
-            Known::Present { row, .. } => row.holder == cfg.me && !row.is_released(),
+    /// Whether this incarnation of this host wrote the row and hasn't released it.
+    pub(super) fn is_own_row(&self, cfg: &LeaseConfig) -> bool {
+        match &self.row_state {
+            RowState::Present { row, .. } => row.holder == cfg.me && !row.is_released(),
             _ => false,
         }
     }
 
-    /// Whether nothing is left to do here.
-    pub(super) fn is_done(&self, cfg: &LeaseConfig) -> bool {
-        !self.wanted && self.busy.is_none() && self.in_doubt.is_empty() && !self.is_mine(cfg)
+    /// Whether the slot can be removed: the lease isn't requested and no write or release is
+    /// outstanding.
+    pub(super) fn is_removable(&self, cfg: &LeaseConfig) -> bool {
+        !self.requested
+            && self.pending_txn.is_none()
+            && self.unconfirmed.is_empty()
+            && !self.is_own_row(cfg)
     }
 
-    /// From when on another host's row may be taken over.
+    /// Returns when the lease may be taken over from another host, if it may at all.
     pub(super) fn takeover_at(&self, cfg: &LeaseConfig) -> Option<Duration> {
-        match &self.known {
-            Known::Unread | Known::Malformed { .. } => None,
-            // A lost table looks like a new one: a holder may still be acting.
-            Known::Absent => Some(self.since + cfg.term + cfg.margin),
-            Known::Present { row, .. } if row.is_released() => Some(self.since),
-            Known::Present { row, .. } => {
-                Some(self.since + Duration::from_millis(row.term_ms) + cfg.margin)
+        match &self.row_state {
+            RowState::Unread | RowState::Malformed { .. } => None,
+            // A table that lost its rows looks like a new one, so a holder may still be acting.
+            RowState::Absent => Some(self.row_state_since + cfg.term + cfg.margin),
+            RowState::Present { row, .. } if row.is_released() => Some(self.row_state_since),
+            RowState::Present { row, .. } => {
+                Some(self.row_state_since + Duration::from_millis(row.term_ms) + cfg.margin)
             }
         }
     }
 
-    /// What to ask the table, regardless of `due`.
+    /// Returns the kind of the next table call, regardless of `next_call_at`.
     pub(super) fn intent(&self, now: Duration, cfg: &LeaseConfig) -> Option<Intent> {
-        if self.busy.is_some() {
+        if self.pending_txn.is_some() {
             return None;
         }
-        if self.is_mine(cfg) {
-            return Some(Intent::Keep);
+        if self.is_own_row(cfg) {
+            return Some(Intent::Update);
         }
-        if !self.wanted {
-            return (!self.in_doubt.is_empty()).then_some(Intent::Read);
+        if !self.requested {
+            return (!self.unconfirmed.is_empty()).then_some(Intent::Read);
         }
         match self.takeover_at(cfg) {
             Some(at) if at <= now => Some(Intent::Acquire),
@@ -137,19 +144,21 @@
         }
     }
 
-    /// The row to write next.
+    /// Returns the row to write next.
     pub(super) fn next_row(&self, now: Duration, cfg: &LeaseConfig, write_id: String) -> LeaseRow {
-        let last = match &self.known {
-            Known::Present { row, .. } => row.fence,
+        let last = match &self.row_state {
+            RowState::Present { row, .. } => row.fence,
             _ => 0,
         };
-        let goes_on = self.held(now).filter(|fence| fence.0 > self.floor);
-        let fence = match goes_on {
+        let continued = self
+            .held_fence(now)
+            .filter(|fence| fence.0 > self.fence_floor);
+        let fence = match continued {
             Some(fence) => fence.0,
-            None if self.wanted => last.max(self.floor).saturating_add(1),
+            None if self.requested => last.max(self.fence_floor).saturating_add(1),
             None => last,
         };
-        let term = if self.wanted {
+        let term = if self.requested {
             cfg.term
         } else {
             Duration::ZERO
@@ -162,51 +171,61 @@
         }
     }
 
-    /// Remembers a write without an answer.
-    pub(super) fn doubt(&mut self, write: InDoubt) {
-        if self.in_doubt.len() == MAX_IN_DOUBT {
-            self.in_doubt.remove(0);
+    /// Records a write whose result is unknown, and drops the oldest one if there are too many.
+    pub(super) fn add_unconfirmed(&mut self, write: UnconfirmedWrite) {
+        if self.unconfirmed.len() == MAX_UNCONFIRMED_WRITES {
+            self.unconfirmed.remove(0);
         }
-        self.in_doubt.push(write);
+        self.unconfirmed.push(write);
     }
 
-    /// Takes in what the table holds.
-    pub(super) fn learn(&mut self, now: Duration, known: Known, cfg: &LeaseConfig) -> Turn {
-        if known == self.known {
-            return Turn::Same;
+    /// Applies a row state that the table returned.
+    pub(super) fn observe(
+        &mut self,
+        now: Duration,
+        row_state: RowState,
+        cfg: &LeaseConfig,
+    ) -> HoldChange {
+        if row_state == self.row_state {
+            return HoldChange::Unchanged;
         }
-        let writes = std::mem::take(&mut self.in_doubt);
-        let written = match &known {
-            Known::Present { row, .. } => writes.into_iter().find(|w| w.row == *row),
+        let writes = std::mem::take(&mut self.unconfirmed);
+        let written = match &row_state {
+            RowState::Present { row, .. } => writes.into_iter().find(|w| w.row == *row),
             _ => None,
         };
-        self.known = known;
-        self.since = now;
+        self.row_state = row_state;
+        self.row_state_since = now;
         match written {
-            Some(write) if !write.row.is_released() => self.wrote(now, &write, cfg),
+            Some(write) if !write.row.is_released() => self.confirm_write(now, &write, cfg),
             _ => self.drop_hold(),
         }
     }
 
     /// Ends the right to act.
-    pub(super) fn drop_hold(&mut self) -> Turn {
+    pub(super) fn drop_hold(&mut self) -> HoldChange {
         match self.hold.take() {
-            Some(_) => Turn::Lost,
-            None => Turn::Same,
+            Some(_) => HoldChange::Lost,
+            None => HoldChange::Unchanged,
         }
     }
 
-    /// The row is this host's own write: its term runs from before it was sent.
-    fn wrote(&mut self, now: Duration, write: &InDoubt, cfg: &LeaseConfig) -> Turn {
+    /// Applies a row that this host wrote. The term of the write starts before it was sent.
+    fn confirm_write(
+        &mut self,
+        now: Duration,
+        write: &UnconfirmedWrite,
+        cfg: &LeaseConfig,
+    ) -> HoldChange {
         let fence = Fence(write.row.fence);
-        let until = write.sent + cfg.term;
-        if !self.wanted || now >= until {
+        let expires_at = write.sent_at + cfg.term;
+        if !self.requested || now >= expires_at {
             return self.drop_hold();
         }
-        let before = self.hold.replace(Hold { fence, until });
-        if before.is_some_and(|hold| hold.fence == fence) {
-            return Turn::Same;
+        let previous = self.hold.replace(Hold { fence, expires_at });
+        if previous.is_some_and(|hold| hold.fence == fence) {
+            return HoldChange::Unchanged;
         }
-        Turn::Held(fence)
+        HoldChange::Held(fence)
     }
 }
--- a/crates/orders/tests/behaviour.rs
+++ b/crates/orders/tests/behaviour.rs
@@ -22,7 +22,7 @@
 fn leases(names: &[LeaseName]) -> Leases {
     let mut leases = Leases::new(LeaseConfig::new(host("a"), TERM, ms(1000), 1));
     for name in names {
-        leases.want(Duration::ZERO, name);
+        leases.request(Duration::ZERO, name);
     }
     leases
 }
@@ -48,14 +48,14 @@
         let mut actions = Vec::new();
         leases.tick(*now, &mut actions);
         while let Some(action) = actions.pop() {
-            let Action::Table { id, call } = action else {
+            let Action::CallTable { id, call } = action else {
                 others.push(action);
                 continue;
             };
             calls += 1;
             let away = PlatformError::Unknown("away".to_owned());
             let result = table.as_mut().map(|table| table.call(&call)).ok_or(away);
-            leases.table(*now, id, result, &mut actions);
+            leases.handle_table_result(*now, id, result, &mut actions);
         }
     }
     (calls, others)
@@ -79,7 +79,7 @@
     table.txn(&Txn::unconditional(vec![put]));
     let (_, actions) = run(&mut leases, Some(&mut table), &mut now, ms(25_000));
     assert_eq!(actions, [Action::Lost(names[3].clone())]);
-    let held = names.iter().filter(|n| leases.held(now, n).is_some());
+    let held = names.iter().filter(|n| leases.held_fence(now, n).is_some());
     assert_eq!(held.count(), 9);
 }
 
@@ -100,7 +100,7 @@
     let names = names(1);
     let (mut leases, mut table, mut now) = (leases(&names), MemoryTable::default(), ms(0));
     run(&mut leases, Some(&mut table), &mut now, ms(20_000));
-    leases.raise(now, &names[0], Fence(41));
+    leases.raise_fence(now, &names[0], Fence(41));
     let (_, actions) = run(&mut leases, Some(&mut table), &mut now, ms(21_000));
     assert_eq!(actions, [Action::Held(names[0].clone(), Fence(42))]);
     assert!(!leases.check(now, &names[0], Fence(1)));
--- a/crates/orders/tests/lease_search.rs
+++ b/crates/orders/tests/lease_search.rs
@@ -120,7 +120,7 @@
             highest: None,
         };
         let name = race.name.clone();
-        race.hosts[0].leases.want(Duration::ZERO, &name);
+        race.hosts[0].leases.request(Duration::ZERO, &name);
         while race.held(0).is_none() {
             race.apply(&Event::Step).unwrap();
             while !race.calls.is_empty() {
@@ -128,7 +128,7 @@
             }
         }
         let now = race.now(1);
-        race.hosts[1].leases.want(now, &name);
+        race.hosts[1].leases.request(now, &name);
         race
     }
 
@@ -138,7 +138,9 @@
     }
 
     fn held(&self, host: usize) -> Option<Fence> {
-        self.hosts[host].leases.held(self.now(host), &self.name)
+        self.hosts[host]
+            .leases
+            .held_fence(self.now(host), &self.name)
     }
 
     fn tick(&mut self, host: usize) {
@@ -153,13 +155,13 @@
         let now = self.now(host);
         let mut actions = Vec::new();
         let leases = &mut self.hosts[host].leases;
-        leases.table(now, call.id, result, &mut actions);
+        leases.handle_table_result(now, call.id, result, &mut actions);
         self.carry_out(host, actions);
     }
 
     fn carry_out(&mut self, host: usize, actions: Vec<Action>) {
         for action in actions {
-            if let Action::Table { id, call } = action {
+            if let Action::CallTable { id, call } = action {
                 self.calls.push(Call {
                     host,
                     id,
@@ -217,11 +219,11 @@
 
 fn config(id: &str) -> LeaseConfig {
     LeaseConfig {
-        renew_every: ms(1),
-        poll_every: ms(1),
-        retry_first: ms(1),
-        retry_max: ms(1),
-        answer_limit: ms(2),
+        renew_interval: ms(1),
+        poll_interval: ms(1),
+        initial_retry_delay: ms(1),
+        max_retry_delay: ms(1),
+        answer_timeout: ms(2),
         jitter_percent: 0,
         ..LeaseConfig::new(host(id), ms(TERM), ms(MARGIN), 0)
     }
@@ -315,13 +317,13 @@
                 self.releases_left -= 1;
                 let now = self.now(host);
                 self.hosts[host].wants = false;
-                self.hosts[host].leases.unwant(now, &name);
+                self.hosts[host].leases.release(now, &name);
                 self.tick(host);
             }
             Event::Want(host) => {
                 let now = self.now(host);
                 self.hosts[host].wants = true;
-                self.hosts[host].leases.want(now, &name);
+                self.hosts[host].leases.request(now, &name);
                 self.tick(host);
             }
         }
