--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -8,7 +8,7 @@
 //!
 //! Marks of drained endpoints stay here: they are logged, and end with the order. The other hosts
 //! go on sending work to a drained endpoint until it is ordered, at the latest after
-//! [`group::GroupConfig::drain_limit`].
+//! [`group::GroupConfig::max_drain_time`].
 
 mod calls;
 mod driver;
--- a/crates/entry/src/control/orders/calls.rs
+++ b/crates/entry/src/control/orders/calls.rs
@@ -41,7 +41,7 @@
         leases: Rc<RefCell<Leases>>,
         tx: mpsc::WeakUnboundedSender<Event>,
     ) -> Self {
-        let limit = cfg.group.flight / 2;
+        let limit = cfg.group.max_flight_time / 2;
         let connector = awc::Connector::new().timeout(limit / 2);
         let http = awc::Client::builder()
             .connector(connector)
--- a/crates/entry/src/control/orders/driver.rs
+++ b/crates/entry/src/control/orders/driver.rs
@@ -124,12 +124,12 @@
             }
             Event::Answer(of, result) if self.lives_on(&of) => {
                 self.run_group(&of.lease, |group, actions| {
-                    group.answer(now, &of.endpoint, of.call, result, actions);
+                    group.handle_answer(now, &of.endpoint, of.call, result, actions);
                 });
             }
             Event::Sessions(of, count, at) if self.lives_on(&of) => {
                 self.run_group(&of.lease, |group, _| {
-                    group.sessions(&of.endpoint, count, at);
+                    group.set_session_count(&of.endpoint, count, at);
                 });
             }
             Event::Answer(..) | Event::Sessions(..) => {}
@@ -146,7 +146,7 @@
         let mut specs = BTreeMap::new();
         for entry in groups {
             match spec(entry, models) {
-                Ok(spec) => drop(specs.insert(spec.id().lease(), spec)),
+                Ok(spec) => drop(specs.insert(spec.id().lease_name(), spec)),
                 Err(e) => log::error!("orders: No orders are given: {e}."),
             }
         }
@@ -187,9 +187,9 @@
             let endpoints = managed.group.spec().endpoints().clone();
             for id in endpoints {
                 let listed = self.listed.get(&id);
-                managed.group.alive(now, &id, listed.is_some());
+                managed.group.set_alive(now, &id, listed.is_some());
                 let leaving = listed.is_some_and(|endpoint| endpoint.leaving);
-                managed.group.leaving(&id, leaving);
+                managed.group.set_shutting_down(&id, leaving);
             }
         }
     }
--- a/crates/entry/tests/orders.rs
+++ b/crates/entry/tests/orders.rs
@@ -165,11 +165,11 @@
         platform,
         lease: LeaseConfig::new(me, ms(1500), ms(150), name.len() as u64),
         group: GroupConfig {
-            flight: ms(600),
-            read_every: ms(50),
-            max_age: ms(1000),
-            drain_settle: ms(50),
-            drain_limit: ms(400),
+            max_flight_time: ms(600),
+            read_interval: ms(50),
+            max_state_age: ms(1000),
+            drain_settle_time: ms(50),
+            max_drain_time: ms(400),
         },
     };
     let feed = orders::start(cfg, Clock::start());
--- a/crates/orders/benches/orders.rs
+++ b/crates/orders/benches/orders.rs
@@ -292,7 +292,7 @@
             }
             let state = engine.state(self.now);
             self.group
-                .answer(self.now, &endpoint, call, Ok(state), &mut actions);
+                .handle_answer(self.now, &endpoint, call, Ok(state), &mut actions);
         }
     }
 
@@ -306,13 +306,13 @@
     fn kill(&mut self, count: usize) {
         for (id, engine) in self.engines.iter_mut().take(count) {
             engine.alive = false;
-            self.group.alive(self.now, id, false);
+            self.group.set_alive(self.now, id, false);
             self.dead.insert(id.clone());
         }
     }
 
     fn serving_first(&self) -> u32 {
-        self.group.plan(self.now).ranges[0].serving
+        self.group.status(self.now).ranges[0].serving
     }
 }
 
--- a/crates/orders/src/group/decide.rs
+++ b/crates/orders/src/group/decide.rs
@@ -1,4 +1,4 @@
-//! Which endpoint to change next.
+//! Decides which endpoint to change next.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,44 +9,45 @@
     member::{self, Change, Member},
 };
 
-/// An endpoint that is to hold another range or version.
+/// A decision to make an endpoint hold another range or version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Move {
+pub(super) struct Reassignment {
     pub(super) endpoint: EndpointId,
-    /// The range it is to hold.
-    pub(super) to: usize,
-    /// Whether it must be drained first.
+    /// Index of the range to hold.
+    pub(super) target_range: usize,
+    /// Whether the endpoint must be drained first.
     pub(super) drain: bool,
 }
 
-/// A group at one instant.
-pub(super) struct Picture<'a> {
+/// The state of a group at one instant.
+pub(super) struct Snapshot<'a> {
     pub(super) now: Duration,
     pub(super) cfg: &'a GroupConfig,
     pub(super) spec: &'a GroupSpec,
     pub(super) members: &'a BTreeMap<EndpointId, Member>,
-    /// One for each range, in order.
-    counts: Vec<Count>,
+    /// One entry for each range, in order.
+    counts: Vec<RangeCounts>,
 }
 
-/// How many endpoints stand how to one range.
+/// How many endpoints are in which state with respect to one range.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Count {
+struct RangeCounts {
     serving: u32,
     joining: u32,
-    /// Holding it, but being drained.
+    /// Endpoints that hold the range, but are being drained.
     draining: u32,
+    /// Endpoints that hold the range in another version than declared and aren't shutting down.
     outdated: u32,
 }
 
-impl<'a> Picture<'a> {
+impl<'a> Snapshot<'a> {
     pub(super) fn new(
         now: Duration,
         cfg: &'a GroupConfig,
         spec: &'a GroupSpec,
         members: &'a BTreeMap<EndpointId, Member>,
     ) -> Self {
-        let mut picture = Self {
+        let mut snapshot = Self {
             now,
             cfg,
             spec,
@@ -54,62 +55,66 @@
             counts: Vec::new(),
         };
         let ranges = 0..spec.ranges().len();
-        picture.counts = ranges.map(|index| picture.count(index)).collect();
-        picture
+        snapshot.counts = ranges.map(|index| snapshot.count(index)).collect();
+        snapshot
     }
 
-    fn count(&self, index: usize) -> Count {
-        let mut count = Count::default();
+    fn count(&self, index: usize) -> RangeCounts {
+        let mut count = RangeCounts::default();
         for m in self.members.values() {
             count.serving += u32::from(self.serves(m, index));
             count.joining += u32::from(m.is_joining(self.now, self.cfg, self.spec, index));
-            count.draining += u32::from(self.is_drained_from(m, index));
+            count.draining += u32::from(self.is_draining_from(m, index));
             count.outdated += u32::from(self.is_outdated(m, index));
         }
         count
     }
 
-    /// The next change, if one is needed and allowed now.
-    pub(super) fn next_move(&self) -> Option<Move> {
+    /// Returns the next change, if one is needed and allowed now.
+    pub(super) fn next_reassignment(&self) -> Option<Reassignment> {
         let mut members = self.members.values();
-        if members.any(|m| m.is_unsure(self.now, self.cfg)) {
+        if members.any(|m| m.is_state_pending(self.now, self.cfg)) {
             return None;
         }
-        let mut short = self.short_ranges();
-        if short.is_empty() {
+        let mut underserved = self.underserved_ranges();
+        if underserved.is_empty() {
             return self.next_upgrade();
         }
-        short.sort_by_key(|index| self.serving(*index).saturating_mul(1000) / self.minimum(*index));
-        short.into_iter().find_map(|index| self.donor(index))
+        underserved
+            .sort_by_key(|index| self.serving(*index).saturating_mul(1000) / self.minimum(*index));
+        underserved
+            .into_iter()
+            .find_map(|index| self.fastest_candidate(index))
     }
 
-    /// How many endpoints serve a range, in whichever version.
+    /// Returns how many endpoints serve a range, in any version.
     pub(super) fn serving(&self, index: usize) -> u32 {
         self.counts[index].serving
     }
 
-    /// Whether nobody serves a range.
-    pub(super) fn is_lost(&self, index: usize) -> bool {
+    /// Whether no endpoint serves a range.
+    pub(super) fn is_unserved(&self, index: usize) -> bool {
         self.serving(index) == 0
     }
 
-    /// How many endpoints are going to serve a range.
+    /// Returns how many endpoints are about to serve a range.
     pub(super) fn joining(&self, index: usize) -> u32 {
         self.counts[index].joining
     }
 
-    /// How many endpoints hold a range in another version than declared and stay.
+    /// Returns how many endpoints hold a range in another version than declared and aren't shutting
+    /// down.
     pub(super) fn outdated(&self, index: usize) -> u32 {
         self.counts[index].outdated
     }
 
-    /// Whether the endpoint can be taken from all it serves, with enough others serving that, and
-    /// no other being taken from the same.
-    pub(super) fn can_leave(&self, m: &Member) -> bool {
+    /// Whether the endpoint can be removed from all ranges it holds: enough others serve each of
+    /// them, and no other endpoint is being drained from any of them.
+    pub(super) fn can_be_reassigned(&self, m: &Member) -> bool {
         let ranges = 0..self.spec.ranges().len();
         let mut held = ranges.filter(|index| self.holds(m, *index));
         held.all(|index| {
-            let own = u32::from(self.is_drained_from(m, index));
+            let own = u32::from(self.is_draining_from(m, index));
             let others = self.serving_without(index, m);
             others >= self.minimum(index) && self.counts[index].draining == own
         })
@@ -119,10 +124,10 @@
         self.spec.ranges()[index].minimum
     }
 
-    fn short_ranges(&self) -> Vec<usize> {
-        let short =
+    fn underserved_ranges(&self) -> Vec<usize> {
+        let underserved =
             |index: &usize| self.serving(*index) + self.joining(*index) < self.minimum(*index);
-        (0..self.spec.ranges().len()).filter(short).collect()
+        (0..self.spec.ranges().len()).filter(underserved).collect()
     }
 
     fn serving_without(&self, index: usize, m: &Member) -> u32 {
@@ -133,12 +138,12 @@
         m.serves(self.now, self.cfg, self.spec, &self.spec.ranges()[index])
     }
 
-    /// Whether the endpoint is being taken from the range.
-    fn is_drained_from(&self, m: &Member, index: usize) -> bool {
+    /// Whether the endpoint is being drained from the range.
+    fn is_draining_from(&self, m: &Member, index: usize) -> bool {
         matches!(m.change, Change::Draining { .. }) && self.holds(m, index)
     }
 
-    /// Whether the endpoint holds the range, serving or not.
+    /// Whether the endpoint holds the range, whether it serves it or not.
     fn holds(&self, m: &Member, index: usize) -> bool {
         let layers = self.spec.ranges()[index].layers;
         let state = m.state(self.now, self.cfg);
@@ -147,42 +152,47 @@
 
     fn is_outdated(&self, m: &Member, index: usize) -> bool {
         let state = m.state(self.now, self.cfg);
-        let declared = state.is_some_and(|state| member::is_declared(state, self.spec));
-        self.holds(m, index) && !declared && !m.leaving
+        let declared = state.is_some_and(|state| member::has_declared_version(state, self.spec));
+        self.holds(m, index) && !declared && !m.shutting_down
     }
 
-    /// Whether the endpoint serves nothing that the group needs.
+    /// Whether the endpoint holds none of the declared ranges.
     fn is_spare(&self, m: &Member) -> bool {
         !(0..self.spec.ranges().len()).any(|index| self.holds(m, index))
     }
 
-    /// The endpoint that can come to hold a range soonest: the time to load plus the time to drain.
-    fn donor(&self, to: usize) -> Option<Move> {
+    /// Returns the reassignment of the endpoint that can serve a range soonest, by the sum of its
+    /// load time and drain time.
+    fn fastest_candidate(&self, target_range: usize) -> Option<Reassignment> {
         let free = self.members.iter().filter(|(_, m)| {
-            m.is_free(self.now, self.cfg) && !self.holds(m, to) && self.can_leave(m)
+            m.is_idle(self.now, self.cfg)
+                && !self.holds(m, target_range)
+                && self.can_be_reassigned(m)
         });
-        let (id, m) = free.min_by_key(|(_, m)| (self.time_to_serve(m, to), m.session_count()))?;
-        Some(Move {
+        let (id, m) =
+            free.min_by_key(|(_, m)| (self.time_to_serve(m, target_range), m.session_count()))?;
+        Some(Reassignment {
             endpoint: id.clone(),
-            to,
+            target_range,
             drain: !self.is_spare(m),
         })
     }
 
-    fn time_to_serve(&self, m: &Member, to: usize) -> Duration {
-        let layers = m.layers_to_load(self.spec, self.spec.ranges()[to].layers);
-        let load = budget::load_time(layers, self.spec.budget());
+    fn time_to_serve(&self, m: &Member, target_range: usize) -> Duration {
+        let layers = m.layers_to_load(self.spec, self.spec.ranges()[target_range].layers);
+        let load = budget::min_load_time(layers, self.spec.budget());
         let drain = match m.session_count() {
             _ if self.is_spare(m) => Duration::ZERO,
-            0 => self.cfg.drain_settle,
-            _ if self.is_lost(to) => self.cfg.drain_settle,
-            _ => self.cfg.drain_limit,
+            0 => self.cfg.drain_settle_time,
+            _ if self.is_unserved(target_range) => self.cfg.drain_settle_time,
+            _ => self.cfg.max_drain_time,
         };
         load + drain
     }
 
-    /// The next endpoint to get the declared version: range by range, one at a time.
-    fn next_upgrade(&self) -> Option<Move> {
+    /// Returns the next endpoint to get the declared version. Goes range by range and upgrades one
+    /// endpoint at a time.
+    fn next_upgrade(&self) -> Option<Reassignment> {
         let changing = |m: &Member| m.is_loading(self.now, self.cfg);
         if self.members.values().any(changing) {
             return None;
@@ -191,23 +201,24 @@
         ranges.find_map(|index| self.next_upgrade_in(index))
     }
 
-    fn next_upgrade_in(&self, to: usize) -> Option<Move> {
+    fn next_upgrade_in(&self, target_range: usize) -> Option<Reassignment> {
         let outdated = self.members.iter();
-        let outdated =
-            outdated.filter(|(_, m)| self.is_outdated(m, to) && m.is_free(self.now, self.cfg));
-        let (id, m) = outdated.min_by_key(|(_, m)| (!self.can_leave(m), m.session_count()))?;
-        if self.can_leave(m) {
-            return Some(Move {
+        let outdated = outdated
+            .filter(|(_, m)| self.is_outdated(m, target_range) && m.is_idle(self.now, self.cfg));
+        let (id, m) =
+            outdated.min_by_key(|(_, m)| (!self.can_be_reassigned(m), m.session_count()))?;
+        if self.can_be_reassigned(m) {
+            return Some(Reassignment {
                 endpoint: id.clone(),
-                to,
+                target_range,
                 drain: true,
             });
         }
-        // It is needed: one more must come first.
+        // The range needs this endpoint, so another endpoint must join first.
         let mut ranges = 0..self.spec.ranges().len();
         let needing = |index: &usize| {
             self.holds(m, *index) && self.serving_without(*index, m) < self.minimum(*index)
         };
-        self.donor(ranges.find(needing)?)
+        self.fastest_candidate(ranges.find(needing)?)
     }
 }
--- a/crates/orders/src/group/machine.rs
+++ b/crates/orders/src/group/machine.rs
@@ -6,10 +6,10 @@
 use dragonflyrill_engines::wire::{EngineState, Order};
 
 use super::{
-    GroupConfig, GroupSpec, Plan,
-    budget::Bucket,
-    decide::Picture,
-    member::{Change, Member, Sessions, View},
+    GroupConfig, GroupSpec, GroupStatus,
+    budget::LoadLimiter,
+    decide::Snapshot,
+    member::{Change, Member, Observation, SessionReport},
 };
 use crate::lease::Fence;
 
@@ -17,142 +17,144 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Why a call to an engine has no state for an answer.
+/// Why a call to an engine returned no state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// It did not leave this host, and never will.
+    /// The call wasn't sent, and won't be.
     NotSent,
-    /// The engine refused the order's fencing number as old.
+    /// The engine rejected the order because its fencing number is too low.
     StaleFence,
-    /// No answer: an order may have taken effect, or may still.
+    /// The call has no answer. An order may have taken effect, or may still do so.
     Unknown,
 }
 
-/// What the driver has to do.
+/// An action for the driver to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the engine what it is, and report to [`Group::answer`].
+    /// Read the engine's state, and report the result to [`Group::handle_answer`].
     ReadState {
-        /// To be given back with the answer.
+        /// Identifies the call; passed back with the result.
         call: CallId,
-        /// Whom to ask.
+        /// The endpoint to read from.
         endpoint: EndpointId,
     },
-    /// Check the lease, send the order once, and report to [`Group::answer`].
+    /// Check the lease, send the order once, and report the result to [`Group::handle_answer`].
     Order {
-        /// To be given back with the answer.
+        /// Identifies the call; passed back with the result.
         call: CallId,
-        /// Whom to order.
+        /// The endpoint to send the order to.
         endpoint: EndpointId,
-        /// What.
+        /// The order to send.
         order: Order,
     },
-    /// Give the endpoint no new work until [`Action::Undrain`]. Routers let the mark lapse with
-    /// the lease.
+    /// Send the endpoint no new work until [`Action::Undrain`]. In the routers, the drain also ends
+    /// when the lease expires.
     Drain(EndpointId),
-    /// The endpoint may get work again, as far as orders go.
+    /// The endpoint may receive new work again, as far as the group is concerned.
     Undrain(EndpointId),
-    /// An engine has seen this fence, which is higher than the lease's: see
+    /// An engine has seen this fence, which is higher than the fence of the lease: see
     /// [`Leases::raise_fence`](crate::lease::Leases::raise_fence).
     RaiseFence(Fence),
 }
 
-/// The orders to the endpoints of one group. Acts only while the lease is held.
+/// Sends orders to the endpoints of one group. Acts only while the lease is held.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
     pub(super) cfg: GroupConfig,
     pub(super) spec: GroupSpec,
     pub(super) members: BTreeMap<EndpointId, Member>,
     pub(super) fence: Option<Fence>,
-    /// The highest fence any engine has seen.
-    pub(super) seen_fence: u64,
-    pub(super) bucket: Bucket,
+    /// The highest fence that any engine has seen.
+    pub(super) max_seen_fence: u64,
+    pub(super) load_limiter: LoadLimiter,
     pub(super) last_call: u64,
-    /// Whether an answer brought something new to decide on.
-    pub(super) has_news: bool,
+    /// Whether new information arrived on which the next tick may decide.
+    pub(super) tick_needed: bool,
 }
 
 impl Group {
-    /// A group whose endpoints' states are not known yet.
+    /// Creates a group in which the states of all endpoints are unknown.
     pub fn new(cfg: GroupConfig, spec: GroupSpec) -> Self {
         let mut group = Self {
             cfg,
             spec,
             members: BTreeMap::new(),
             fence: None,
-            seen_fence: 0,
-            bucket: Bucket::new(Duration::ZERO),
+            max_seen_fence: 0,
+            load_limiter: LoadLimiter::new(Duration::ZERO),
             last_call: 0,
-            has_news: false,
+            tick_needed: false,
         };
-        group.take_members(Duration::ZERO);
+        group.sync_members(Duration::ZERO);
         group
     }
 
-    /// The declared state.
+    /// Returns the declared state.
     pub fn spec(&self) -> &GroupSpec {
         &self.spec
     }
 
-    /// The declared state has changed. What is under way is dropped or read back.
+    /// Replaces the declared state and ends all changes in progress. The states that their orders
+    /// bring about are read back.
     pub fn set_spec(&mut self, now: Duration, spec: GroupSpec, actions: &mut Vec<Action>) {
         for (id, member) in &mut self.members {
             end_change(id, member, actions);
         }
         self.spec = spec;
-        let trust_after = now + self.cfg.flight;
-        self.take_members(trust_after);
+        let trusted_from = now + self.cfg.max_flight_time;
+        self.sync_members(trusted_from);
     }
 
-    /// The lease is held, or goes on under another fence.
+    /// Handles that this host acquired the lease, or continues to hold it under another fence.
     pub fn lease_held(&mut self, now: Duration, fence: Fence, actions: &mut Vec<Action>) {
         self.lease_lost(actions);
         self.fence = Some(fence);
-        // The last holder may have sent an order just before its term ended.
-        let trust_after = now + self.cfg.flight;
-        self.bucket = Bucket::new(trust_after);
+        // The previous holder may have sent an order just before its term ended.
+        let trusted_from = now + self.cfg.max_flight_time;
+        self.load_limiter = LoadLimiter::new(trusted_from);
         for member in self.members.values_mut() {
-            member.trust_after = trust_after;
-            member.next_read = trust_after;
+            member.trusted_from = trusted_from;
+            member.next_read_at = trusted_from;
         }
     }
 
-    /// The lease is no longer held.
+    /// Handles that this host no longer holds the lease.
     pub fn lease_lost(&mut self, actions: &mut Vec<Action>) {
         self.fence = None;
         for (id, member) in &mut self.members {
             end_change(id, member, actions);
             member.call = None;
-            member.view = None;
+            member.observation = None;
         }
     }
 
-    /// Whether membership or routing count the endpoint as alive.
-    pub fn alive(&mut self, now: Duration, endpoint: &EndpointId, alive: bool) {
+    /// Sets whether membership or routing considers the endpoint alive.
+    pub fn set_alive(&mut self, now: Duration, endpoint: &EndpointId, alive: bool) {
         if let Some(member) = self.members.get_mut(endpoint) {
-            self.has_news |= member.alive != alive;
+            self.tick_needed |= member.alive != alive;
             member.set_alive(now, alive);
         }
     }
 
-    /// Whether the endpoint is on its way out, by an operator's word or its own.
-    pub fn leaving(&mut self, endpoint: &EndpointId, leaving: bool) {
+    /// Sets whether the endpoint is shutting down, by itself or on an operator's request.
+    pub fn set_shutting_down(&mut self, endpoint: &EndpointId, shutting_down: bool) {
         if let Some(member) = self.members.get_mut(endpoint) {
-            self.has_news |= member.leaving != leaving;
-            member.leaving = leaving;
+            self.tick_needed |= member.shutting_down != shutting_down;
+            member.shutting_down = shutting_down;
         }
     }
 
-    /// The requests whose KV cache the endpoint held at `at`, by the report.
-    pub fn sessions(&mut self, endpoint: &EndpointId, count: u32, at: Duration) {
+    /// Sets the number of requests whose KV cache the endpoint held at the time `as_of`, as reported.
+    pub fn set_session_count(&mut self, endpoint: &EndpointId, count: u32, as_of: Duration) {
         if let Some(member) = self.members.get_mut(endpoint) {
-            member.sessions = Some(Sessions { count, at });
+            member.sessions = Some(SessionReport { count, as_of });
         }
     }
 
-    /// Takes in the answer to a call. One that was given up, or answered before, is ignored.
-    /// [`Group::next_tick`] tells whether it needs a tick; many answers may share one.
-    pub fn answer(
+    /// Applies the result of a call. A result that arrives after the call timed out, or a second
+    /// time, is ignored. [`Group::next_tick`] returns whether a tick is needed; several results may
+    /// share one tick.
+    pub fn handle_answer(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
@@ -169,87 +171,90 @@
         match result {
             Ok(state) => {
                 if call.is_order {
-                    member.trust_after = call.sent;
+                    member.trusted_from = call.sent_at;
                 }
-                self.seen_fence = self.seen_fence.max(state.fence);
-                if member.is_loading_unasked(&state) {
-                    // By an earlier holder's order: it uses the weight store too.
+                self.max_seen_fence = self.max_seen_fence.max(state.fence);
+                if member.is_foreign_load(&state) {
+                    // An earlier holder ordered this load. It uses the weight store too.
                     let layers = state.layers.range().len() as u32;
-                    self.bucket.spend(now, layers, self.spec.budget());
+                    self.load_limiter.charge(now, layers, self.spec.budget());
                 }
-                let known = member.view.as_ref().is_some_and(|view| view.state == state);
+                let known = member
+                    .observation
+                    .as_ref()
+                    .is_some_and(|observation| observation.state == state);
                 let ordered = matches!(member.change, Change::Ordered { .. });
-                self.has_news |= call.is_order || ordered || !known;
-                member.view = Some(View {
+                self.tick_needed |= call.is_order || ordered || !known;
+                member.observation = Some(Observation {
                     state,
-                    asked: call.sent,
+                    asked_at: call.sent_at,
                 });
-                member.next_read = now + self.cfg.read_every;
+                member.next_read_at = now + self.cfg.read_interval;
             }
             Err(CallError::NotSent | CallError::StaleFence) if call.is_order => {
-                self.has_news = true;
-                // To be read again before the next try.
-                member.trust_after = now;
-                member.next_read = now;
+                self.tick_needed = true;
+                // The state has to be read again before the next attempt.
+                member.trusted_from = now;
+                member.next_read_at = now;
                 end_change(endpoint, member, actions);
             }
             Err(_) => {
-                let next_read = now + self.cfg.read_every;
-                member.next_read = next_read.max(member.trust_after);
+                let next_read_at = now + self.cfg.read_interval;
+                member.next_read_at = next_read_at.max(member.trusted_from);
             }
         }
     }
 
-    /// When to call [`Group::tick`] next; `None` without the lease.
+    /// Returns when to call [`Group::tick`] next; `None` if the lease isn't held.
     pub fn next_tick(&self, now: Duration) -> Option<Duration> {
         self.fence?;
-        if self.has_news {
+        if self.tick_needed {
             return Some(now);
         }
         let reads = self.members.values().filter(|m| m.alive);
         let reads = reads.map(|m| match &m.call {
-            Some(call) => call.sent + self.cfg.flight,
-            None => m.next_read,
+            Some(call) => call.sent_at + self.cfg.max_flight_time,
+            None => m.next_read_at,
         });
-        let bucket = Some(self.bucket.opens_at()).filter(|at| *at > now);
-        reads.chain(bucket).min()
+        let load_limiter = Some(self.load_limiter.next_load_at()).filter(|at| *at > now);
+        reads.chain(load_limiter).min()
     }
 
-    /// Reads what is due and gives the next orders.
+    /// Sends the next orders and the reads that are due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.fence.is_none() {
             return;
         }
-        self.has_news = false;
-        self.give_up_calls(now);
+        self.tick_needed = false;
+        self.time_out_calls(now);
         self.finish_changes(now, actions);
         if self.is_fence_usable(actions) {
             self.order_drained(now, actions);
-            self.begin_changes(now, actions);
+            self.start_changes(now, actions);
         }
-        self.read_due(now, actions);
+        self.send_due_reads(now, actions);
     }
 
-    /// The state for an operator to read.
-    pub fn plan(&self, now: Duration) -> Plan {
-        self.picture(now).plan()
+    /// Returns the status for an operator.
+    pub fn status(&self, now: Duration) -> GroupStatus {
+        self.snapshot(now).status()
     }
 
-    pub(super) fn picture(&self, now: Duration) -> Picture<'_> {
-        Picture::new(now, &self.cfg, &self.spec, &self.members)
+    pub(super) fn snapshot(&self, now: Duration) -> Snapshot<'_> {
+        Snapshot::new(now, &self.cfg, &self.spec, &self.members)
     }
 
-    fn take_members(&mut self, trust_after: Duration) {
+    fn sync_members(&mut self, trusted_from: Duration) {
         let declared = self.spec.endpoints();
         self.members.retain(|id, _| declared.contains(id));
         for id in declared {
-            let new = || Member::new(trust_after);
+            let new = || Member::new(trusted_from);
             self.members.entry(id.clone()).or_insert_with(new);
         }
     }
 }
 
-/// Forgets what was being done to an endpoint.
+/// Ends the change in progress on an endpoint, if there is one.
 pub(super) fn end_change(id: &EndpointId, member: &mut Member, actions: &mut Vec<Action>) {
     if std::mem::replace(&mut member.change, Change::None) != Change::None {
         actions.push(Action::Undrain(id.clone()));
--- a/crates/orders/src/group/member.rs
+++ b/crates/orders/src/group/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint, and what is being done to it.
+//! The state of one endpoint of a group, and the change in progress on it.
 
 use std::time::Duration;
 
@@ -6,115 +6,120 @@
 
 use super::{CallId, GroupConfig, GroupSpec, RangeSpec};
 
-/// A call to the engine without an answer.
+/// A pending call to the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Call {
     pub(super) id: CallId,
-    /// Before it was sent.
-    pub(super) sent: Duration,
+    /// Time read before the call was sent.
+    pub(super) sent_at: Duration,
     pub(super) is_order: bool,
 }
 
-/// What the engine said it is.
+/// The engine's state as it reported it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct View {
+pub(super) struct Observation {
     pub(super) state: EngineState,
-    /// Before it was asked.
-    pub(super) asked: Duration,
+    /// Time read before the call was sent that returned the state.
+    pub(super) asked_at: Duration,
 }
 
-/// A report of the requests whose KV cache the endpoint holds.
+/// The number of requests whose KV cache the endpoint holds, as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Sessions {
+pub(super) struct SessionReport {
     pub(super) count: u32,
-    /// When the count was true.
-    pub(super) at: Duration,
+    /// The time at which the count was correct.
+    pub(super) as_of: Duration,
 }
 
-/// What is being done to the endpoint.
+/// The change in progress on an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Change {
     None,
-    /// It takes no new work, so that it can be ordered to hold the range `to`.
+    /// The endpoint receives no new work, so that it can be ordered to hold the range `target_range`.
     Draining {
         since: Duration,
-        to: usize,
+        target_range: usize,
     },
-    /// It was ordered to hold the range `to`, and it isn't known yet that it serves it.
+    /// The endpoint was ordered to hold the range `target_range` and isn't yet known to serve it.
     Ordered {
         order: Order,
-        to: usize,
+        target_range: usize,
     },
 }
 
-/// One endpoint.
+/// One endpoint of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Member {
-    /// Whether membership or routing count it as alive.
+    /// Whether membership or routing considers the endpoint alive.
     pub(super) alive: bool,
-    /// Whether it is on its way out by an operator's word or its own.
-    pub(super) leaving: bool,
-    pub(super) sessions: Option<Sessions>,
-    pub(super) view: Option<View>,
-    /// A view asked for before this doesn't count: an order under way may change the engine.
-    pub(super) trust_after: Duration,
+    /// Whether the endpoint is shutting down, by itself or on an operator's request.
+    pub(super) shutting_down: bool,
+    pub(super) sessions: Option<SessionReport>,
+    pub(super) observation: Option<Observation>,
+    /// An observation requested before this time is ignored, because an order in flight may change
+    /// the engine.
+    pub(super) trusted_from: Duration,
     pub(super) call: Option<Call>,
-    pub(super) next_read: Duration,
+    pub(super) next_read_at: Duration,
     pub(super) change: Change,
 }
 
 impl Member {
-    pub(super) fn new(trust_after: Duration) -> Self {
+    pub(super) fn new(trusted_from: Duration) -> Self {
         Self {
             alive: true,
-            leaving: false,
+            shutting_down: false,
             sessions: None,
-            view: None,
-            trust_after,
+            observation: None,
+            trusted_from,
             call: None,
-            next_read: trust_after,
+            next_read_at: trusted_from,
             change: Change::None,
         }
     }
 
-    /// Takes in whether it is alive.
+    /// Sets whether the endpoint is alive. A change discards the last observation.
     pub(super) fn set_alive(&mut self, now: Duration, alive: bool) {
         if self.alive == alive {
             return;
         }
         self.alive = alive;
-        self.view = None;
-        self.trust_after = self.trust_after.max(now);
-        self.next_read = self.trust_after;
+        self.observation = None;
+        self.trusted_from = self.trusted_from.max(now);
+        self.next_read_at = self.trusted_from;
     }
 
-    /// Whether it loads weights that this holder didn't order.
-    pub(super) fn is_loading_unasked(&self, state: &EngineState) -> bool {
-        let known = self.view.as_ref().is_some_and(|view| view.state.loading);
+    /// Whether `state` shows the start of a load that this holder didn't order.
+    pub(super) fn is_foreign_load(&self, state: &EngineState) -> bool {
+        let known = self
+            .observation
+            .as_ref()
+            .is_some_and(|observation| observation.state.loading);
         state.loading && !known && self.change == Change::None
     }
 
-    /// What the engine is, if that is known and no order under way can change it.
+    /// Returns the engine's state if it is known and no order in flight can change it.
     pub(super) fn state(&self, now: Duration, cfg: &GroupConfig) -> Option<&EngineState> {
-        let view = self.view.as_ref()?;
+        let observation = self.observation.as_ref()?;
         let ordering = self.call.as_ref().is_some_and(|call| call.is_order);
-        let fresh = now <= view.asked + cfg.max_age && view.asked >= self.trust_after;
-        (self.alive && fresh && !ordering).then_some(&view.state)
+        let fresh = now <= observation.asked_at + cfg.max_state_age
+            && observation.asked_at >= self.trusted_from;
+        (self.alive && fresh && !ordering).then_some(&observation.state)
     }
 
-    /// Whether an answer may still come that tells what the engine is.
-    pub(super) fn is_unsure(&self, now: Duration, cfg: &GroupConfig) -> bool {
+    /// Whether the engine's state is unknown, but an answer with it may still arrive.
+    pub(super) fn is_state_pending(&self, now: Duration, cfg: &GroupConfig) -> bool {
         let ordered = matches!(self.change, Change::Ordered { .. });
         let unknown = self.alive && self.state(now, cfg).is_none();
-        unknown && !ordered && !self.is_silent(now, cfg)
+        unknown && !ordered && !self.is_unresponsive(now, cfg)
     }
 
-    /// Whether it had the time to say what it is.
-    pub(super) fn is_silent(&self, now: Duration, cfg: &GroupConfig) -> bool {
-        self.state(now, cfg).is_none() && now >= self.trust_after + cfg.max_age
+    /// Whether the engine's state is unknown although the time for an answer has passed.
+    pub(super) fn is_unresponsive(&self, now: Duration, cfg: &GroupConfig) -> bool {
+        self.state(now, cfg).is_none() && now >= self.trusted_from + cfg.max_state_age
     }
 
-    /// Whether it serves these layers now, for new and old requests.
+    /// Whether the endpoint serves the range now, for both new and running requests.
     pub(super) fn serves(
         &self,
         now: Duration,
@@ -123,13 +128,13 @@
         range: &RangeSpec,
     ) -> bool {
         let holds = |state: &EngineState| !state.loading && covers(state, spec, range.layers);
-        let idle = self.change == Change::None && !self.leaving;
+        let idle = self.change == Change::None && !self.shutting_down;
         idle && self
             .state(now, cfg)
             .is_some_and(|state| !state.leaving && holds(state))
     }
 
-    /// Whether it is going to serve these layers.
+    /// Whether the endpoint is about to serve the range.
     pub(super) fn is_joining(
         &self,
         now: Duration,
@@ -137,53 +142,58 @@
         spec: &GroupSpec,
         index: usize,
     ) -> bool {
-        if !self.alive || self.leaving {
+        if !self.alive || self.shutting_down {
             return false;
         }
         match &self.change {
-            Change::Draining { to, .. } | Change::Ordered { to, .. } => *to == index,
+            Change::Draining { target_range, .. } | Change::Ordered { target_range, .. } => {
+                *target_range == index
+            }
             Change::None => self.state(now, cfg).is_some_and(|state| {
                 state.loading && covers(state, spec, spec.ranges()[index].layers)
             }),
         }
     }
 
-    /// Whether nothing is being done to it, by us or by an earlier holder.
-    pub(super) fn is_free(&self, now: Duration, cfg: &GroupConfig) -> bool {
+    /// Whether no change is in progress on the endpoint, by this holder or by an earlier one.
+    pub(super) fn is_idle(&self, now: Duration, cfg: &GroupConfig) -> bool {
         let state = self.state(now, cfg);
         let quiet = state.is_some_and(|state| !state.loading && !state.leaving);
-        quiet && !self.leaving && self.call.is_none() && self.change == Change::None
+        quiet && !self.shutting_down && self.call.is_none() && self.change == Change::None
     }
 
-    /// Whether it is loading, or will soon.
+    /// Whether the endpoint is loading weights, or is about to.
     pub(super) fn is_loading(&self, now: Duration, cfg: &GroupConfig) -> bool {
         let state = self.state(now, cfg);
         self.change != Change::None || state.is_some_and(|state| state.loading)
     }
 
-    /// The layers that it would have to load to hold `layers` of the declared version.
+    /// Returns how many layers the endpoint would have to load to hold `layers` of the declared
+    /// version.
     pub(super) fn layers_to_load(&self, spec: &GroupSpec, layers: Layers) -> u32 {
-        let kept = match &self.view {
-            Some(View { state, .. }) if is_declared(state, spec) => state.layers.range(),
+        let kept = match &self.observation {
+            Some(Observation { state, .. }) if has_declared_version(state, spec) => {
+                state.layers.range()
+            }
             _ => 0..0,
         };
         let missing = layers.range().filter(|layer| !kept.contains(layer));
         missing.count() as u32
     }
 
-    /// The sessions at last report; unknown counts as many.
+    /// Returns the last reported number of sessions, or `u32::MAX` if it is unknown.
     pub(super) fn session_count(&self) -> u32 {
         self.sessions.map_or(u32::MAX, |sessions| sessions.count)
     }
 }
 
-/// Whether the engine holds these layers, in whichever version.
+/// Whether the engine holds these layers, in any version.
 pub(super) fn covers(state: &EngineState, spec: &GroupSpec, layers: Layers) -> bool {
     let within = state.layers.first <= layers.first && layers.end <= state.layers.end;
     within && state.model == spec.id().model.as_str()
 }
 
 /// Whether the engine holds the declared version.
-pub(super) fn is_declared(state: &EngineState, spec: &GroupSpec) -> bool {
+pub(super) fn has_declared_version(state: &EngineState, spec: &GroupSpec) -> bool {
     state.model == spec.id().model.as_str() && state.version == spec.version()
 }
--- a/crates/orders/src/group/spec.rs
+++ b/crates/orders/src/group/spec.rs
@@ -7,7 +7,7 @@
 
 use crate::lease::LeaseName;
 
-/// Which endpoints: those of one model in one data centre.
+/// Identifies a group: the endpoints of one model in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId {
     /// The model.
@@ -17,14 +17,14 @@
 }
 
 impl GroupId {
-    /// The lease under which orders to the group are given.
-    pub fn lease(&self) -> LeaseName {
+    /// Returns the name of the lease that a host must hold to send orders to the group.
+    pub fn lease_name(&self) -> LeaseName {
         let name = format!("orders/{}/{}", self.model, self.data_centre);
-        LeaseName::try_from(name.as_str()).expect("two names are short and printable")
+        LeaseName::try_from(name.as_str()).expect("both names are short and printable")
     }
 }
 
-/// A group as declared, not checked yet.
+/// A declared group before validation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RawGroup {
     /// The model.
@@ -33,53 +33,54 @@
     pub data_centre: String,
     /// The version of the weights.
     pub version: String,
-    /// The layers of the whole model.
+    /// The number of layers of the model.
     pub layers: u32,
-    /// The parts it is served in, in order.
+    /// The layer ranges that are served separately, in order.
     pub ranges: Vec<RawRange>,
-    /// Endpoints that the ranges must leave free.
+    /// The number of endpoints that the ranges must leave unused.
     pub spares: u32,
     /// The endpoints.
     pub endpoints: Vec<String>,
-    /// Endpoints that may load weights at one time.
+    /// The largest number of endpoints that load weights concurrently.
     pub loads_at_once: u32,
-    /// Layers that may be loaded in a second, over all endpoints.
+    /// The largest number of layers loaded per second, over all endpoints.
     pub layers_per_second: u32,
 }
 
-/// A layer range as declared, not checked yet.
+/// A declared layer range before validation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RawRange {
     /// The first layer.
     pub first: u32,
     /// One past the last layer.
     pub end: u32,
-    /// How many endpoints must serve it.
+    /// The number of endpoints that must serve the range.
     pub minimum: u32,
 }
 
-/// A layer range that is to be served.
+/// A layer range to be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RangeSpec {
     /// The layers.
     pub layers: Layers,
-    /// How many endpoints must serve them, never fewer by our own doing. At least 1.
+    /// The number of endpoints that must serve the layers. No order reduces the number of serving
+    /// endpoints below it. At least 1.
     pub minimum: u32,
 }
 
-/// What the weight store can give.
+/// The limits on loads from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LoadBudget {
-    /// Endpoints that may load at one time. At least 1.
-    pub at_once: u32,
-    /// Layers a second over all endpoints. At least 1.
+    /// The largest number of endpoints that load concurrently. At least 1.
+    pub max_concurrent_loads: u32,
+    /// The largest number of layers loaded per second, over all endpoints. At least 1.
     pub layers_per_second: u32,
 }
 
 /// The declared state of a group.
 ///
-/// Invariants: the ranges follow one another from layer 0 to the last; there are enough endpoints
-/// for all minimums and the spares.
+/// Invariants: the ranges are contiguous and cover the model from layer 0 to its last layer; there
+/// are enough endpoints for all minimums and the spares.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GroupSpec {
     id: GroupId,
@@ -90,88 +91,88 @@
     budget: LoadBudget,
 }
 
-/// What is wrong with a declared group, and where.
+/// The error in a declared group, and the key that has it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("group {model:?} in {data_centre:?}: {key}: {fault}")]
+#[error("group {model:?} in {data_centre:?}: {key}: {kind}")]
 pub struct SpecError {
     /// The model as declared.
     pub model: String,
     /// The data centre as declared.
     pub data_centre: String,
-    /// The key with the fault.
+    /// The key that has the error.
     pub key: &'static str,
-    /// The fault.
-    pub fault: SpecFault,
+    /// The kind of the error.
+    pub kind: SpecErrorKind,
 }
 
-/// What is wrong with a declared group.
+/// The kind of an error in a declared group.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum SpecFault {
-    /// A name can't be used.
+pub enum SpecErrorKind {
+    /// A name is invalid.
     #[error("{0:?}: {1}")]
     Name(String, NameError),
-    /// A number or text that must be there is zero or empty.
-    #[error("has to be set and not 0")]
+    /// A required number is zero, or a required text is empty.
+    #[error("must be set and must not be 0")]
     Missing,
-    /// Ranges overlap, leave a gap, or are empty.
-    #[error("the range {found} has to begin at layer {expected} and not be empty")]
+    /// A range overlaps the previous one, leaves a gap, or is empty.
+    #[error("the range {found} must start at layer {expected} and must not be empty")]
     Range {
-        /// Where it has to begin.
+        /// The layer at which the range has to start.
         expected: u32,
-        /// The range.
+        /// The range as declared.
         found: Layers,
     },
-    /// The ranges end elsewhere than the model.
-    #[error("the ranges end at layer {end}, the model at {layers}")]
-    Cover {
-        /// Where the ranges end.
+    /// The ranges end at another layer than the model, or the model has no layers.
+    #[error("the ranges end at layer {end}, but the model ends at {layers}")]
+    Coverage {
+        /// One past the last layer of the ranges.
         end: u32,
-        /// Where the model ends.
+        /// The number of layers of the model.
         layers: u32,
     },
-    /// A range nobody must serve.
-    #[error("the minimum of {0} has to be 1 or more")]
+    /// The minimum of a range is 0.
+    #[error("the minimum of {0} must be at least 1")]
     Minimum(Layers),
-    /// An endpoint is named twice.
-    #[error("{0:?} is there twice")]
-    Twice(String),
+    /// An endpoint is listed twice.
+    #[error("{0:?} is listed twice")]
+    Duplicate(String),
     /// There are not enough endpoints.
-    #[error("{have} endpoints, but the minimums and spares need {need}")]
-    TooFew {
-        /// How many there are.
+    #[error("there are {have} endpoints, but the minimums and spares need {need}")]
+    TooFewEndpoints {
+        /// The number of endpoints.
         have: u64,
-        /// How many are needed.
+        /// The number of endpoints needed.
         need: u64,
     },
 }
 
 impl GroupSpec {
-    /// Which group.
+    /// Returns the id of the group.
     pub fn id(&self) -> &GroupId {
         &self.id
     }
 
-    /// The version of the weights.
+    /// Returns the version of the weights.
     pub fn version(&self) -> &str {
         &self.version
     }
 
-    /// The ranges in order.
+    /// Returns the ranges in order.
     pub fn ranges(&self) -> &[RangeSpec] {
         &self.ranges
     }
 
-    /// Endpoints that the ranges leave free.
+    /// Returns the number of endpoints that the ranges leave unused.
     pub fn spares(&self) -> u32 {
         self.spares
     }
 
-    /// The endpoints.
+    /// Returns the endpoints.
     pub fn endpoints(&self) -> &BTreeSet<EndpointId> {
         &self.endpoints
     }
 
-    /// What the weight store can give.
+    /// Returns the limits on loads from the weight store.
     pub fn budget(&self) -> LoadBudget {
         self.budget
     }
@@ -181,31 +182,32 @@
     type Error = SpecError;
 
     fn try_from(raw: RawGroup) -> Result<Self, SpecError> {
-        let at = |key, fault| SpecError {
+        let error = |key, kind| SpecError {
             model: raw.model.clone(),
             data_centre: raw.data_centre.clone(),
             key,
-            fault,
+            kind,
         };
-        let name = |e| SpecFault::Name(raw.model.clone(), e);
-        let model = TargetName::try_from(raw.model.as_str()).map_err(|e| at("model", name(e)))?;
-        let name = |e| SpecFault::Name(raw.data_centre.clone(), e);
+        let name = |e| SpecErrorKind::Name(raw.model.clone(), e);
+        let model =
+            TargetName::try_from(raw.model.as_str()).map_err(|e| error("model", name(e)))?;
+        let name = |e| SpecErrorKind::Name(raw.data_centre.clone(), e);
         let data_centre = DataCentre::try_from(raw.data_centre.as_str())
-            .map_err(|e| at("data_centre", name(e)))?;
+            .map_err(|e| error("data_centre", name(e)))?;
         if raw.version.is_empty() {
-            return Err(at("version", SpecFault::Missing));
+            return Err(error("version", SpecErrorKind::Missing));
         }
-        let ranges = ranges(&raw).map_err(|fault| at("ranges", fault))?;
-        let endpoints = endpoints(&raw).map_err(|fault| at("endpoints", fault))?;
+        let ranges = ranges(&raw).map_err(|kind| error("ranges", kind))?;
+        let endpoints = endpoints(&raw).map_err(|kind| error("endpoints", kind))?;
         let budget = LoadBudget {
-            at_once: raw.loads_at_once,
+            max_concurrent_loads: raw.loads_at_once,
             layers_per_second: raw.layers_per_second,
         };
-        if budget.at_once == 0 {
-            return Err(at("loads_at_once", SpecFault::Missing));
+        if budget.max_concurrent_loads == 0 {
+            return Err(error("loads_at_once", SpecErrorKind::Missing));
         }
         if budget.layers_per_second == 0 {
-            return Err(at("layers_per_second", SpecFault::Missing));
+            return Err(error("layers_per_second", SpecErrorKind::Missing));
         }
         Ok(Self {
             id: GroupId { model, data_centre },
@@ -218,7 +220,7 @@
     }
 }
 
-fn ranges(raw: &RawGroup) -> Result<Vec<RangeSpec>, SpecFault> {
+fn ranges(raw: &RawGroup) -> Result<Vec<RangeSpec>, SpecErrorKind> {
     let mut expected = 0;
     let mut ranges = Vec::new();
     for range in &raw.ranges {
@@ -228,10 +230,10 @@
         };
         if layers.first != expected || layers.end <= layers.first {
             let found = layers;
-            return Err(SpecFault::Range { expected, found });
+            return Err(SpecErrorKind::Range { expected, found });
         }
         if range.minimum == 0 {
-            return Err(SpecFault::Minimum(layers));
+            return Err(SpecErrorKind::Minimum(layers));
         }
         expected = layers.end;
         ranges.push(RangeSpec {
@@ -240,7 +242,7 @@
         });
     }
     if expected != raw.layers || raw.layers == 0 {
-        return Err(SpecFault::Cover {
+        return Err(SpecErrorKind::Coverage {
             end: expected,
             layers: raw.layers,
         });
@@ -248,20 +250,20 @@
     Ok(ranges)
 }
 
-fn endpoints(raw: &RawGroup) -> Result<BTreeSet<EndpointId>, SpecFault> {
+fn endpoints(raw: &RawGroup) -> Result<BTreeSet<EndpointId>, SpecErrorKind> {
     let mut endpoints = BTreeSet::new();
     for name in &raw.endpoints {
         let id = EndpointId::try_from(name.as_str());
-        let id = id.map_err(|e| SpecFault::Name(name.clone(), e))?;
+        let id = id.map_err(|e| SpecErrorKind::Name(name.clone(), e))?;
         if !endpoints.insert(id) {
-            return Err(SpecFault::Twice(name.clone()));
+            return Err(SpecErrorKind::Duplicate(name.clone()));
         }
     }
     let minimums = raw.ranges.iter().map(|range| u64::from(range.minimum));
     let need = minimums.sum::<u64>() + u64::from(raw.spares);
     let have = endpoints.len() as u64;
     if have < need {
-        return Err(SpecFault::TooFew { have, need });
+        return Err(SpecErrorKind::TooFewEndpoints { have, need });
     }
     Ok(endpoints)
 }
--- a/crates/orders/src/group/plan.rs
+++ b/crates/orders/src/group/status.rs
@@ -1,64 +1,65 @@
-//! A group's state for an operator to read.
+//! The status of a group for an operator.
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_engines::wire::Layers;
 
 use super::{
-    decide::Picture,
+    decide::Snapshot,
     member::{Change, Member},
 };
 
-/// A group's state for an operator to read.
+/// The status of a group for an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
-    /// The ranges in order.
+pub struct GroupStatus {
+    /// The status of each range, in order.
     pub ranges: Vec<RangeStatus>,
-    /// What is being done.
+    /// The changes in progress.
     pub changes: Vec<ChangeStatus>,
-    /// Endpoints whose state isn't known.
+    /// Live endpoints whose state isn't known.
     pub unknown: Vec<EndpointId>,
-    /// Whether every range is served as declared, with nothing left to do.
+    /// Whether every range is served as declared and no change is in progress or needed.
     pub satisfied: bool,
 }
 
-/// One range's state.
+/// The status of one range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RangeStatus {
     /// The layers.
     pub layers: Layers,
-    /// How many endpoints must serve them.
+    /// The number of endpoints that must serve the range.
     pub minimum: u32,
-    /// How many do, in whichever version.
+    /// The number of endpoints that serve the range, in any version.
     pub serving: u32,
-    /// How many are going to.
+    /// The number of endpoints that are about to serve the range.
     pub joining: u32,
-    /// How many hold another version than declared.
+    /// The number of endpoints that hold the range in another version than declared and aren't
+    /// shutting down.
     pub outdated: u32,
 }
 
-/// What is being done to one endpoint.
+/// The change in progress on one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeStatus {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// What it is to hold.
+    /// The layers that the endpoint is to hold.
     pub layers: Layers,
-    /// How far that is.
-    pub stage: ChangeStage,
+    /// The phase of the change.
+    pub phase: ChangePhase,
 }
 
-/// How far a change is.
+/// The phase of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChangeStage {
-    /// The endpoint takes no new work.
+pub enum ChangePhase {
+    /// The endpoint receives no new work.
     Draining,
-    /// It was ordered; it may be loading.
+    /// The order was sent; the endpoint may be loading.
     Ordered,
 }
 
-impl Picture<'_> {
-    /// The state for an operator to read.
-    pub(super) fn plan(&self) -> Plan {
+impl Snapshot<'_> {
+    /// Returns the status for an operator.
+    pub(super) fn status(&self) -> GroupStatus {
         let ranges = self.spec.ranges().iter().enumerate();
         let ranges: Vec<_> = ranges
             .map(|(index, range)| RangeStatus {
@@ -76,7 +77,7 @@
         let unknown: Vec<_> = unknown.map(|(id, _)| id.clone()).collect();
         let done = |range: &RangeStatus| range.serving >= range.minimum && range.outdated == 0;
         let satisfied = changes.is_empty() && unknown.is_empty() && ranges.iter().all(done);
-        Plan {
+        GroupStatus {
             ranges,
             changes,
             unknown,
@@ -85,15 +86,15 @@
     }
 
     fn change(&self, id: &EndpointId, m: &Member) -> Option<ChangeStatus> {
-        let (to, stage) = match &m.change {
+        let (target_range, phase) = match &m.change {
             Change::None => return None,
-            Change::Draining { to, .. } => (*to, ChangeStage::Draining),
-            Change::Ordered { to, .. } => (*to, ChangeStage::Ordered),
+            Change::Draining { target_range, .. } => (*target_range, ChangePhase::Draining),
+            Change::Ordered { target_range, .. } => (*target_range, ChangePhase::Ordered),
         };
         Some(ChangeStatus {
             endpoint: id.clone(),
-            layers: self.spec.ranges()[to].layers,
-            stage,
+            layers: self.spec.ranges()[target_range].layers,
+            phase,
         })
     }
 }
--- a/crates/orders/src/group/steps.rs
+++ b/crates/orders/src/group/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a group's tick, in their order.
+//! The steps of a group's tick, in order of execution.
 
 use std::time::Duration;
 
@@ -7,44 +7,46 @@
 
 use super::{
     Action, CallId, Group,
-    decide::Move,
+    decide::Reassignment,
     machine::end_change,
     member::{Call, Change, Member},
 };
 use crate::lease::Fence;
 
 impl Group {
-    /// An engine that has seen a higher fence refuses this one's orders, or another host holds the
-    /// lease.
+    /// Whether no engine has seen a higher fence than this host's. Otherwise requests a higher fence:
+    /// the engine rejects this host's orders, or another host holds the lease.
     pub(super) fn is_fence_usable(&self, actions: &mut Vec<Action>) -> bool {
-        let usable = self.fence.is_some_and(|fence| self.seen_fence <= fence.0);
+        let usable = self
+            .fence
+            .is_some_and(|fence| self.max_seen_fence <= fence.0);
         if !usable {
-            actions.push(Action::RaiseFence(Fence(self.seen_fence)));
+            actions.push(Action::RaiseFence(Fence(self.max_seen_fence)));
         }
         usable
     }
 
-    pub(super) fn give_up_calls(&mut self, now: Duration) {
-        let flight = self.cfg.flight;
+    pub(super) fn time_out_calls(&mut self, now: Duration) {
+        let flight = self.cfg.max_flight_time;
         for member in self.members.values_mut() {
-            let late = member.call.take_if(|call| call.sent + flight <= now);
-            if late.is_some() {
-                member.next_read = now.max(member.trust_after);
+            let timed_out = member.call.take_if(|call| call.sent_at + flight <= now);
+            if timed_out.is_some() {
+                member.next_read_at = now.max(member.trusted_from);
             }
         }
     }
 
-    /// Ends the changes that are done, failed, or no longer of use.
+    /// Ends the changes that are complete, failed, or no longer useful.
     pub(super) fn finish_changes(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for (id, member) in &mut self.members {
             let ended = match &member.change {
                 Change::None => false,
-                Change::Draining { .. } => !member.alive || member.leaving,
+                Change::Draining { .. } => !member.alive || member.shutting_down,
                 Change::Ordered { order, .. } => {
                     let state = member.state(now, &self.cfg);
-                    let under_way = |s: &EngineState| s.loading && is_as_ordered(s, order);
-                    let over = state.is_some_and(|state| !under_way(state));
-                    !member.alive || over || member.is_silent(now, &self.cfg)
+                    let in_progress = |s: &EngineState| s.loading && matches_order(s, order);
+                    let completed = state.is_some_and(|state| !in_progress(state));
+                    !member.alive || completed || member.is_unresponsive(now, &self.cfg)
                 }
             };
             if ended {
@@ -53,103 +55,112 @@
         }
     }
 
-    /// Orders the endpoints whose drain is over.
+    /// Sends orders to the endpoints whose drain is complete, and ends the drains of endpoints that
+    /// their ranges now need.
     pub(super) fn order_drained(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let drained: Vec<_> = self
             .members
             .iter()
-            .filter_map(|(id, m)| Some((id.clone(), self.drained_to(now, m)?)))
+            .filter_map(|(id, m)| Some((id.clone(), self.drained_target(now, m)?)))
             .collect();
-        for (id, to) in drained {
+        for (id, target_range) in drained {
             let member = &self.members[&id];
-            if !self.picture(now).can_leave(member) {
+            if !self.snapshot(now).can_be_reassigned(member) {
                 let member = self.members.get_mut(&id).expect("it is a member");
                 end_change(&id, member, actions);
             } else if member.call.is_none() {
-                self.order(now, &id, to, actions);
+                self.send_order(now, &id, target_range, actions);
             }
         }
     }
 
-    /// The range to order, once the endpoint has no sessions or had time enough.
-    fn drained_to(&self, now: Duration, member: &Member) -> Option<usize> {
-        let Change::Draining { since, to } = member.change else {
+    /// Returns the range to order, once the endpoint has no sessions or its drain time has passed.
+    fn drained_target(&self, now: Duration, member: &Member) -> Option<usize> {
+        let Change::Draining {
+            since,
+            target_range,
+        } = member.change
+        else {
             return None;
         };
-        let settled = since + self.cfg.drain_settle;
-        let reported = member.sessions.filter(|s| s.at >= settled);
+        let settled = since + self.cfg.drain_settle_time;
+        let reported = member.sessions.filter(|s| s.as_of >= settled);
         let empty = reported.is_some_and(|sessions| sessions.count == 0);
-        // Others serve what the endpoint served; nobody serves what it is to hold.
-        let urgent = now >= settled && self.picture(now).is_lost(to);
-        let over = urgent || now >= since + self.cfg.drain_limit;
+        // Other endpoints serve the old range of this endpoint, but none serves its new range.
+        let urgent = now >= settled && self.snapshot(now).is_unserved(target_range);
+        let over = urgent || now >= since + self.cfg.max_drain_time;
         let known = member.state(now, &self.cfg).is_some();
-        (known && (empty || over)).then_some(to)
+        (known && (empty || over)).then_some(target_range)
     }
 
-    pub(super) fn begin_changes(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn start_changes(&mut self, now: Duration, actions: &mut Vec<Action>) {
         loop {
             let loading = self
                 .members
                 .values()
                 .filter(|m| m.is_loading(now, &self.cfg));
-            if loading.count() >= self.spec.budget().at_once as usize {
+            if loading.count() >= self.spec.budget().max_concurrent_loads as usize {
                 return;
             }
-            let Some(Move {
+            let Some(Reassignment {
                 endpoint,
-                to,
+                target_range,
                 drain,
-            }) = self.picture(now).next_move()
+            }) = self.snapshot(now).next_reassignment()
             else {
                 return;
             };
             if drain {
                 let member = self.members.get_mut(&endpoint).expect("it is a member");
-                member.change = Change::Draining { since: now, to };
+                member.change = Change::Draining {
+                    since: now,
+                    target_range,
+                };
                 actions.push(Action::Drain(endpoint));
-            } else if !self.order(now, &endpoint, to, actions) {
+            } else if !self.send_order(now, &endpoint, target_range, actions) {
                 return;
             }
         }
     }
 
-    /// Orders an endpoint to hold a range, if the weight store's rate allows it now.
-    fn order(
+    /// Orders an endpoint to hold a range if the rate limit of the weight store allows it now, and
+    /// returns whether it does.
+    fn send_order(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
-        to: usize,
+        target_range: usize,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(fence) = self.fence.filter(|_| self.bucket.is_open(now)) else {
+        let Some(fence) = self.fence.filter(|_| self.load_limiter.allows_load(now)) else {
             return false;
         };
         let order = Order {
             fence: fence.0,
             model: self.spec.id().model.as_str().to_owned(),
             version: self.spec.version().to_owned(),
-            layers: self.spec.ranges()[to].layers,
+            layers: self.spec.ranges()[target_range].layers,
         };
         let member = self.members.get_mut(endpoint).expect("it is a member");
         let layers = member.layers_to_load(&self.spec, order.layers);
-        self.bucket.spend(now, layers, self.spec.budget());
+        self.load_limiter.charge(now, layers, self.spec.budget());
         self.last_call += 1;
         let call = CallId(self.last_call);
         member.call = Some(Call {
             id: call,
-            sent: now,
+            sent_at: now,
             is_order: true,
         });
-        member.trust_after = now + self.cfg.flight;
+        member.trusted_from = now + self.cfg.max_flight_time;
         let endpoint = endpoint.clone();
         log::info!(
-            "orders: {endpoint}: hold {} {}",
+            "orders: {endpoint}: ordered to hold {} {}",
             order.version,
             order.layers
         );
         member.change = Change::Ordered {
             order: order.clone(),
-            to,
+            target_range,
         };
         actions.push(Action::Order {
             call,
@@ -159,16 +170,16 @@
         true
     }
 
-    pub(super) fn read_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn send_due_reads(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for (id, member) in &mut self.members {
-            if !member.alive || member.call.is_some() || now < member.next_read {
+            if !member.alive || member.call.is_some() || now < member.next_read_at {
                 continue;
             }
             self.last_call += 1;
             let call = CallId(self.last_call);
             member.call = Some(Call {
                 id: call,
-                sent: now,
+                sent_at: now,
                 is_order: false,
             });
             actions.push(Action::ReadState {
@@ -179,7 +190,7 @@
     }
 }
 
-/// Whether the engine holds what it was ordered to.
-fn is_as_ordered(state: &EngineState, order: &Order) -> bool {
+/// Whether the engine's state is the one that the order requested.
+fn matches_order(state: &EngineState, order: &Order) -> bool {
     state.model == order.model && state.version == order.version && state.layers == order.layers
 }
--- a/crates/orders/src/lease/leases.rs
+++ b/crates/orders/src/lease/leases.rs
@@ -34,7 +34,8 @@
     },
     /// This host acquired the lease, or continues to hold it under another fence.
     Held(LeaseName, Fence),
-    /// The lease expired or another host took it over.
+    /// This host no longer holds the lease, because its term ended or its row changed. Not returned
+    /// after [`Leases::release`].
     Lost(LeaseName),
 }
 
--- a/crates/orders/tests/behaviour.rs
+++ b/crates/orders/tests/behaviour.rs
@@ -167,7 +167,7 @@
             loading: false,
             leaving: false,
         };
-        group.answer(ms(2000), &endpoint, call, Ok(state), &mut actions);
+        group.handle_answer(ms(2000), &endpoint, call, Ok(state), &mut actions);
     }
     group.tick(ms(2000), &mut actions);
     (group, actions)
@@ -199,7 +199,7 @@
     };
     let (call, endpoint): (_, EndpointId) = actions.iter().find_map(read).unwrap();
     let mut actions = Vec::new();
-    group.answer(
+    group.handle_answer(
         ms(3000),
         &endpoint,
         call,
--- a/crates/orders/tests/common/group/carry_out.rs
+++ b/crates/orders/tests/common/group/carry_out.rs
@@ -50,7 +50,7 @@
                 // The lease's check fails.
                 let now = self.now();
                 self.run_group(holder, |group, actions| {
-                    group.answer(now, &endpoint, call, Err(CallError::NotSent), actions);
+                    group.handle_answer(now, &endpoint, call, Err(CallError::NotSent), actions);
                     group.tick(now, actions);
                 })?;
             }
@@ -65,7 +65,7 @@
                 self.drained.retain(|drain| *drain != (holder, index));
                 // It gets work again.
                 let now = self.now();
-                self.groups[holder].sessions(&endpoint, 1, now);
+                self.groups[holder].set_session_count(&endpoint, 1, now);
             }
             Action::RaiseFence(_) => {
                 if holder == self.holder {
@@ -197,7 +197,7 @@
         let (holder, now) = (call.holder, self.now());
         let endpoint = self.engines[call.endpoint].0.clone();
         self.run_group(holder, |group, actions| {
-            group.answer(now, &endpoint, call.id, result, actions);
+            group.handle_answer(now, &endpoint, call.id, result, actions);
             if group.next_tick(now).is_some_and(|at| at <= now) {
                 group.tick(now, actions);
             }
@@ -257,6 +257,6 @@
 
     pub(crate) fn empty(&mut self, index: usize) {
         let (now, id) = (self.now(), self.engines[index].0.clone());
-        self.groups[self.holder].sessions(&id, 0, now);
+        self.groups[self.holder].set_session_count(&id, 0, now);
     }
 }
--- a/crates/orders/tests/common/group/setup.rs
+++ b/crates/orders/tests/common/group/setup.rs
@@ -50,11 +50,11 @@
             (EndpointId::try_from(name.as_str()).unwrap(), engine)
         });
         let cfg = GroupConfig {
-            flight: ms(setup.flight),
-            read_every: ms(1),
-            max_age: ms(2),
-            drain_settle: ms(1),
-            drain_limit: ms(3),
+            max_flight_time: ms(setup.flight),
+            read_interval: ms(1),
+            max_state_age: ms(2),
+            drain_settle_time: ms(1),
+            max_drain_time: ms(3),
         };
         let group = Group::new(cfg, spec.clone());
         let mut orders = Self {
@@ -84,9 +84,9 @@
         // The hosts have heard of different endpoints that they have no requests, and so choose
         // different ones.
         for (index, (id, _)) in orders.engines.iter().enumerate() {
-            orders.groups[0].sessions(id, 0, ms(0));
+            orders.groups[0].set_session_count(id, 0, ms(0));
             if index % 2 == 1 {
-                orders.groups[1].sessions(id, 0, ms(0));
+                orders.groups[1].set_session_count(id, 0, ms(0));
             }
         }
         orders
--- a/crates/orders/tests/common/group/world.rs
+++ b/crates/orders/tests/common/group/world.rs
@@ -94,7 +94,7 @@
                 let (id, engine) = &mut self.engines[index];
                 engine.alive = false;
                 for group in &mut self.groups {
-                    group.alive(now, id, false);
+                    group.set_alive(now, id, false);
                 }
             }
             Event::Declare => return self.declare(),
@@ -112,7 +112,7 @@
     fn check_leaf(&self) -> Result<(), String> {
         let mut calm = self.clone();
         calm.calm_steps(CALM_STEPS)?;
-        let plan = calm.groups[calm.holder].plan(calm.now());
+        let plan = calm.groups[calm.holder].status(calm.now());
         let engines: Vec<_> = calm.engines.iter().map(|(_, engine)| engine).collect();
         let alive = engines.iter().filter(|engine| engine.alive).count() as u32;
         let needed: u32 = calm.spec.ranges().iter().map(|range| range.minimum).sum();
