--- a/crates/orders/benches/orders.rs
+++ b/crates/orders/benches/orders.rs
@@ -288,7 +288,7 @@
             };
             let engine = self.engines.get_mut(&endpoint).unwrap();
             if let Some(order) = order {
-                self.loaded += engine.follow(self.now, &order).unwrap_or(0);
+                self.loaded += engine.execute(self.now, &order).unwrap_or(0);
             }
             let state = engine.state(self.now);
             self.group
--- a/crates/orders/tests/behaviour.rs
+++ b/crates/orders/tests/behaviour.rs
@@ -1,5 +1,5 @@
-//! Single cases: what is lost with a batch, an outage of the table, a fence that must rise, the
-//! faults of a declared group, the weight store's rate.
+//! Single cases: a lost lease in a batch, an outage of the table, a raised fence, invalid declared
+//! groups, the rate limit of the weight store, and the retry of a failed read.
 
 mod common;
 
@@ -34,31 +34,34 @@
         .collect()
 }
 
-/// Runs to `end` with the table, or without it. Answers how many calls were made and what else
-/// was to be done.
+/// Runs until `end`, with the table or, if `None`, without it. Returns the number of table calls and
+/// the other actions.
 fn run(
     leases: &mut Leases,
     mut table: Option<&mut MemoryTable>,
     now: &mut Duration,
     end: Duration,
 ) -> (u32, Vec<Action>) {
-    let (mut calls, mut others) = (0, Vec::new());
+    let (mut calls, mut other_actions) = (0, Vec::new());
     while *now < end {
         *now += ms(100);
         let mut actions = Vec::new();
         leases.tick(*now, &mut actions);
         while let Some(action) = actions.pop() {
             let Action::CallTable { id, call } = action else {
-                others.push(action);
+                other_actions.push(action);
                 continue;
             };
             calls += 1;
-            let away = PlatformError::Unknown("away".to_owned());
-            let result = table.as_mut().map(|table| table.call(&call)).ok_or(away);
+            let unavailable = PlatformError::Unknown("unavailable".to_owned());
+            let result = table
+                .as_mut()
+                .map(|table| table.call(&call))
+                .ok_or(unavailable);
             leases.handle_table_result(*now, id, result, &mut actions);
         }
     }
-    (calls, others)
+    (calls, other_actions)
 }
 
 #[test]
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn an_outage_ends_the_lease_at_its_term_and_calls_stay_few() {
+fn an_outage_ends_the_lease_after_its_term_and_calls_stay_rare() {
     let names = names(1);
     let (mut leases, mut table, mut now) = (leases(&names), MemoryTable::default(), ms(0));
     run(&mut leases, Some(&mut table), &mut now, ms(20_000));
@@ -126,9 +129,9 @@
 }
 
 #[test]
-fn a_faulty_group_is_refused_with_the_key_at_fault() {
-    type Spoil = fn(&mut RawGroup);
-    let faulty: [(&str, Spoil); 8] = [
+fn an_invalid_group_is_rejected_with_its_invalid_key() {
+    type Invalidate = fn(&mut RawGroup);
+    let invalid: [(&str, Invalidate); 8] = [
         ("model", |raw| raw.model = "No".to_owned()),
         ("version", |raw| raw.version.clear()),
         ("ranges", |raw| raw.ranges[1].first = 11),
@@ -139,14 +142,15 @@
         ("loads_at_once", |raw| raw.loads_at_once = 0),
     ];
     assert!(GroupSpec::try_from(raw()).is_ok());
-    for (key, spoil) in faulty {
+    for (key, invalidate) in invalid {
         let mut raw = raw();
-        spoil(&mut raw);
+        invalidate(&mut raw);
         assert_eq!(GroupSpec::try_from(raw).unwrap_err().key, key);
     }
 }
 
-/// A group whose endpoints all hold another model, read once.
+/// Returns a group whose endpoints all hold another model, after one read of each, and the actions
+/// that followed.
 fn empty_group() -> (Group, Vec<group::Action>) {
     let mut group = Group::new(GroupConfig::default(), GroupSpec::try_from(raw()).unwrap());
     let mut reads = Vec::new();
@@ -155,7 +159,7 @@
     let mut actions = Vec::new();
     for read in reads {
         let group::Action::ReadState { call, endpoint } = read else {
-            panic!("nothing is known yet: {read:?}");
+            panic!("expected only reads while all states are unknown: {read:?}");
         };
         let state = EngineState {
             endpoint: endpoint.to_string(),
@@ -174,14 +178,14 @@
 }
 
 #[test]
-fn orders_keep_to_the_weight_stores_rate() {
+fn orders_stay_within_the_weight_stores_rate() {
     let (mut group, mut actions) = empty_group();
     let orders = |actions: &[group::Action]| {
         let order = |a: &&group::Action| matches!(a, group::Action::Order { .. });
         actions.iter().filter(order).count()
     };
     assert_eq!(orders(&actions), 1);
-    // Ten layers at ten a second are paid for after a second.
+    // At ten layers per second, the budget covers ten layers after one second.
     group.tick(ms(2900), &mut actions);
     assert_eq!(orders(&actions), 1);
     group.tick(ms(3000), &mut actions);
@@ -189,7 +193,7 @@
 }
 
 #[test]
-fn a_failed_read_waits_for_the_next_turn() {
+fn a_failed_read_is_not_retried_before_the_read_interval() {
     let (mut group, _) = empty_group();
     let mut actions = Vec::new();
     group.tick(ms(3000), &mut actions);
--- a/crates/orders/tests/common/engine.rs
+++ b/crates/orders/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that follows orders, in memory.
+//! A simulated engine that executes orders, in memory.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use super::ms;
 
-/// An engine that follows orders, in memory.
+/// A simulated engine that executes orders, in memory.
 #[derive(Debug, Clone)]
 pub(crate) struct Engine {
     state: EngineState,
-    /// Whether it refuses old fences.
+    /// Whether the engine rejects orders with a lower fence than it has seen.
     pub(crate) checks_fence: bool,
-    /// The time it needs for a layer.
+    /// The load time of one layer.
     pub(crate) layer_time: Duration,
-    /// Whether it is there.
+    /// Whether the engine is running.
     pub(crate) alive: bool,
     loaded_at: Duration,
 }
 
 impl Engine {
-    /// An engine that holds a range.
+    /// Creates an engine that holds the layers from `first` to before `end`.
     pub(crate) fn new(name: &str, model: &str, version: &str, first: u32, end: u32) -> Self {
         Self {
             state: EngineState {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What it says it is.
+    /// Returns the state that the engine reports at `now`.
     pub(crate) fn state(&self, now: Duration) -> EngineState {
         EngineState {
             loading: now < self.loaded_at,
@@ -48,20 +48,21 @@
         }
     }
 
-    /// Whether it can run these layers now.
+    /// Whether the engine can run these layers at `now`.
     pub(crate) fn serves(&self, now: Duration, model: &str, layers: Layers) -> bool {
         let held = self.state.layers;
         let within = held.first <= layers.first && layers.end <= held.end;
         self.alive && now >= self.loaded_at && within && self.state.model == model
     }
 
-    /// Whether the order would be refused.
-    pub(crate) fn refuses(&self, order: &Order) -> bool {
+    /// Whether the engine rejects the order.
+    pub(crate) fn rejects(&self, order: &Order) -> bool {
         self.checks_fence && order.fence < self.state.fence
     }
 
-    /// Follows an order. Answers how many layers it loads, or `None` if the order changes nothing.
-    pub(crate) fn follow(&mut self, now: Duration, order: &Order) -> Option<u32> {
+    /// Executes an order. Returns how many layers the engine loads, or `None` if the order changes
+    /// nothing.
+    pub(crate) fn execute(&mut self, now: Duration, order: &Order) -> Option<u32> {
         let held = &mut self.state;
         held.fence = held.fence.max(order.fence);
         let same = held.model == order.model && held.version == order.version;
@@ -69,11 +70,11 @@
             return None;
         }
         let kept = if same { held.layers.range() } else { 0..0 };
-        let missing = order.layers.range().filter(|l| !kept.contains(l)).count() as u32;
+        let missing_layers = order.layers.range().filter(|l| !kept.contains(l)).count() as u32;
         held.model = order.model.clone();
         held.version = order.version.clone();
         held.layers = order.layers;
-        self.loaded_at = now + self.layer_time * missing;
-        Some(missing)
+        self.loaded_at = now + self.layer_time * missing_layers;
+        Some(missing_layers)
     }
 }
--- a/crates/orders/tests/common/group/carry_out.rs
+++ b/crates/orders/tests/common/group/execute.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the groups ask for, and the invariants of each order and drain.
+//! Executes the actions of the groups, and checks the invariants of each order and drain.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use dragonflyrill_engines::wire::{EngineState, Layers, Order};
 use dragonflyrill_orders::group::{Action, CallError, CallId, Group};
 
-use super::{Call, MODEL, Message, Orders};
+use super::{Call, GroupSimulation, MODEL, Message};
 use crate::common::{engine::Engine, ms};
 
-impl Orders {
+impl GroupSimulation {
     pub(crate) fn now(&self) -> Duration {
         ms(self.time)
     }
@@ -27,12 +27,12 @@
         let mut actions = Vec::new();
         step(&mut self.groups[holder], &mut actions);
         for action in actions {
-            self.carry_out(holder, action)?;
+            self.execute(holder, action)?;
         }
         Ok(())
     }
 
-    pub(crate) fn carry_out(&mut self, holder: usize, action: Action) -> Result<(), String> {
+    pub(crate) fn execute(&mut self, holder: usize, action: Action) -> Result<(), String> {
         match action {
             Action::ReadState { call, endpoint } => {
                 self.send(holder, call, &endpoint, Message::Read);
@@ -47,7 +47,7 @@
                 self.send(holder, call, &endpoint, Message::Order(order));
             }
             Action::Order { call, endpoint, .. } => {
-                // The lease's check fails.
+                // The check of the lease fails before the order is sent.
                 let now = self.now();
                 self.run_group(holder, |group, actions| {
                     group.handle_answer(now, &endpoint, call, Err(CallError::NotSent), actions);
@@ -63,7 +63,7 @@
             Action::Undrain(endpoint) => {
                 let index = self.index(&endpoint);
                 self.drained.retain(|drain| *drain != (holder, index));
-                // It gets work again.
+                // The endpoint receives work again.
                 let now = self.now();
                 self.groups[holder].set_session_count(&endpoint, 1, now);
             }
@@ -93,24 +93,24 @@
             id,
             endpoint: self.index(endpoint),
             message,
-            sent: self.time,
-            deaths: self.deaths,
+            sent_at: self.time,
+            crashes_at_send: self.crashes,
         });
     }
 
-    /// At most one order to an endpoint is under way, whoever sent it, so none can overtake
-    /// another.
+    /// Checks that at most one order to an endpoint is in flight, from either host, so that no order
+    /// can overtake another.
     fn check_order(&self, endpoint: &EndpointId) -> Result<(), String> {
         let index = self.index(endpoint);
         let order = |call: &&Call| matches!(call.message, Message::Order(_));
         let mut orders = self.calls.iter().filter(order);
-        if !self.late && orders.any(|call| call.endpoint == index) {
-            return Err(format!("two orders to {endpoint} are under way"));
+        if !self.late_orders && orders.any(|call| call.endpoint == index) {
+            return Err(format!("two orders to {endpoint} are in flight"));
         }
         Ok(())
     }
 
-    /// Another version is declared.
+    /// Declares the other version.
     pub(crate) fn declare(&mut self) -> Result<(), String> {
         self.declarations_left -= 1;
         std::mem::swap(&mut self.spec, &mut self.next_spec);
@@ -122,9 +122,10 @@
         Ok(())
     }
 
-    /// Routers must be left enough endpoints for each range that the drained one serves.
+    /// Checks that enough endpoints remain for new work in each range that the drained endpoint
+    /// serves.
     pub(crate) fn check_drain(&self, index: usize) -> Result<(), String> {
-        if self.late {
+        if self.late_orders {
             return Ok(());
         }
         for range in self.spec.ranges() {
@@ -134,13 +135,16 @@
             {
                 continue;
             }
-            let open = self.engines.iter().enumerate().filter(|(i, (_, engine))| {
-                let open = !self.drained.contains(&(self.holder, *i));
-                open && engine.serves(self.now(), MODEL, range.layers)
+            let available = self.engines.iter().enumerate().filter(|(i, (_, engine))| {
+                let available = !self.drained.contains(&(self.holder, *i));
+                available && engine.serves(self.now(), MODEL, range.layers)
             });
-            let open = open.count() as u32;
-            if open < range.minimum {
-                return Err(format!("a drain leaves {open} for layers {}", range.layers));
+            let available = available.count() as u32;
+            if available < range.minimum {
+                return Err(format!(
+                    "a drain leaves {available} endpoints for layers {}",
+                    range.layers
+                ));
             }
         }
         Ok(())
@@ -155,27 +159,28 @@
             return Ok(Err(CallError::NotSent));
         }
         if let Message::Order(order) = &call.message {
-            if self.engines[call.endpoint].1.refuses(order) {
+            if self.engines[call.endpoint].1.rejects(order) {
                 return Ok(Err(CallError::StaleFence));
             }
-            self.follow(call, order)?;
+            self.execute_order(call, order)?;
         }
         Ok(Ok(self.engines[call.endpoint].1.state(now)))
     }
 
-    /// An order takes effect: what its endpoint served must be served by enough others.
-    pub(crate) fn follow(&mut self, call: &Call, order: &Order) -> Result<(), String> {
+    /// Executes an order on its engine, and checks that enough other endpoints serve the ranges that
+    /// the engine served.
+    pub(crate) fn execute_order(&mut self, call: &Call, order: &Order) -> Result<(), String> {
         let now = self.now();
         let before = self.engines[call.endpoint].1.clone();
-        let changed = self.engines[call.endpoint].1.follow(now, order);
-        if changed.is_none() || self.late {
+        let changed = self.engines[call.endpoint].1.execute(now, order);
+        if changed.is_none() || self.late_orders {
             return Ok(());
         }
         for range in self.spec.ranges() {
-            let left = self.serving(range.layers) + self.deaths - call.deaths;
-            if before.serves(now, MODEL, range.layers) && left < range.minimum {
+            let remaining = self.serving(range.layers) + self.crashes - call.crashes_at_send;
+            if before.serves(now, MODEL, range.layers) && remaining < range.minimum {
                 return Err(format!(
-                    "an order leaves {left} for layers {}",
+                    "an order leaves {remaining} endpoints for layers {}",
                     range.layers
                 ));
             }
@@ -204,10 +209,10 @@
         })
     }
 
-    /// Reads are answered at once unless the endpoint is slow.
+    /// Answers a read immediately, or delays the answer if reads of the endpoint are delayed.
     pub(crate) fn serve_read(&mut self) -> Result<(), String> {
         let index = self.calls.len() - 1;
-        if self.slow != Some(self.calls[index].endpoint) {
+        if self.delayed_endpoint != Some(self.calls[index].endpoint) {
             return self.serve(index);
         }
         let call = self.calls.remove(index);
@@ -218,14 +223,14 @@
 
     pub(crate) fn step(&mut self) -> Result<(), String> {
         self.time += 1;
-        let (now, time, late) = (self.now(), self.time, self.late);
-        let flight = self.flight;
+        let (now, time, late) = (self.now(), self.time, self.late_orders);
+        let flight = self.max_flight_time;
         self.calls.retain(|call| {
             let order = matches!(call.message, Message::Order(_));
-            call.sent + flight > time || (late && order)
+            call.sent_at + flight > time || (late && order)
         });
         for holder in 0..self.groups.len() {
-            if holder == self.holder || self.believes {
+            if holder == self.holder || self.stale_holder {
                 self.run_group(holder, |group, actions| group.tick(now, actions))?;
             }
         }
@@ -239,23 +244,23 @@
         needed && engine.state(self.now()).version != self.spec.version()
     }
 
-    /// Goes on without faults.
-    pub(crate) fn calm_steps(&mut self, steps: u32) -> Result<(), String> {
-        self.slow = None;
+    /// Runs `steps` steps without faults.
+    pub(crate) fn run_without_faults(&mut self, steps: u32) -> Result<(), String> {
+        self.delayed_endpoint = None;
         self.answers.clear();
         for _ in 0..steps {
             while !self.calls.is_empty() {
                 self.serve(0)?;
             }
             for index in 0..self.engines.len() {
-                self.empty(index);
+                self.end_sessions(index);
             }
             self.step()?;
         }
         Ok(())
     }
 
-    pub(crate) fn empty(&mut self, index: usize) {
+    pub(crate) fn end_sessions(&mut self, index: usize) {
         let (now, id) = (self.now(), self.engines[index].0.clone());
         self.groups[self.holder].set_session_count(&id, 0, now);
     }
--- a/crates/orders/tests/common/group/mod.rs
+++ b/crates/orders/tests/common/group/mod.rs
@@ -1,8 +1,8 @@
-//! A group of engines in memory with two would-be holders of its lease.
+//! A simulated group of engines, with two hosts that compete for its lease.
 
-mod carry_out;
+mod execute;
 pub(crate) mod setup;
-mod world;
+mod simulation;
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_engines::wire::{EngineState, Order};
@@ -11,35 +11,35 @@
 use super::engine::Engine;
 
 pub(crate) const MODEL: &str = "m";
-/// Steps after which a group without faults has to be as declared.
-pub(crate) const CALM_STEPS: u32 = 60;
+/// Steps without faults after which the engines must be in the declared state.
+pub(crate) const MAX_CONVERGENCE_STEPS: u32 = 60;
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Event {
-    /// Time goes on by one unit; holders that aren't paused tick.
+    /// Time advances by one unit, and the hosts that believe they hold the lease tick.
     Step,
-    /// The engine gets the message and the answer arrives.
+    /// The engine receives the message and the answer arrives.
     Serve(usize),
-    /// The engine gets the message and the answer is lost.
+    /// The engine receives the message and the answer is lost.
     LoseAnswer(usize),
     /// The message is lost.
     Drop(usize),
-    /// The holder hears that nothing is known of the order, which is still under way.
-    Hang(usize),
-    /// The lease goes to the other host. The last holder doesn't know.
+    /// The call fails with an unknown result while the message is still in flight.
+    TimeOut(usize),
+    /// The other host acquires the lease. The previous holder isn't informed.
     Takeover,
-    /// The last holder finds out.
-    Learn,
-    /// The endpoint's answers to reads are slow from now on.
-    Slow(usize),
-    /// The first slow answer arrives.
-    Answer,
-    /// An endpoint dies.
-    Die(usize),
-    /// Another version is declared: the one that was declared before, and back.
+    /// The previous holder learns that it lost the lease.
+    LeaseLost,
+    /// Answers to reads of the endpoint's state are delayed from now on.
+    DelayReads(usize),
+    /// The first delayed answer arrives.
+    DeliverAnswer,
+    /// An endpoint crashes.
+    Crash(usize),
+    /// The declaration changes between two versions.
     Declare,
-    /// All requests on an endpoint end.
-    Empty(usize),
+    /// All sessions on an endpoint end.
+    EndSessions(usize),
 }
 
 #[derive(Debug, Clone)]
@@ -54,36 +54,37 @@
     pub(crate) id: CallId,
     pub(crate) endpoint: usize,
     pub(crate) message: Message,
-    pub(crate) sent: u64,
-    pub(crate) deaths: u32,
+    pub(crate) sent_at: u64,
+    /// The number of crashes before the call was sent.
+    pub(crate) crashes_at_send: u32,
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Orders {
+pub(crate) struct GroupSimulation {
     pub(crate) time: u64,
     pub(crate) spec: GroupSpec,
-    /// What is declared next.
+    /// The next declaration.
     pub(crate) next_spec: GroupSpec,
     pub(crate) declarations_left: u32,
     pub(crate) groups: [Group; 2],
     pub(crate) engines: Vec<(EndpointId, Engine)>,
     pub(crate) calls: Vec<Call>,
-    pub(crate) slow: Option<usize>,
-    /// Answers to reads that are under way.
+    pub(crate) delayed_endpoint: Option<usize>,
+    /// Answers to reads that are in flight.
     pub(crate) answers: Vec<(Call, Result<EngineState, CallError>)>,
-    /// Endpoints that routers give no new work, by holder.
+    /// The holder and endpoint of each drain: routers send the endpoint no new work.
     pub(crate) drained: Vec<(usize, usize)>,
     pub(crate) holder: usize,
     pub(crate) fence: u64,
-    /// Whether the host that isn't the holder still believes it is.
-    pub(crate) believes: bool,
+    /// Whether the previous holder still believes that it holds the lease.
+    pub(crate) stale_holder: bool,
     pub(crate) faults_left: u32,
     pub(crate) takeovers_left: u32,
-    pub(crate) deaths_left: u32,
-    pub(crate) deaths: u32,
-    /// Whether orders may come later than the flight time allows. What is served meanwhile is
-    /// not checked then, only what comes of it.
-    pub(crate) late: bool,
-    /// The longest time that an order is under way, if not late.
-    pub(crate) flight: u64,
+    pub(crate) crashes_left: u32,
+    pub(crate) crashes: u32,
+    /// Whether orders may arrive after the flight time. If so, only the final state is checked, not
+    /// whether the ranges are served meanwhile.
+    pub(crate) late_orders: bool,
+    /// The longest time that an order is in flight unless `late_orders` is set.
+    pub(crate) max_flight_time: u64,
 }
--- a/crates/orders/tests/common/group/setup.rs
+++ b/crates/orders/tests/common/group/setup.rs
@@ -1,4 +1,4 @@
-//! What a group starts with.
+//! The initial states of simulated groups.
 
 use dragonflyrill_catalogue::EndpointId;
 use dragonflyrill_orders::{
@@ -6,23 +6,23 @@
     lease::Fence,
 };
 
-use super::{MODEL, Orders};
+use super::{GroupSimulation, MODEL};
 use crate::common::{engine::Engine, ms};
 
 pub(crate) struct Setup {
-    /// Version and first and last layer of each endpoint.
+    /// For each endpoint: the version, the first layer, and one past the last layer.
     pub(crate) engines: &'static [(&'static str, u32, u32)],
     pub(crate) minimums: [u32; 2],
     pub(crate) checks_fence: bool,
-    pub(crate) late: bool,
-    pub(crate) flight: u64,
+    pub(crate) late_orders: bool,
+    pub(crate) max_flight_time: u64,
     pub(crate) faults: u32,
     pub(crate) takeovers: u32,
-    pub(crate) deaths: u32,
+    pub(crate) crashes: u32,
     pub(crate) declarations: u32,
 }
 
-impl Orders {
+impl GroupSimulation {
     pub(crate) fn new(setup: &Setup) -> Self {
         let names: Vec<_> = (0..setup.engines.len()).map(|i| format!("e{i}")).collect();
         let ranges = [0, 1].map(|i| RawRange {
@@ -46,18 +46,18 @@
         let engines = names.iter().zip(setup.engines).map(|(name, held)| {
             let mut engine = Engine::new(name, MODEL, held.0, held.1, held.2);
             engine.checks_fence = setup.checks_fence;
-            engine.layer_time = ms(setup.flight / 2);
+            engine.layer_time = ms(setup.max_flight_time / 2);
             (EndpointId::try_from(name.as_str()).unwrap(), engine)
         });
         let cfg = GroupConfig {
-            max_flight_time: ms(setup.flight),
+            max_flight_time: ms(setup.max_flight_time),
             read_interval: ms(1),
             max_state_age: ms(2),
             drain_settle_time: ms(1),
             max_drain_time: ms(3),
         };
         let group = Group::new(cfg, spec.clone());
-        let mut orders = Self {
+        let mut simulation = Self {
             time: 0,
             spec,
             next_spec,
@@ -65,31 +65,33 @@
             groups: [group.clone(), group],
             engines: engines.collect(),
             calls: Vec::new(),
-            slow: None,
+            delayed_endpoint: None,
             answers: Vec::new(),
             drained: Vec::new(),
             holder: 0,
             fence: 1,
-            believes: false,
+            stale_holder: false,
             faults_left: setup.faults,
             takeovers_left: setup.takeovers,
-            deaths_left: setup.deaths,
-            deaths: 0,
-            late: setup.late,
-            flight: setup.flight,
+            crashes_left: setup.crashes,
+            crashes: 0,
+            late_orders: setup.late_orders,
+            max_flight_time: setup.max_flight_time,
         };
         let mut actions = Vec::new();
-        orders.groups[0].lease_held(ms(0), Fence(1), &mut actions);
-        orders.calm_steps(setup.flight as u32).unwrap();
-        // The hosts have heard of different endpoints that they have no requests, and so choose
-        // different ones.
-        for (index, (id, _)) in orders.engines.iter().enumerate() {
-            orders.groups[0].set_session_count(id, 0, ms(0));
+        simulation.groups[0].lease_held(ms(0), Fence(1), &mut actions);
+        simulation
+            .run_without_faults(setup.max_flight_time as u32)
+            .unwrap();
+        // The hosts know of different endpoints that they have no sessions, so that they choose
+        // different endpoints.
+        for (index, (id, _)) in simulation.engines.iter().enumerate() {
+            simulation.groups[0].set_session_count(id, 0, ms(0));
             if index % 2 == 1 {
-                orders.groups[1].set_session_count(id, 0, ms(0));
+                simulation.groups[1].set_session_count(id, 0, ms(0));
             }
         }
-        orders
+        simulation
     }
 }
 
@@ -109,11 +111,11 @@
         engines,
         minimums: [1, 1],
         checks_fence: true,
-        late: false,
-        flight: 2,
+        late_orders: false,
+        max_flight_time: 2,
         faults: 1,
         takeovers: 1,
-        deaths: 0,
+        crashes: 0,
         declarations: 0,
     }
 }
--- a/crates/orders/tests/common/mod.rs
+++ b/crates/orders/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a bounded search.
+//! Helpers shared by the tests and the benchmark: an exhaustive search, simulated engines and groups.
 
 #![allow(dead_code)]
 
@@ -11,12 +11,12 @@
 use dragonflyrill_catalogue::Name;
 use dragonflyrill_protocol::{HostId, HostRef};
 
-/// The time of `n` milliseconds.
+/// Returns a duration of `n` milliseconds.
 pub(crate) fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// A host in its first life.
+/// Returns a host in its first incarnation.
 pub(crate) fn host(name: &str) -> HostRef {
     HostRef {
         id: HostId(Name::try_from(name).unwrap()),
--- a/crates/orders/tests/common/search.rs
+++ b/crates/orders/tests/common/search.rs
@@ -1,60 +1,60 @@
-//! An exhaustive search of all event orders up to a depth, breadth first, so that the first
+//! An exhaustive search of all event sequences up to a depth. It is breadth first, so that the first
 //! counterexample found is a shortest one.
 
 use std::{collections::HashSet, fmt::Debug};
 
-/// A state with the events that can come next.
-pub(crate) trait World: Clone {
-    /// What can happen.
+/// A state of a simulated system, with the events that can happen next.
+pub(crate) trait Simulation: Clone {
+    /// An event that can happen.
     type Event: Clone + Debug;
 
-    /// All events that can come next.
+    /// Returns all events that can happen next.
     fn events(&self) -> Vec<Self::Event>;
 
-    /// Lets one happen. The error names the invariant that it broke.
+    /// Applies an event. The error names the invariant that the event violated.
     fn apply(&mut self, event: &Self::Event) -> Result<(), String>;
 
-    /// Equal for states that behave alike.
+    /// Returns a hash that is equal for states with equal behaviour.
     fn key(&self) -> u64;
 
-    /// Checked on the states at the greatest depth.
+    /// Checks a state at the greatest depth of the search.
     fn check_leaf(&self) -> Result<(), String> {
         Ok(())
     }
 }
 
-/// What a search saw.
+/// The result of a search.
 pub(crate) struct Report<E> {
-    /// Different states.
+    /// The number of distinct states.
     pub(crate) states: usize,
-    /// Depth reached.
+    /// The depth reached, in events.
     pub(crate) depth: usize,
-    /// States at the greatest depth.
+    /// The number of states at the greatest depth.
     pub(crate) leaves: usize,
-    /// The events up to the first broken invariant, and which.
-    pub(crate) broken: Option<(Vec<E>, String)>,
+    /// The events up to the first violated invariant, and its description.
+    pub(crate) violation: Option<(Vec<E>, String)>,
 }
 
-/// Searches `start` up to `depth` events deep.
-pub(crate) fn explore<W: World>(start: W, depth: usize) -> Report<W::Event> {
+/// Searches all event sequences of up to `depth` events from `start`.
+pub(crate) fn explore<W: Simulation>(start: W, depth: usize) -> Report<W::Event> {
     let mut seen = HashSet::from([start.key()]);
-    // The event and the index of the state before; the root has none.
+    // The index of the previous step and the event; the root has no event.
     let mut steps: Vec<(usize, Option<W::Event>)> = vec![(0, None)];
     let mut level = vec![(0, start)];
     let mut reached = 0;
     while reached < depth && !level.is_empty() {
         let mut next = Vec::new();
-        for (index, world) in &level {
-            for event in world.events() {
-                let mut after = world.clone();
+        for (index, simulation) in &level {
+            for event in simulation.events() {
+                let mut after = simulation.clone();
                 let result = after.apply(&event);
                 if result.is_ok() && !seen.insert(after.key()) {
                     continue;
                 }
                 steps.push((*index, Some(event)));
                 let index = steps.len() - 1;
-                if let Err(why) = result {
-                    return report(&seen, reached + 1, 0, Some((path(&steps, index), why)));
+                if let Err(message) = result {
+                    return report(&seen, reached + 1, 0, Some((path(&steps, index), message)));
                 }
                 next.push((index, after));
             }
@@ -62,31 +62,32 @@
         level = next;
         reached += 1;
     }
-    for (index, world) in &level {
-        if let Err(why) = world.check_leaf() {
+    for (index, simulation) in &level {
+        if let Err(message) = simulation.check_leaf() {
             return report(
                 &seen,
                 reached,
                 level.len(),
-                Some((path(&steps, *index), why)),
+                Some((path(&steps, *index), message)),
             );
         }
     }
     report(&seen, reached, level.len(), None)
 }
 
-/// Searches, prints the counts, and panics on a broken invariant.
-pub(crate) fn must_hold<W: World>(name: &str, start: W, depth: usize) {
+/// Searches, prints the counts, and panics if an invariant is violated. The environment variable
+/// `ORDERS_SEARCH_DEPTH` overrides `depth`.
+pub(crate) fn assert_invariants<W: Simulation>(name: &str, start: W, depth: usize) {
     let depth = std::env::var("ORDERS_SEARCH_DEPTH").map_or(depth, |d| d.parse().unwrap());
     let report = explore(start, depth);
     println!(
         "{name}: {} states, depth {}, {} leaves",
         report.states, report.depth, report.leaves
     );
-    if let Some((events, why)) = report.broken {
+    if let Some((events, message)) = report.violation {
         let lines: Vec<_> = events.iter().map(|e| format!("  {e:?}")).collect();
         let events = lines.join("\n");
-        panic!("{name}: {why}, after {} events:\n{events}", lines.len());
+        panic!("{name}: {message}, after {} events:\n{events}", lines.len());
     }
 }
 
@@ -94,38 +95,41 @@
     seen: &HashSet<u64>,
     depth: usize,
     leaves: usize,
-    broken: Option<(Vec<E>, String)>,
+    violation: Option<(Vec<E>, String)>,
 ) -> Report<E> {
     Report {
         states: seen.len(),
         depth,
         leaves,
-        broken,
+        violation,
     }
 }
 
 fn path<E: Clone>(steps: &[(usize, Option<E>)], mut index: usize) -> Vec<E> {
     let mut events = Vec::new();
-    while let (before, Some(event)) = &steps[index] {
+    while let (previous, Some(event)) = &steps[index] {
         events.push(event.clone());
-        index = *before;
+        index = *previous;
     }
     events.reverse();
     events
 }
 
-/// Lets one schedule happen: each number chooses among the events that can come next. The error
-/// tells the events.
-pub(crate) fn walk<W: World>(mut world: W, choices: &[u16]) -> Result<(), String> {
+/// Runs one schedule: each number selects one of the events that can happen next. The error lists
+/// the events.
+pub(crate) fn run_schedule<W: Simulation>(
+    mut simulation: W,
+    choices: &[u16],
+) -> Result<(), String> {
     let mut done = Vec::new();
     for choice in choices {
-        let events = world.events();
+        let events = simulation.events();
         let event = events[usize::from(*choice) % events.len()].clone();
         done.push(event.clone());
-        world
+        simulation
             .apply(&event)
-            .map_err(|why| format!("{why}, after {done:?}"))?;
+            .map_err(|message| format!("{message}, after {done:?}"))?;
     }
-    let result = world.check_leaf();
-    result.map_err(|why| format!("{why}, after {done:?}"))
+    let result = simulation.check_leaf();
+    result.map_err(|message| format!("{message}, after {done:?}"))
 }
--- a/crates/orders/tests/group_search.rs
+++ b/crates/orders/tests/group_search.rs
@@ -1,19 +1,21 @@
-//! All schedules of two would-be holders that give orders to one group, up to a depth: lost and
-//! late orders, a holder that doesn't know that its lease is gone, deaths, engines that check
-//! fences and engines that don't.
+//! Searches all schedules, up to a depth, of two hosts that send orders to one group. They guard
+//! against orders that leave a range with too few endpoints, and against a final state that isn't
+//! the declared one. Causes are lost and late orders, a previous holder that doesn't know that it
+//! lost the lease, crashes, and engines that don't check fences.
 //!
-//! The lease is taken as the lease search proves it: one host passes the check at a time, the next
-//! one with a higher fence. An order is under way for at most the settled flight time.
+//! The lease is assumed to behave as the lease search verifies: one host passes the check at a time,
+//! and each new holder has a higher fence. Except where late orders are tested, an order is in
+//! flight for at most the configured flight time.
 
 mod common;
 
 use common::{
     group::{
-        Event, Message, Orders,
+        Event, GroupSimulation, Message,
         setup::{ROLLOUT, ROLLOUT_SPARE, SPARE, Setup, setup},
     },
     ms,
-    search::{World, must_hold, walk},
+    search::{Simulation, assert_invariants, run_schedule},
 };
 use proptest::{collection::vec, prelude::*};
 
@@ -24,25 +26,25 @@
     fn long_schedules_keep_ranges_served_and_end_as_declared(
         choices in vec(any::<u16>(), 150),
         checks_fence: bool,
-        late: bool,
+        late_orders: bool,
         two_each: bool,
     ) {
         let setup = Setup {
             checks_fence,
-            late,
+            late_orders,
             faults: 6,
             takeovers: 3,
-            deaths: 1,
+            crashes: 1,
             ..setup(if two_each { ROLLOUT_SPARE } else { SPARE })
         };
-        prop_assert_eq!(walk(Orders::new(&setup), &choices), Ok(()));
+        prop_assert_eq!(run_schedule(GroupSimulation::new(&setup), &choices), Ok(()));
     }
 }
 
 #[test]
 fn rollout_keeps_each_range_served_under_takeover_and_lost_orders() {
     let setup = setup(ROLLOUT);
-    must_hold("orders, rollout", Orders::new(&setup), 8);
+    assert_invariants("orders, rollout", GroupSimulation::new(&setup), 8);
 }
 
 #[test]
@@ -51,69 +53,85 @@
         checks_fence: false,
         ..setup(ROLLOUT)
     };
-    must_hold("orders, rollout, no fence check", Orders::new(&setup), 8);
+    assert_invariants(
+        "orders, rollout, no fence check",
+        GroupSimulation::new(&setup),
+        8,
+    );
 }
 
 #[test]
 fn late_orders_end_in_the_declared_state_when_engines_ignore_fences() {
     let setup = Setup {
         checks_fence: false,
-        late: true,
+        late_orders: true,
         ..setup(SPARE)
     };
-    must_hold("orders, late, no fence check", Orders::new(&setup), 8);
+    assert_invariants(
+        "orders, late, no fence check",
+        GroupSimulation::new(&setup),
+        8,
+    );
 }
 
 #[test]
 fn late_orders_end_in_the_declared_state_when_engines_check_fences() {
     let setup = Setup {
-        late: true,
+        late_orders: true,
         ..setup(SPARE)
     };
-    must_hold("orders, late", Orders::new(&setup), 8);
+    assert_invariants("orders, late", GroupSimulation::new(&setup), 8);
 }
 
 #[test]
-fn a_lost_range_is_restored_after_any_death() {
+fn an_unserved_range_is_restored_after_any_crash() {
     let setup = Setup {
-        deaths: 1,
+        crashes: 1,
         faults: 0,
         engines: &[("2", 0, 1), ("2", 1, 2), ("2", 1, 2)],
         ..setup(SPARE)
     };
-    must_hold("orders, death", Orders::new(&setup), 8);
+    assert_invariants("orders, crash", GroupSimulation::new(&setup), 8);
 }
 
 #[test]
-fn a_death_while_an_endpoint_drains_keeps_it_at_its_range() {
+fn a_crash_during_a_drain_keeps_the_endpoint_at_its_range() {
     let setup = Setup {
-        deaths: 1,
+        crashes: 1,
         faults: 0,
         takeovers: 0,
         ..setup(ROLLOUT)
     };
-    must_hold("orders, rollout, death", Orders::new(&setup), 10);
+    assert_invariants("orders, rollout, crash", GroupSimulation::new(&setup), 10);
 }
 
 #[test]
-fn a_takeover_while_an_order_is_under_way_keeps_its_range_served() {
+fn a_takeover_while_an_order_is_in_flight_keeps_its_range_served() {
     let setup = Setup {
         faults: 0,
         checks_fence: false,
-        flight: 4,
+        max_flight_time: 4,
         ..setup(ROLLOUT)
     };
-    must_hold("orders, rollout, takeover", Orders::new(&setup), 11);
+    assert_invariants(
+        "orders, rollout, takeover",
+        GroupSimulation::new(&setup),
+        11,
+    );
 }
 
 #[test]
-fn an_order_in_doubt_keeps_its_range_served() {
+fn an_order_with_an_unknown_result_keeps_its_range_served() {
     let setup = Setup {
         takeovers: 0,
-        flight: 6,
+        max_flight_time: 6,
         ..setup(ROLLOUT)
     };
-    must_hold("orders, rollout, doubt", Orders::new(&setup), 11);
+    assert_invariants(
+        "orders, rollout, unknown result",
+        GroupSimulation::new(&setup),
+        11,
+    );
 }
 
 #[test]
@@ -123,10 +141,14 @@
             checks_fence,
             takeovers: 0,
             declarations: 1,
-            flight: 6,
+            max_flight_time: 6,
             ..setup(ROLLOUT)
         };
-        must_hold("orders, declared anew", Orders::new(&setup), 8);
+        assert_invariants(
+            "orders, changed declaration",
+            GroupSimulation::new(&setup),
+            8,
+        );
     }
 }
 
@@ -137,20 +159,29 @@
             checks_fence,
             takeovers: 0,
             declarations: 1,
-            late: true,
+            late_orders: true,
             ..setup(ROLLOUT)
         };
-        must_hold("orders, late, declared anew", Orders::new(&setup), 9);
+        assert_invariants(
+            "orders, late, changed declaration",
+            GroupSimulation::new(&setup),
+            9,
+        );
     }
 }
 
-/// Goes on until an order to some endpoint, or to this one, is under way. Answers its index.
-fn until_ordered(world: &mut Orders, endpoint: Option<usize>, after: usize) -> usize {
+/// Runs until an order to `endpoint`, or to any endpoint if `None`, is in flight. Returns the index
+/// of its call, which is at least `after`.
+fn run_until_ordered(
+    simulation: &mut GroupSimulation,
+    endpoint: Option<usize>,
+    after: usize,
+) -> usize {
     for _ in 0..50 {
-        for index in 0..world.engines.len() {
-            world.apply(&Event::Empty(index)).unwrap();
+        for index in 0..simulation.engines.len() {
+            simulation.apply(&Event::EndSessions(index)).unwrap();
         }
-        let sought = world
+        let position = simulation
             .calls
             .iter()
             .enumerate()
@@ -159,40 +190,49 @@
                 let order = matches!(call.message, Message::Order(_));
                 order && endpoint.is_none_or(|e| call.endpoint == e)
             });
-        if let Some(index) = sought {
+        if let Some(index) = position {
             return index + after;
         }
-        while world.calls.len() > after {
-            world.apply(&Event::Serve(after)).unwrap();
+        while simulation.calls.len() > after {
+            simulation.apply(&Event::Serve(after)).unwrap();
         }
-        world.apply(&Event::Step).unwrap();
+        simulation.apply(&Event::Step).unwrap();
     }
-    panic!("no order was given");
+    panic!("no order was sent");
 }
 
 #[test]
-fn an_older_order_that_overtook_a_newer_under_the_same_fence_is_put_right() {
+fn an_older_order_that_overtook_a_newer_one_under_the_same_fence_is_corrected() {
     for checks_fence in [true, false] {
         let setup = Setup {
             checks_fence,
             takeovers: 0,
             declarations: 1,
-            late: true,
+            late_orders: true,
             ..setup(ROLLOUT)
         };
-        let mut world = Orders::new(&setup);
-        let older = until_ordered(&mut world, None, 0);
-        let endpoint = world.calls[older].endpoint;
-        world.apply(&Event::Hang(older)).unwrap();
-        world.apply(&Event::Declare).unwrap();
-        let newer = until_ordered(&mut world, Some(endpoint), older + 1);
-        world.apply(&Event::Serve(newer)).unwrap();
-        let held = |world: &Orders| world.engines[endpoint].1.state(ms(world.time)).version;
-        assert_eq!(held(&world), "3", "as declared now");
-        world.apply(&Event::Serve(older)).unwrap();
-        assert_eq!(held(&world), "2", "the engine takes the same fence again");
-        assert_eq!(world.check_leaf(), Ok(()));
-        world.calm_steps(200).unwrap();
-        assert_eq!(held(&world), "3");
+        let mut simulation = GroupSimulation::new(&setup);
+        let older = run_until_ordered(&mut simulation, None, 0);
+        let endpoint = simulation.calls[older].endpoint;
+        simulation.apply(&Event::TimeOut(older)).unwrap();
+        simulation.apply(&Event::Declare).unwrap();
+        let newer = run_until_ordered(&mut simulation, Some(endpoint), older + 1);
+        simulation.apply(&Event::Serve(newer)).unwrap();
+        let held = |simulation: &GroupSimulation| {
+            simulation.engines[endpoint]
+                .1
+                .state(ms(simulation.time))
+                .version
+        };
+        assert_eq!(held(&simulation), "3", "the current declaration");
+        simulation.apply(&Event::Serve(older)).unwrap();
+        assert_eq!(
+            held(&simulation),
+            "2",
+            "the engine accepts an order with the same fence"
+        );
+        assert_eq!(simulation.check_leaf(), Ok(()));
+        simulation.run_without_faults(200).unwrap();
+        assert_eq!(held(&simulation), "3");
     }
 }
--- a/crates/orders/tests/lease_search.rs
+++ b/crates/orders/tests/lease_search.rs
@@ -1,5 +1,7 @@
-//! All schedules of two hosts that want one lease, up to a depth: lost answers before and after
-//! the effect, late effects, pauses past the term, releases, clocks of different rates.
+//! Searches all schedules, up to a depth, of two hosts that request one lease. They guard against two
+//! hosts that hold the lease at once, and against a fence that isn't higher for a new holder. Causes
+//! are answers lost before and after the effect, late effects, pauses longer than the term, releases,
+//! and clocks with different rates.
 
 mod common;
 
@@ -12,7 +14,7 @@
 
 use common::{
     host, ms,
-    search::{World, must_hold, walk},
+    search::{Simulation, assert_invariants, run_schedule},
 };
 use dragonflyrill_orders::lease::{Action, Fence, LeaseConfig, LeaseName, Leases, TxnId};
 use dragonflyrill_store::{
@@ -24,33 +26,33 @@
 
 const TERM: u64 = 3;
 const MARGIN: u64 = 1;
-/// The second host's clock gains one unit in this many.
-const GAIN: u64 = 4;
+/// The second host's clock gains one unit in this many units.
+const CLOCK_GAIN_PERIOD: u64 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Event {
-    /// Time goes on by one unit; hosts that aren't paused tick.
+    /// Time advances by one unit; hosts that aren't paused tick.
     Step,
-    /// The table runs the request and the answer arrives.
+    /// The table executes the call and the answer arrives.
     Serve(usize),
-    /// The table runs the request; its answer is under way.
-    Run(usize),
-    /// The request is lost; its host gets no answer.
+    /// The table executes the call; its answer is in flight.
+    Execute(usize),
+    /// The call is lost; its host receives no answer.
     Drop(usize),
-    /// The host gets no answer, but the request stays under way.
-    Detach(usize),
-    /// The request never left.
+    /// The host receives no answer, but the call stays in flight.
+    TimeOut(usize),
+    /// The call wasn't sent.
     NotSent(usize),
     /// The answer arrives.
-    Answer(usize),
+    DeliverAnswer(usize),
     /// The answer is lost.
-    Lose(usize),
+    LoseAnswer(usize),
     Pause(usize),
     Resume(usize),
-    /// The host gives the lease back and wants it no more.
+    /// The host releases the lease and no longer requests it.
     Release(usize),
-    /// It wants it again.
-    Want(usize),
+    /// The host requests the lease again.
+    Request(usize),
 }
 
 #[derive(Debug, Clone, Hash)]
@@ -58,12 +60,12 @@
     host: usize,
     id: TxnId,
     call: Hashed<TableCall>,
-    /// Whether the host still waits.
+    /// Whether the host still waits for the answer.
     awaited: bool,
     outcome: Option<Hashed<TxnOutcome>>,
 }
 
-/// A message with its hash, made once.
+/// A message with its hash, which is computed once.
 #[derive(Debug, Clone)]
 struct Hashed<T>(Rc<T>, u64);
 
@@ -84,11 +86,11 @@
 struct Host {
     leases: Leases,
     paused: bool,
-    wants: bool,
+    requests_lease: bool,
 }
 
 #[derive(Debug, Clone, Hash)]
-struct Race {
+struct LeaseSimulation {
     time: u64,
     name: LeaseName,
     hosts: [Host; 2],
@@ -96,20 +98,20 @@
     calls: Vec<Call>,
     faults_left: u32,
     releases_left: u32,
-    /// The highest fence held so far, and who held it.
-    highest: Option<(Fence, usize)>,
+    /// The highest fence held so far, and the index of the host that held it.
+    highest_fence: Option<(Fence, usize)>,
 }
 
-impl Race {
-    /// The first host holds the lease, the second one watches it.
+impl LeaseSimulation {
+    /// Creates a state in which the first host holds the lease and the second host watches it.
     fn new(faults: u32, releases: u32) -> Self {
         let name = LeaseName::try_from("orders/m/a").unwrap();
         let hosts = ["a", "b"].map(|id| Host {
             leases: Leases::new(config(id)),
             paused: false,
-            wants: true,
+            requests_lease: true,
         });
-        let mut race = Self {
+        let mut simulation = Self {
             time: 0,
             name,
             hosts,
@@ -117,23 +119,27 @@
             calls: Vec::new(),
             faults_left: faults,
             releases_left: releases,
-            highest: None,
+            highest_fence: None,
         };
-        let name = race.name.clone();
-        race.hosts[0].leases.request(Duration::ZERO, &name);
-        while race.held(0).is_none() {
-            race.apply(&Event::Step).unwrap();
-            while !race.calls.is_empty() {
-                race.apply(&Event::Serve(0)).unwrap();
+        let name = simulation.name.clone();
+        simulation.hosts[0].leases.request(Duration::ZERO, &name);
+        while simulation.held(0).is_none() {
+            simulation.apply(&Event::Step).unwrap();
+            while !simulation.calls.is_empty() {
+                simulation.apply(&Event::Serve(0)).unwrap();
             }
         }
-        let now = race.now(1);
-        race.hosts[1].leases.request(now, &name);
-        race
+        let now = simulation.now(1);
+        simulation.hosts[1].leases.request(now, &name);
+        simulation
     }
 
     fn now(&self, host: usize) -> Duration {
-        let gained = if host == 1 { self.time / GAIN } else { 0 };
+        let gained = if host == 1 {
+            self.time / CLOCK_GAIN_PERIOD
+        } else {
+            0
+        };
         ms(self.time + gained)
     }
 
@@ -147,7 +153,7 @@
         let now = self.now(host);
         let mut actions = Vec::new();
         self.hosts[host].leases.tick(now, &mut actions);
-        self.carry_out(host, actions);
+        self.execute(host, actions);
     }
 
     fn answer(&mut self, call: Call, result: Result<TxnOutcome, PlatformError>) {
@@ -156,10 +162,10 @@
         let mut actions = Vec::new();
         let leases = &mut self.hosts[host].leases;
         leases.handle_table_result(now, call.id, result, &mut actions);
-        self.carry_out(host, actions);
+        self.execute(host, actions);
     }
 
-    fn carry_out(&mut self, host: usize, actions: Vec<Action>) {
+    fn execute(&mut self, host: usize, actions: Vec<Action>) {
         for action in actions {
             if let Action::CallTable { id, call } = action {
                 self.calls.push(Call {
@@ -180,13 +186,13 @@
         }
         for (host, fence) in held.into_iter().enumerate() {
             let Some(fence) = fence else { continue };
-            match self.highest {
+            match self.highest_fence {
                 Some((highest, owner))
                     if fence < highest || (fence == highest && owner != host) =>
                 {
                     return Err(format!("fence {fence:?} after {highest:?} of host {owner}"));
                 }
-                _ => self.highest = Some((fence, host)),
+                _ => self.highest_fence = Some((fence, host)),
             }
         }
         Ok(())
@@ -200,18 +206,18 @@
             if call.awaited && !paused {
                 events.push(Event::Serve(index));
             }
-            events.push(Event::Run(index));
+            events.push(Event::Execute(index));
             if faulty {
                 events.extend([
                     Event::Drop(index),
-                    Event::Detach(index),
+                    Event::TimeOut(index),
                     Event::NotSent(index),
                 ]);
             }
         } else if !paused {
-            events.push(Event::Answer(index));
+            events.push(Event::DeliverAnswer(index));
             if faulty {
-                events.push(Event::Lose(index));
+                events.push(Event::LoseAnswer(index));
             }
         }
     }
@@ -229,11 +235,11 @@
     }
 }
 
-fn lost() -> PlatformError {
+fn lost_answer() -> PlatformError {
     PlatformError::Unknown("lost".to_owned())
 }
 
-impl World for Race {
+impl Simulation for LeaseSimulation {
     type Event = Event;
 
     fn events(&self) -> Vec<Event> {
@@ -247,11 +253,11 @@
                 false if self.faults_left > 0 => events.push(Event::Pause(index)),
                 false => {}
             }
-            if !host.paused && host.wants && self.releases_left > 0 {
+            if !host.paused && host.requests_lease && self.releases_left > 0 {
                 events.push(Event::Release(index));
             }
-            if !host.paused && !host.wants {
-                events.push(Event::Want(index));
+            if !host.paused && !host.requests_lease {
+                events.push(Event::Request(index));
             }
         }
         events
@@ -273,7 +279,7 @@
                 let outcome = self.table.call(&call.call.0);
                 self.answer(call, Ok(outcome));
             }
-            Event::Run(index) => {
+            Event::Execute(index) => {
                 let outcome = self.table.call(&self.calls[index].call.0);
                 if self.calls[index].awaited {
                     self.calls[index].outcome = Some(Hashed::new(outcome));
@@ -284,29 +290,29 @@
             Event::Drop(index) => {
                 self.faults_left -= 1;
                 let call = self.calls.remove(index);
-                self.answer(call, Err(lost()));
+                self.answer(call, Err(lost_answer()));
             }
-            Event::Detach(index) => {
+            Event::TimeOut(index) => {
                 self.faults_left -= 1;
                 self.calls[index].awaited = false;
                 let call = self.calls[index].clone();
-                self.answer(call, Err(lost()));
+                self.answer(call, Err(lost_answer()));
             }
             Event::NotSent(index) => {
                 self.faults_left -= 1;
                 let call = self.calls.remove(index);
-                let cause = PlatformError::NotSent("away".to_owned());
+                let cause = PlatformError::NotSent("unavailable".to_owned());
                 self.answer(call, Err(cause));
             }
-            Event::Answer(index) => {
+            Event::DeliverAnswer(index) => {
                 let call = self.calls.remove(index);
                 let outcome = call.outcome.clone().unwrap().0.as_ref().clone();
                 self.answer(call, Ok(outcome));
             }
-            Event::Lose(index) => {
+            Event::LoseAnswer(index) => {
                 self.faults_left -= 1;
                 let call = self.calls.remove(index);
-                self.answer(call, Err(lost()));
+                self.answer(call, Err(lost_answer()));
             }
             Event::Pause(host) => {
                 self.faults_left -= 1;
@@ -316,13 +322,13 @@
             Event::Release(host) => {
                 self.releases_left -= 1;
                 let now = self.now(host);
-                self.hosts[host].wants = false;
+                self.hosts[host].requests_lease = false;
                 self.hosts[host].leases.release(now, &name);
                 self.tick(host);
             }
-            Event::Want(host) => {
+            Event::Request(host) => {
                 let now = self.now(host);
-                self.hosts[host].wants = true;
+                self.hosts[host].requests_lease = true;
                 self.hosts[host].leases.request(now, &name);
                 self.tick(host);
             }
@@ -342,21 +348,21 @@
 
     #[test]
     fn never_two_holders_in_long_schedules(choices in vec(any::<u16>(), 200)) {
-        prop_assert_eq!(walk(Race::new(12, 3), &choices), Ok(()));
+        prop_assert_eq!(run_schedule(LeaseSimulation::new(12, 3), &choices), Ok(()));
     }
 }
 
 #[test]
 fn never_two_holders_under_faults_and_pauses() {
-    must_hold("lease, faults", Race::new(2, 0), 8);
+    assert_invariants("lease, faults", LeaseSimulation::new(2, 0), 8);
 }
 
 #[test]
 fn never_two_holders_when_released_under_faults() {
-    must_hold("lease, release", Race::new(1, 1), 8);
+    assert_invariants("lease, release", LeaseSimulation::new(1, 1), 8);
 }
 
 #[test]
 fn never_two_holders_when_paused_past_the_term() {
-    must_hold("lease, pause", Race::new(1, 0), 10);
+    assert_invariants("lease, pause", LeaseSimulation::new(1, 0), 10);
 }
