--- a/crates/orders/benches/orders.rs
+++ b/crates/orders/benches/orders.rs
@@ -1,4 +1,4 @@
-//! Costs of leases and orders, on a virtual clock but for the time of a tick. See
+//! Costs of leases and orders. All times are on a virtual clock, except for the time of a tick. See
 //! `docs/measurements/orders.md`.
 
 #[path = "../tests/common/mod.rs"]
@@ -30,23 +30,25 @@
     tick_time();
 }
 
-/// Hosts that share a table which answers at once.
+/// Simulated hosts that share a table which answers immediately.
 struct Fleet {
     now: Duration,
     table: MemoryTable,
+    /// The leases of each host, and whether the host is running.
     hosts: Vec<(Leases, bool)>,
-    txns: Txns,
+    txns: TxnCounts,
 }
 
+/// Counts of table calls, of the rows in them, and of the bytes written.
 #[derive(Default)]
-struct Txns {
+struct TxnCounts {
     reads: u64,
     writes: u64,
     rows: u64,
     bytes: u64,
 }
 
-impl Txns {
+impl TxnCounts {
     fn count(&mut self, call: &TableCall) {
         let ops = match call {
             TableCall::Write(txn) => &txn.ops[..],
@@ -75,7 +77,7 @@
                 .into_iter()
                 .map(|cfg| (Leases::new(cfg), true))
                 .collect(),
-            txns: Txns::default(),
+            txns: TxnCounts::default(),
         }
     }
 
@@ -109,30 +111,35 @@
     LeaseConfig::new(host(name), TERM, MARGIN, seed)
 }
 
-/// Transactions a second for the leases of 25 data centres with 14 hosts and 3 models each.
+/// Measures the transactions per second for the leases of 25 data centres with 14 hosts and 3 models
+/// each.
 fn table_load() {
     const SECONDS: u64 = 300;
     println!("table load, 25 data centres x 3 models, 14 hosts each, term 10 s:");
-    for (what, max_batch, together) in [
-        ("each lease its own candidates, batches of 1", 1, false),
-        ("each lease its own candidates, batches of 64", 64, false),
+    for (what, max_batch, shared_candidates) in [
+        ("separate candidates for each lease, batches of 1", 1, false),
         (
-            "one pair of candidates a data centre, batches of 1",
+            "separate candidates for each lease, batches of 64",
+            64,
+            false,
+        ),
+        (
+            "one pair of candidates per data centre, batches of 1",
             1,
             true,
         ),
         (
-            "one pair of candidates a data centre, batches of 64",
+            "one pair of candidates per data centre, batches of 64",
             64,
             true,
         ),
     ] {
         let mut fleet = Fleet::new(vec![]);
         for dc in 0..25 {
-            add_data_centre(&mut fleet, dc, max_batch, together);
+            add_data_centre(&mut fleet, dc, max_batch, shared_candidates);
         }
         fleet.run_until(Duration::from_secs(60));
-        fleet.txns = Txns::default();
+        fleet.txns = TxnCounts::default();
         let end = fleet.now + Duration::from_secs(SECONDS);
         fleet.run_until(end);
         let per_second = |n: u64| n as f64 / SECONDS as f64;
@@ -146,7 +153,7 @@
     }
 }
 
-fn add_data_centre(fleet: &mut Fleet, dc: u64, max_batch: usize, together: bool) {
+fn add_data_centre(fleet: &mut Fleet, dc: u64, max_batch: usize, shared_candidates: bool) {
     let names: Vec<_> = (0..14).map(|i| format!("dc{dc}-{i}")).collect();
     let peers: Vec<HostId> = names.iter().map(|name| host(name).id).collect();
     for (i, peer) in peers.iter().enumerate() {
@@ -159,8 +166,8 @@
             let name = format!("orders/m{model}/dc{dc}");
             let lease = LeaseName::try_from(name.as_str()).unwrap();
             let shared = LeaseName::try_from(format!("dc{dc}").as_str()).unwrap();
-            let by = if together { &shared } else { &lease };
-            if lease::is_candidate(by, peer, &peers, 2) {
+            let ranked_by = if shared_candidates { &shared } else { &lease };
+            if lease::is_candidate(ranked_by, peer, &peers, 2) {
                 leases.request(Duration::ZERO, &lease);
             }
         }
@@ -168,14 +175,16 @@
     }
 }
 
-/// Time from a holder's death to the next holder.
+/// Measures the time from the crash of a holder to the next holder.
 fn takeover() {
-    println!("takeover after a holder's death, term 10 s, margin 1 s, 500 seeds:");
-    for (what, delay) in [
-        ("a host watched", None),
-        ("a host begins after 3 s", Some(3)),
+    println!("takeover after the crash of a holder, term 10 s, margin 1 s, 500 seeds:");
+    for (what, watch_delay) in [
+        ("another host watched the row", None),
+        ("another host starts to watch the row after 3 s", Some(3)),
     ] {
-        let mut times: Vec<_> = (0..500).map(|seed| takeover_time(seed, delay)).collect();
+        let mut times: Vec<_> = (0..500)
+            .map(|seed| takeover_time(seed, watch_delay))
+            .collect();
         times.sort();
         println!(
             "  {what}: p50 {:.2} s, worst {:.2} s",
@@ -185,48 +194,49 @@
     }
 }
 
-fn takeover_time(seed: u64, delay: Option<u64>) -> Duration {
+fn takeover_time(seed: u64, watch_delay: Option<u64>) -> Duration {
     let name = LeaseName::try_from("orders/m/d").unwrap();
     let mut fleet = Fleet::new([config("a", 2 * seed), config("b", 2 * seed + 1)]);
     fleet.hosts[0].0.request(Duration::ZERO, &name);
     fleet.run_until(Duration::from_secs(15));
-    if delay.is_none() {
+    if watch_delay.is_none() {
         fleet.hosts[1].0.request(fleet.now, &name);
     }
-    let death = Duration::from_secs(20) + STEP * (seed % 250) as u32;
-    fleet.run_until(death);
+    let crashed_at = Duration::from_secs(20) + STEP * (seed % 250) as u32;
+    fleet.run_until(crashed_at);
     fleet.hosts[0].1 = false;
-    if let Some(delay) = delay {
-        fleet.run_until(death + Duration::from_secs(delay));
+    if let Some(watch_delay) = watch_delay {
+        fleet.run_until(crashed_at + Duration::from_secs(watch_delay));
         fleet.hosts[1].0.request(fleet.now, &name);
     }
     while fleet.hosts[1].0.held_fence(fleet.now, &name).is_none() {
         let next = fleet.now + STEP;
         fleet.run_until(next);
     }
-    fleet.now - death
+    fleet.now - crashed_at
 }
 
-/// One group on a virtual clock.
-struct Site {
+/// One simulated group on a virtual clock.
+struct SimulatedGroup {
     now: Duration,
     group: Group,
     engines: BTreeMap<EndpointId, Engine>,
-    dead: BTreeSet<EndpointId>,
-    /// Layers loaded, for the weight store's rate.
-    loaded: u32,
+    crashed: BTreeSet<EndpointId>,
+    /// The number of layers loaded so far.
+    loaded_layers: u32,
 }
 
 const RANGES: u32 = 4;
-const LAYERS: u32 = 10;
+const LAYERS_PER_RANGE: u32 = 10;
 
-impl Site {
-    /// `each` endpoints for each range, then spares that hold another model.
-    fn new(each: u32, spares: u32, rate: u32, layer_time: Duration) -> Self {
-        let ranges = (0..RANGES).map(|i| (i * LAYERS, (i + 1) * LAYERS));
+impl SimulatedGroup {
+    /// Creates a group with `per_range` endpoints for each range, and with spares that hold only
+    /// layer 0. `rate` is the limit of the weight store in layers per second.
+    fn new(per_range: u32, spares: u32, rate: u32, layer_time: Duration) -> Self {
+        let ranges = (0..RANGES).map(|i| (i * LAYERS_PER_RANGE, (i + 1) * LAYERS_PER_RANGE));
         let mut held: Vec<_> = ranges
             .clone()
-            .flat_map(|r| vec![r; each as usize])
+            .flat_map(|r| vec![r; per_range as usize])
             .collect();
         held.extend(vec![(0, 1); spares as usize]);
         let mut engines = BTreeMap::new();
@@ -239,13 +249,13 @@
         let ranges = ranges.map(|(first, end)| RawRange {
             first,
             end,
-            minimum: each,
+            minimum: per_range,
         });
         let spec = GroupSpec::try_from(RawGroup {
             model: "m".to_owned(),
             data_centre: "d".to_owned(),
             version: "1".to_owned(),
-            layers: RANGES * LAYERS,
+            layers: RANGES * LAYERS_PER_RANGE,
             ranges: ranges.collect(),
             spares,
             endpoints: engines.keys().map(|id| id.as_str().to_owned()).collect(),
@@ -258,8 +268,8 @@
             now: Duration::ZERO,
             group,
             engines,
-            dead: BTreeSet::new(),
-            loaded: 0,
+            crashed: BTreeSet::new(),
+            loaded_layers: 0,
         }
     }
 
@@ -288,7 +298,7 @@
             };
             let engine = self.engines.get_mut(&endpoint).unwrap();
             if let Some(order) = order {
-                self.loaded += engine.execute(self.now, &order).unwrap_or(0);
+                self.loaded_layers += engine.execute(self.now, &order).unwrap_or(0);
             }
             let state = engine.state(self.now);
             self.group
@@ -303,11 +313,11 @@
         }
     }
 
-    fn kill(&mut self, count: usize) {
+    fn crash(&mut self, count: usize) {
         for (id, engine) in self.engines.iter_mut().take(count) {
             engine.alive = false;
             self.group.set_alive(self.now, id, false);
-            self.dead.insert(id.clone());
+            self.crashed.insert(id.clone());
         }
     }
 
@@ -316,55 +326,57 @@
     }
 }
 
-/// Time until a range that lost all its endpoints is served again, and as often as declared.
+/// Measures the time until a range that lost all its endpoints is served again, and until it is
+/// served by as many endpoints as declared.
 fn restore() {
-    println!("restoring a range of 10 layers after both its endpoints died, 2 spares:");
+    println!("restoring a range of 10 layers after both its endpoints crashed, 2 spares:");
     for rate in [10, 50, 200] {
         for layer_ms in [50, 200] {
-            let mut site = Site::new(2, 2, rate, ms(layer_ms));
-            site.run_until(Duration::from_secs(10));
-            site.kill(2);
-            let death = site.now;
+            let mut simulation = SimulatedGroup::new(2, 2, rate, ms(layer_ms));
+            simulation.run_until(Duration::from_secs(10));
+            simulation.crash(2);
+            let crashed_at = simulation.now;
             let mut times = Vec::new();
             while times.len() < 2 {
-                site.run_until(site.now + STEP);
-                if site.serving_first() as usize > times.len() {
-                    times.push((site.now - death).as_secs_f64());
+                simulation.run_until(simulation.now + STEP);
+                if simulation.serving_first() as usize > times.len() {
+                    times.push((simulation.now - crashed_at).as_secs_f64());
                 }
             }
             println!(
-                "  {rate} layers/s, {layer_ms} ms a layer: served after {:.2} s, as declared after {:.2} s",
+                "  {rate} layers/s, {layer_ms} ms per layer: served after {:.2} s, as declared after {:.2} s",
                 times[0], times[1]
             );
         }
     }
 }
 
-/// Time of one tick with nothing to do, and with a range short of endpoints.
+/// Measures the time of one tick of a group in the declared state, and of a group with a range that
+/// has too few endpoints.
 fn tick_time() {
     println!("time of one tick of one group:");
-    for each in [9, 120, 250, 3000] {
-        let mut site = Site::new(each, 0, 50, ms(50));
-        site.run_until(Duration::from_secs(4));
-        let endpoints = each * RANGES;
-        let steady = time_tick(&site);
-        site.kill(1);
-        site.run_until(site.now + STEP);
-        let short = time_tick(&site);
+    for per_range in [9, 120, 250, 3000] {
+        let mut simulation = SimulatedGroup::new(per_range, 0, 50, ms(50));
+        simulation.run_until(Duration::from_secs(4));
+        let endpoints = per_range * RANGES;
+        let steady = time_tick(&simulation);
+        simulation.crash(1);
+        simulation.run_until(simulation.now + STEP);
+        let short = time_tick(&simulation);
         println!(
             "  {endpoints} endpoints: {steady} ns as declared, {short} ns with an endpoint missing"
         );
     }
 }
 
-fn time_tick(site: &Site) -> u128 {
+fn time_tick(simulation: &SimulatedGroup) -> u128 {
     const ROUNDS: u32 = 20;
     let mut times: Vec<_> = (0..ROUNDS)
         .map(|_| {
-            let mut group = site.group.clone();
+            let mut group = simulation.group.clone();
             let mut actions = Vec::new();
             let start = Instant::now();
-            group.tick(site.now, &mut actions);
+            group.tick(simulation.now, &mut actions);
             let took = start.elapsed();
             black_box((group, actions));
             took.as_nanos()
