--- a/crates/orders/src/group/machine.rs
+++ b/crates/orders/src/group/machine.rs
@@ -187,7 +187,7 @@
                 self.tick_needed |= call.is_order || ordered || !known;
                 member.observation = Some(Observation {
                     state,
-                    asked_at: call.sent_at,
+                    requested_at: call.sent_at,
                 });
                 member.next_read_at = now + self.cfg.read_interval;
             }
--- a/crates/orders/src/group/member.rs
+++ b/crates/orders/src/group/member.rs
@@ -20,7 +20,7 @@
 pub(super) struct Observation {
     pub(super) state: EngineState,
     /// Time read before the call was sent that returned the state.
-    pub(super) asked_at: Duration,
+    pub(super) requested_at: Duration,
 }
 
 /// The number of requests whose KV cache the endpoint holds, as reported.
@@ -102,8 +102,8 @@
     pub(super) fn state(&self, now: Duration, cfg: &GroupConfig) -> Option<&EngineState> {
         let observation = self.observation.as_ref()?;
         let ordering = self.call.as_ref().is_some_and(|call| call.is_order);
-        let fresh = now <= observation.asked_at + cfg.max_state_age
-            && observation.asked_at >= self.trusted_from;
+        let fresh = now <= observation.requested_at + cfg.max_state_age
+            && observation.requested_at >= self.trusted_from;
         (self.alive && fresh && !ordering).then_some(&observation.state)
     }
 
--- a/crates/orders/src/lease/leases.rs
+++ b/crates/orders/src/lease/leases.rs
@@ -358,7 +358,7 @@
             actions.push(Action::Held(name, fence));
         }
         HoldChange::Lost => {
-            log::warn!("lease: {name}: another host took the lease over");
+            log::warn!("lease: {name}: the lease is lost because its row has changed");
             actions.push(Action::Lost(name));
         }
     }
