--- a/crates/orders/benches/orders.rs
+++ b/crates/orders/benches/orders.rs
@@ -111,8 +111,8 @@
     LeaseConfig::new(host(name), TERM, MARGIN, seed)
 }
 
-/// Measures the transactions per second for the leases of 25 data centres with 14 hosts and 3 models
-/// each.
+/// Measures the transactions per second for the leases of 25 data centres with 14 hosts and 3
+/// models each.
 fn table_load() {
     const SECONDS: u64 = 300;
     println!("table load, 25 data centres x 3 models, 14 hosts each, term 10 s:");
--- a/crates/orders/src/group/config.rs
+++ b/crates/orders/src/group/config.rs
@@ -10,14 +10,14 @@
     pub max_flight_time: Duration,
     /// The interval between two reads of an engine's state.
     pub read_interval: Duration,
-    /// The age, counted from the start of the read, above which an engine's state is ignored. Longer
-    /// than `read_interval`.
+    /// The age, counted from the start of the read, above which an engine's state is ignored.
+    /// Longer than `read_interval`.
     pub max_state_age: Duration,
     /// How long an endpoint may still receive new work after its drain started. A session count
     /// taken before the end of this time is ignored.
     pub drain_settle_time: Duration,
-    /// The time after which a draining endpoint is sent its order even if it still has sessions. Its
-    /// requests continue on the other endpoints that serve its layers.
+    /// The time after which a draining endpoint is sent its order even if it still has sessions.
+    /// Its requests continue on the other endpoints that serve its layers.
     pub max_drain_time: Duration,
 }
 
--- a/crates/orders/src/group/machine.rs
+++ b/crates/orders/src/group/machine.rs
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Sets the number of requests whose KV cache the endpoint held at the time `as_of`, as reported.
+    /// Sets the number of requests whose KV cache the endpoint held at the time `as_of`, as
+    /// reported.
     pub fn set_session_count(&mut self, endpoint: &EndpointId, count: u32, as_of: Duration) {
         if let Some(member) = self.members.get_mut(endpoint) {
             member.sessions = Some(SessionReport { count, as_of });
--- a/crates/orders/src/group/member.rs
+++ b/crates/orders/src/group/member.rs
@@ -35,7 +35,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Change {
     None,
-    /// The endpoint receives no new work, so that it can be ordered to hold the range `target_range`.
+    /// The endpoint receives no new work, so that it can be ordered to hold the range
+    /// `target_range`.
     Draining {
         since: Duration,
         target_range: usize,
--- a/crates/orders/src/group/steps.rs
+++ b/crates/orders/src/group/steps.rs
@@ -14,8 +14,8 @@
 use crate::lease::Fence;
 
 impl Group {
-    /// Whether no engine has seen a higher fence than this host's. Otherwise requests a higher fence:
-    /// the engine rejects this host's orders, or another host holds the lease.
+    /// Whether no engine has seen a higher fence than this host's. Otherwise requests a higher
+    /// fence: the engine rejects this host's orders, or another host holds the lease.
     pub(super) fn is_fence_usable(&self, actions: &mut Vec<Action>) -> bool {
         let usable = self
             .fence
--- a/crates/orders/src/lease/batch.rs
+++ b/crates/orders/src/lease/batch.rs
@@ -1,7 +1,8 @@
 //! Transactions that renew, acquire or read several leases.
 //!
 //! A transaction is atomic, so one lost lease fails the whole batch. The failure branch of the
-//! transaction reads every row of the batch, so that the same round trip shows which leases are lost.
+//! transaction reads every row of the batch, so that the same round trip shows which leases are
+//! lost.
 
 use std::time::Duration;
 
@@ -16,7 +17,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct BatchEntry {
     pub(super) name: LeaseName,
-    /// The row that the write replaces, as last known. The transaction fails if the row has changed.
+    /// The row that the write replaces, as last known. The transaction fails if the row has
+    /// changed.
     pub(super) expected: RowState,
     /// The row to write; `None` to only read the row.
     pub(super) write: Option<LeaseRow>,
--- a/crates/orders/src/lease/leases.rs
+++ b/crates/orders/src/lease/leases.rs
@@ -354,7 +354,7 @@
     match hold_change {
         HoldChange::Unchanged => {}
         HoldChange::Held(fence) => {
-            log::info!("lease: {name}: acquired with fence {}", fence.0);
+            log::info!("lease: {name}: held with fence {}", fence.0);
             actions.push(Action::Held(name, fence));
         }
         HoldChange::Lost => {
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -1,7 +1,8 @@
 //! Leases with fencing numbers, and the orders that a lease holder sends to engines.
 //!
 //! Hosts share no consensus and may pause at any moment, so a host may believe that it still leads
-//! a group of endpoints after another host has taken over the lease. Two modules keep this harmless:
+//! a group of endpoints after another host has taken over the lease. Two modules keep this
+//! harmless:
 //!
 //! - [`lease`]: each lease is one row in the platform's table and is taken over by compare-and-set.
 //!   At most one host passes [`lease::Leases::check`] at any instant, and each new holder has a
--- a/crates/orders/tests/behaviour.rs
+++ b/crates/orders/tests/behaviour.rs
@@ -34,8 +34,8 @@
         .collect()
 }
 
-/// Runs until `end`, with the table or, if `None`, without it. Returns the number of table calls and
-/// the other actions.
+/// Runs until `end`, with the table or, if `None`, without it. Returns the number of table calls
+/// and the other actions.
 fn run(
     leases: &mut Leases,
     mut table: Option<&mut MemoryTable>,
--- a/crates/orders/tests/common/group/execute.rs
+++ b/crates/orders/tests/common/group/execute.rs
@@ -98,8 +98,8 @@
         });
     }
 
-    /// Checks that at most one order to an endpoint is in flight, from either host, so that no order
-    /// can overtake another.
+    /// Checks that at most one order to an endpoint is in flight, from either host, so that no
+    /// order can overtake another.
     fn check_order(&self, endpoint: &EndpointId) -> Result<(), String> {
         let index = self.index(endpoint);
         let order = |call: &&Call| matches!(call.message, Message::Order(_));
@@ -167,8 +167,8 @@
         Ok(Ok(self.engines[call.endpoint].1.state(now)))
     }
 
-    /// Executes an order on its engine, and checks that enough other endpoints serve the ranges that
-    /// the engine served.
+    /// Executes an order on its engine, and checks that enough other endpoints serve the ranges
+    /// that the engine served.
     pub(crate) fn execute_order(&mut self, call: &Call, order: &Order) -> Result<(), String> {
         let now = self.now();
         let before = self.engines[call.endpoint].1.clone();
--- a/crates/orders/tests/common/mod.rs
+++ b/crates/orders/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers shared by the tests and the benchmark: an exhaustive search, simulated engines and groups.
+//! Helpers shared by the tests and the benchmark: an exhaustive search, simulated engines and
+//! groups.
 
 #![allow(dead_code)]
 
--- a/crates/orders/tests/common/search.rs
+++ b/crates/orders/tests/common/search.rs
@@ -1,5 +1,5 @@
-//! An exhaustive search of all event sequences up to a depth. It is breadth first, so that the first
-//! counterexample found is a shortest one.
+//! An exhaustive search of all event sequences up to a depth. It is breadth first, so that the
+//! first counterexample found is a shortest one.
 
 use std::{collections::HashSet, fmt::Debug};
 
--- a/crates/orders/tests/group_search.rs
+++ b/crates/orders/tests/group_search.rs
@@ -3,9 +3,9 @@
 //! the declared one. Causes are lost and late orders, a previous holder that doesn't know that it
 //! lost the lease, crashes, and engines that don't check fences.
 //!
-//! The lease is assumed to behave as the lease search verifies: one host passes the check at a time,
-//! and each new holder has a higher fence. Except where late orders are tested, an order is in
-//! flight for at most the configured flight time.
+//! The lease is assumed to behave as the lease search verifies: one host passes the check at a
+//! time, and each new holder has a higher fence. Except where late orders are tested, an order is
+//! in flight for at most the configured flight time.
 
 mod common;
 
--- a/crates/orders/tests/lease_search.rs
+++ b/crates/orders/tests/lease_search.rs
@@ -1,7 +1,7 @@
-//! Searches all schedules, up to a depth, of two hosts that request one lease. They guard against two
-//! hosts that hold the lease at once, and against a fence that isn't higher for a new holder. Causes
-//! are answers lost before and after the effect, late effects, pauses longer than the term, releases,
-//! and clocks with different rates.
+//! Searches all schedules, up to a depth, of two hosts that request one lease. They guard against
+//! two hosts that hold the lease at once, and against a fence that isn't higher for a new holder.
+//! Causes are answers lost before and after the effect, late effects, pauses longer than the term,
+//! releases, and clocks with different rates.
 
 mod common;
 
