--- a/crates/orders/src/group/budget.rs
+++ b/crates/orders/src/group/budget.rs
@@ -7,9 +7,9 @@
 const NANOS_PER_SECOND: u128 = 1_000_000_000;
 
 /// A token bucket of layers that is charged after the fact: an order may be sent once the budget
-/// has covered the layers of all earlier orders. So in any time `t`, at most `layers_per_second *
-/// t` layers plus those of one order are loaded, even if an order has more layers than the budget
-/// of one second.
+/// has covered the layers of all earlier orders. So in any time `t`, at most
+/// `layers_per_second * t` layers plus those of one order are loaded, even if an order has more
+/// layers than the budget of one second.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LoadLimiter {
     /// When the budget has covered the layers of all earlier orders.
