--- a/crates/gateway/src/forward/events.rs
+++ b/crates/gateway/src/forward/events.rs
@@ -1,34 +1,36 @@
-//! Cuts a stream into whole events, so that a stream can go on elsewhere after any of them.
+//! Splits a stream into complete events, so that another run can continue the stream after any of them.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Ends an event.
-const END: &[u8] = b"\n\n";
-/// Begins the line with an event's id.
-const ID: &[u8] = b"id:";
+/// The end of an event.
+const EVENT_END: &[u8] = b"\n\n";
+/// The name of the field that holds the id of an event, at the start of its line.
+const ID_FIELD: &[u8] = b"id:";
 
-/// A part of a stream that has not been passed on: the beginning of an event.
+/// Splits a stream into complete events and drops those that the caller already has.
+///
+/// Buffers only the beginning of an event that is not complete yet.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     partial: BytesMut,
-    /// The last event that was passed on, or that the caller had before.
+    /// The id of the last event that was returned, or that the caller had before.
     last: Option<u64>,
 }
 
-/// What came with a piece of a stream.
+/// The events that a piece of a stream completes.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// Whole events that continue the stream.
+pub enum EventBatch {
+    /// Complete events that continue the stream.
     Events(Bytes),
-    /// No whole event yet.
-    Nothing,
-    /// Events are missing before the one that came.
-    Gap,
+    /// No complete event, or only events that the caller already has.
+    Empty,
+    /// Events are missing before the one that was received.
+    Missing,
 }
 
-impl Events {
-    /// A stream of which the caller has everything up to `last`.
+impl EventSplitter {
+    /// A splitter for a stream of which the caller has all events up to and including `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             partial: BytesMut::new(),
@@ -36,85 +38,90 @@
         }
     }
 
-    /// The last event that was passed on.
+    /// The id of the last event that was returned, or that the caller had before.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether the stream is at the end of an event.
-    pub fn at_end_of_event(&self) -> bool {
+    /// Whether no partial event is buffered.
+    pub fn is_at_event_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Another run goes on after the last event; what came of an unfinished one is dropped.
+    /// Drops the partial event, because another run continues the stream after the last complete one.
     pub fn resume(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes a piece and gives the whole events that can be passed on.
-    pub fn take(&mut self, piece: Bytes) -> Taken {
-        let whole = match self.partial.is_empty() {
-            // The usual case: a piece is one or more whole events and needs no copy.
-            true => match memmem::rfind(&piece, END) {
-                Some(at) if at + END.len() == piece.len() => piece,
+    /// Adds a piece of the stream and returns the events that can be relayed to the caller.
+    pub fn push(&mut self, piece: Bytes) -> EventBatch {
+        let complete = match self.partial.is_empty() {
+            // The common case: a piece consists of one or more complete events and needs no copy.
+            true => match memmem::rfind(&piece, EVENT_END) {
+                Some(at) if at + EVENT_END.len() == piece.len() => piece,
                 Some(at) => {
-                    self.partial.extend_from_slice(&piece[at + END.len()..]);
-                    piece.slice(..at + END.len())
+                    self.partial
+                        .extend_from_slice(&piece[at + EVENT_END.len()..]);
+                    piece.slice(..at + EVENT_END.len())
                 }
                 None => {
                     self.partial.extend_from_slice(&piece);
-                    return Taken::Nothing;
+                    return EventBatch::Empty;
                 }
             },
             false => {
                 self.partial.extend_from_slice(&piece);
-                match memmem::rfind(&self.partial, END) {
-                    Some(at) => self.partial.split_to(at + END.len()).freeze(),
-                    None => return Taken::Nothing,
+                match memmem::rfind(&self.partial, EVENT_END) {
+                    Some(at) => self.partial.split_to(at + EVENT_END.len()).freeze(),
+                    None => return EventBatch::Empty,
                 }
             }
         };
-        self.follow(whole)
+        self.drop_delivered(complete)
     }
 
-    /// Checks that whole events follow the last one, and drops those that the caller has.
-    fn follow(&mut self, mut whole: Bytes) -> Taken {
-        let Some(first) = first_id(&whole) else {
-            return Taken::Events(whole);
+    /// Checks that no event is missing after the last one, and drops those that the caller already has.
+    /// If the first event has no id, all are returned unchecked.
+    fn drop_delivered(&mut self, mut complete: Bytes) -> EventBatch {
+        let Some(first) = first_event_id(&complete) else {
+            return EventBatch::Events(complete);
         };
         if let Some(last) = self.last {
             if first > last + 1 {
-                return Taken::Gap;
+                return EventBatch::Missing;
             }
-            while first_id(&whole).is_some_and(|id| id <= last) {
-                let end = memmem::find(&whole, END).map_or(whole.len(), |at| at + END.len());
-                whole = whole.slice(end..);
+            while first_event_id(&complete).is_some_and(|id| id <= last) {
+                let end = memmem::find(&complete, EVENT_END)
+                    .map_or(complete.len(), |at| at + EVENT_END.len());
+                complete = complete.slice(end..);
             }
-            if whole.is_empty() {
-                return Taken::Nothing;
+            if complete.is_empty() {
+                return EventBatch::Empty;
             }
         }
-        self.last = last_id(&whole).or(self.last);
-        Taken::Events(whole)
+        self.last = last_event_id(&complete).or(self.last);
+        EventBatch::Events(complete)
     }
 }
 
-/// The id of the first event of whole ones.
-fn first_id(events: &[u8]) -> Option<u64> {
-    let end = memmem::find(events, END).unwrap_or(events.len());
-    id_in(&events[..end])
+/// The id of the first of some complete events.
+fn first_event_id(events: &[u8]) -> Option<u64> {
+    let end = memmem::find(events, EVENT_END).unwrap_or(events.len());
+    event_id(&events[..end])
 }
 
-/// The id of the last event of whole ones.
-fn last_id(events: &[u8]) -> Option<u64> {
-    let body = events.strip_suffix(END).unwrap_or(events);
-    let start = memmem::rfind(body, END).map_or(0, |at| at + END.len());
-    id_in(&body[start..])
+/// The id of the last of some complete events.
+fn last_event_id(events: &[u8]) -> Option<u64> {
+    let body = events.strip_suffix(EVENT_END).unwrap_or(events);
+    let start = memmem::rfind(body, EVENT_END).map_or(0, |at| at + EVENT_END.len());
+    event_id(&body[start..])
 }
 
-fn id_in(event: &[u8]) -> Option<u64> {
-    let line = event.split(|b| *b == b'\n').find(|l| l.starts_with(ID))?;
-    std::str::from_utf8(&line[ID.len()..])
+fn event_id(event: &[u8]) -> Option<u64> {
+    let line = event
+        .split(|b| *b == b'\n')
+        .find(|l| l.starts_with(ID_FIELD))?;
+    std::str::from_utf8(&line[ID_FIELD.len()..])
         .ok()?
         .trim()
         .parse()
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -35,7 +35,7 @@
 };
 
 pub use ended::Looks;
-pub use events::{Events, Taken};
+pub use events::{EventBatch, EventSplitter};
 pub use probe::Prober;
 pub(crate) use probe::prove;
 use refusal::Refusal;
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -18,7 +18,7 @@
 
 use super::{
     Admitted, Ended, call, ended,
-    events::{Events, Taken},
+    events::{EventBatch, EventSplitter},
     on_chain::OnChain,
     probe,
     refusal::Refusal,
@@ -46,7 +46,7 @@
     let mut stream = Stream {
         gateway,
         admitted,
-        events: Events::after(admitted.incoming.last_event),
+        events: EventSplitter::after(admitted.incoming.last_event),
         tried: Vec::new(),
         tries: Tries::new(Refusal::NoEndpoint("no chain covers all layers")),
         last_event_at: None,
@@ -80,7 +80,7 @@
 struct Stream<'a> {
     gateway: &'a Rc<Gateway>,
     admitted: &'a Admitted,
-    events: Events,
+    events: EventSplitter,
     /// The keys of the chains that it was sent to.
     tried: Vec<u64>,
     /// Runs that failed.
@@ -357,17 +357,17 @@
             };
             let piece = match piece {
                 Ok(Some(piece)) => piece,
-                Ok(None) if self.events.at_end_of_event() && out.started() => break,
+                Ok(None) if self.events.is_at_event_boundary() && out.started() => break,
                 Ok(None) => return Ok(broke_off("it ended inside an event")),
                 Err(e) => {
                     probe::after_break(self.gateway, watch.chain).await;
                     return Ok(broke_off(&e.to_string()));
                 }
             };
-            match self.events.take(piece) {
-                Taken::Nothing => continue,
-                Taken::Gap => return Ok(given_up_on("events are missing")),
-                Taken::Events(events) => self.pass_on(&mut begun, events, out).await?,
+            match self.events.push(piece) {
+                EventBatch::Empty => continue,
+                EventBatch::Missing => return Ok(given_up_on("events are missing")),
+                EventBatch::Events(events) => self.pass_on(&mut begun, events, out).await?,
             }
             on.read();
             watch.run.started = true;
