--- /dev/null
+++ b/crates/gateway/src/forward/attempts.rs
@@ -0,0 +1,66 @@
+//! What is known about a request after failed dispatches.
+
+use super::{refusal::Refusal, send::DispatchError};
+
+/// The failed attempts to dispatch one request.
+///
+/// Once one of them may have run, the request counts as possibly run for good: no later refusal makes it "not run".
+pub(super) struct Attempts {
+    refusal: Refusal,
+    may_have_run: bool,
+    dispatches: u32,
+}
+
+impl Attempts {
+    /// No attempt yet; `refusal` is the answer if the request is never sent.
+    pub(super) fn new(refusal: Refusal) -> Self {
+        Self {
+            refusal,
+            may_have_run: false,
+            dispatches: 0,
+        }
+    }
+
+    /// The number of dispatches of which at least one byte was sent or may have been.
+    pub(super) fn dispatches(&self) -> u32 {
+        self.dispatches
+    }
+
+    /// Records a dispatch that the endpoint itself answered with an error.
+    pub(super) fn record_error_answer(&mut self) {
+        self.dispatches += 1;
+        self.may_have_run = true;
+    }
+
+    /// Records why there was no attempt. The reason is used only if no dispatch was made before.
+    pub(super) fn record_not_sent(&mut self, refusal: Refusal) {
+        if self.dispatches == 0 {
+            self.refusal = refusal;
+        }
+    }
+
+    /// Records a failed attempt.
+    pub(super) fn record_failure(&mut self, error: DispatchError) {
+        self.dispatches += u32::from(!matches!(error, DispatchError::NotSent(_)));
+        match error {
+            DispatchError::MayHaveRun(why) | DispatchError::BrokeOff(why) => {
+                self.may_have_run = true;
+                self.refusal = Refusal::MayHaveRun(why);
+            }
+            DispatchError::NotSent(why) | DispatchError::NotRun(why) if !self.may_have_run => {
+                self.refusal = Refusal::NotRun(why);
+            }
+            DispatchError::NotSent(_) | DispatchError::NotRun(_) => {}
+        }
+    }
+
+    /// Whether any dispatch may have run.
+    pub(super) fn may_have_run(&self) -> bool {
+        self.may_have_run
+    }
+
+    /// The answer that holds for all dispatches.
+    pub(super) fn refusal(&self) -> Refusal {
+        self.refusal.clone()
+    }
+}
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -10,11 +10,12 @@
 use tokio::time;
 
 use super::{
-    Admitted, Ended, ended,
+    Admitted, Ended,
+    attempts::Attempts,
+    ended,
     refusal::Refusal,
-    send::{self, Begun, Failed, Target},
+    send::{self, Begun, DispatchError, Target},
     success,
-    tries::Tries,
 };
 use crate::{gateway::Gateway, http::callers::Responder};
 
@@ -56,22 +57,22 @@
 
 async fn answer(gateway: &Gateway, admitted: &Admitted) -> Result<Whole, Refusal> {
     let mut tried: Vec<Rc<str>> = Vec::new();
-    let mut tries = Tries::new(Refusal::NoEndpoint("no endpoint of the service is known"));
+    let mut attempts = Attempts::new(Refusal::NoEndpoint("no endpoint of the service is known"));
     let mut failure: Option<Whole> = None;
     for _ in 0..admitted.most_sends() + MORE_TRIES {
-        if admitted.left().is_zero() || !admitted.may_send(gateway, &mut tries) {
+        if admitted.left().is_zero() || !admitted.may_send(gateway, &mut attempts) {
             break;
         }
-        let Some(endpoint) = pick(gateway, admitted, &tried, &mut tries) else {
+        let Some(endpoint) = pick(gateway, admitted, &tried, &mut attempts) else {
             break;
         };
-        if tries.sent() > 0 && !admitted.take_repeat(gateway).await {
+        if attempts.dispatches() > 0 && !admitted.take_repeat(gateway).await {
             break;
         }
         tried.push(endpoint.id.clone());
         let to = endpoint.id.to_string();
         admitted.trail.sent(to, Duration::ZERO, 0.0, None);
-        let more = admitted.may_go_on(&tries);
+        let more = admitted.may_go_on(&attempts);
         let left = admitted.left();
         let limit = if more { left.mul_f64(FIRST_PART) } else { left };
         match attempt_at(gateway, admitted, &endpoint, limit).await {
@@ -80,7 +81,7 @@
             }
             Ok(whole) => {
                 failure = Some(whole);
-                tries.answered();
+                attempts.record_error_answer();
             }
             Err(failed) => {
                 admitted.trail.show();
@@ -97,16 +98,16 @@
                     addr: endpoint.addr,
                 };
                 ended::note(gateway, admitted, &[ran], &failed).await;
-                tries.failed(failed);
+                attempts.record_failure(failed);
             }
         }
     }
     if let Some(whole) = failure {
         return Ok(whole);
     }
-    match tries.may_have_run() && admitted.left().is_zero() {
+    match attempts.may_have_run() && admitted.left().is_zero() {
         true => Err(Refusal::OutOfTime),
-        false => Err(tries.refusal()),
+        false => Err(attempts.refusal()),
     }
 }
 
@@ -120,7 +121,7 @@
     gateway: &Gateway,
     admitted: &Admitted,
     tried: &[Rc<str>],
-    tries: &mut Tries,
+    attempts: &mut Attempts,
 ) -> Option<Rc<Endpoint>> {
     let service = &admitted.service.name;
     let without_permit = gateway.without_permit(service);
@@ -129,7 +130,7 @@
     let directory = gateway.directory.borrow();
     let picked = directory.pick(service, near, &passed_over, gateway.now());
     if picked.is_none() && !without_permit.is_empty() {
-        tries.not_sent(Refusal::AtLimit);
+        attempts.record_not_sent(Refusal::AtLimit);
     }
     picked
 }
@@ -139,7 +140,7 @@
     admitted: &Admitted,
     endpoint: &Endpoint,
     limit: Duration,
-) -> Result<Whole, Failed> {
+) -> Result<Whole, DispatchError> {
     let _at = AtEndpoint::new(gateway, &endpoint.id);
     let target = Target {
         id: &endpoint.id,
@@ -156,8 +157,10 @@
         let body = time::timeout_at(until, begun.connection.whole_body(MOST_ANSWER)).await;
         match body {
             Ok(Ok(body)) => Ok(Whole { begun, body }),
-            Ok(Err(e)) => Err(Failed::BrokeOff(e.to_string())),
-            Err(_) => Err(Failed::MayHaveRun("the answer took too long".to_owned())),
+            Ok(Err(e)) => Err(DispatchError::BrokeOff(e.to_string())),
+            Err(_) => Err(DispatchError::MayHaveRun(
+                "the answer took too long".to_owned(),
+            )),
         }
     };
     let result = tokio::select! {
@@ -174,7 +177,7 @@
             directory.record_error(&endpoint.id, gateway.now());
         }
         Ok(_) => directory.record_success(&endpoint.id),
-        Err(Failed::MayHaveRun(_) | Failed::BrokeOff(_)) => {
+        Err(DispatchError::MayHaveRun(_) | DispatchError::BrokeOff(_)) => {
             directory.record_failure(&endpoint.id, gateway.now())
         }
         _ => {}
--- a/crates/gateway/src/forward/ended.rs
+++ b/crates/gateway/src/forward/ended.rs
@@ -15,7 +15,7 @@
 };
 use rustc_hash::FxHashMap;
 
-use super::{Admitted, send::Failed};
+use super::{Admitted, send::DispatchError};
 use crate::{gateway::Gateway, http::connection};
 
 /// How long it may take to hear that nobody listens: the network needs a ms at most, and the request waits
@@ -58,11 +58,16 @@
 
 /// A run at these endpoints has failed, of which the first was sent the request: notes if one of them has
 /// ended, and where one may have, so that its end counts once it is heard of.
-pub(super) async fn note(gateway: &Gateway, admitted: &Admitted, ran: &[Ran<'_>], failed: &Failed) {
+pub(super) async fn note(
+    gateway: &Gateway,
+    admitted: &Admitted,
+    ran: &[Ran<'_>],
+    failed: &DispatchError,
+) {
     let broke_off = match failed {
-        Failed::NotSent(_) | Failed::NotRun(_) => return,
-        Failed::MayHaveRun(_) => false,
-        Failed::BrokeOff(_) => true,
+        DispatchError::NotSent(_) | DispatchError::NotRun(_) => return,
+        DispatchError::MayHaveRun(_) => false,
+        DispatchError::BrokeOff(_) => true,
     };
     if let Some(over) = ran
         .iter()
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -3,6 +3,7 @@
 //! [`Forwarder`] reads what a request is, finds its route and whose it is, and hands it to
 //! `call` or `stream`. What is refused there is said in one place, `refusal`.
 
+mod attempts;
 mod call;
 mod ended;
 mod events;
@@ -12,7 +13,6 @@
 mod send;
 mod stream;
 mod trail;
-mod tries;
 mod watch;
 
 use std::{cell::OnceCell, io, rc::Rc, time::Duration};
@@ -34,6 +34,7 @@
     ports::Incoming,
 };
 
+use attempts::Attempts;
 pub use ended::Looks;
 pub use events::{EventBatch, EventSplitter};
 pub use probe::Prober;
@@ -41,7 +42,6 @@
 use refusal::Refusal;
 pub use trail::LineBudget;
 use trail::{Step, Trail};
-use tries::Tries;
 
 /// How long a request waits for which neither its route nor its caller says it.
 const USUAL_DEADLINE: Duration = Duration::from_secs(30);
@@ -76,18 +76,18 @@
     }
 
     /// Whether it may be sent once more after these tries, which note if it is held.
-    fn may_send(&self, gateway: &Gateway, tries: &mut Tries) -> bool {
+    fn may_send(&self, gateway: &Gateway, attempts: &mut Attempts) -> bool {
         if let Some(refusal) = self.held(gateway) {
-            tries.not_sent(refusal);
+            attempts.record_not_sent(refusal);
             return false;
         }
-        let may_run_again = self.route.kind.retryable() || !tries.may_have_run();
-        may_run_again && tries.sent() < self.most_sends()
+        let may_run_again = self.route.kind.retryable() || !attempts.may_have_run();
+        may_run_again && attempts.dispatches() < self.most_sends()
     }
 
     /// Whether another send may follow the next one, even if that may have run.
-    fn may_go_on(&self, tries: &Tries) -> bool {
-        self.route.kind.retryable() && tries.sent() + 1 < self.most_sends()
+    fn may_go_on(&self, attempts: &Attempts) -> bool {
+        self.route.kind.retryable() && attempts.dispatches() + 1 < self.most_sends()
     }
 
     /// Names it, whichever attempt of it this is.
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -32,7 +32,7 @@
 
 /// Why a send brought no answer that can be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Failed {
+pub(super) enum DispatchError {
     /// Nothing has left for the endpoint.
     NotSent(String),
     /// The endpoint did not run it and will not.
@@ -65,10 +65,10 @@
     }
 
     /// What becomes of a send that is given up on the way: it may have run as soon as a byte has left.
-    pub(super) fn given_up(&self, why: &str) -> Failed {
+    pub(super) fn given_up(&self, why: &str) -> DispatchError {
         match self.leaves.get() {
-            true => Failed::MayHaveRun(why.to_owned()),
-            false => Failed::NotSent(why.to_owned()),
+            true => DispatchError::MayHaveRun(why.to_owned()),
+            false => DispatchError::NotSent(why.to_owned()),
         }
     }
 }
@@ -87,7 +87,7 @@
     admitted: &Admitted,
     target: &Target<'_>,
     limit: Duration,
-) -> Result<Begun, Failed> {
+) -> Result<Begun, DispatchError> {
     gateway.metrics.sends.inc();
     let mut connection = match gateway.idle.take(target.addr) {
         Some(connection) => connection,
@@ -95,17 +95,21 @@
     };
     // The last check before bytes leave: the key may have lapsed while the request waited.
     if !gateway.fresh() {
-        return Err(Failed::NotSent("the catalogue may be outdated".to_owned()));
+        return Err(DispatchError::NotSent(
+            "the catalogue may be outdated".to_owned(),
+        ));
     }
     // The same for what other hosts have found out meanwhile.
     if admitted.held(gateway).is_some() {
-        return Err(Failed::NotSent("endpoints have ended under it".to_owned()));
+        return Err(DispatchError::NotSent(
+            "endpoints have ended under it".to_owned(),
+        ));
     }
     if let Some(id) = target.left(&gateway.directory.borrow()) {
-        return Err(Failed::NotSent(format!("{id} has left")));
+        return Err(DispatchError::NotSent(format!("{id} has left")));
     }
     if !gateway.take_permits(target.parts) {
-        return Err(Failed::NotSent(LIMIT_REACHED.to_owned()));
+        return Err(DispatchError::NotSent(LIMIT_REACHED.to_owned()));
     }
     target.leaves.set(true);
     let sent_at = time::Instant::now();
@@ -113,14 +117,18 @@
     let sent = time::timeout(limit, connection.send(head, admitted.body.clone())).await;
     match sent {
         Ok(Ok(())) => {}
-        Ok(Err((0, e))) => return Err(Failed::NotSent(format!("nothing was sent: {e}"))),
-        Ok(Err((_, e))) => return Err(Failed::BrokeOff(format!("sending failed: {e}"))),
-        Err(_) => return Err(Failed::MayHaveRun("sending took too long".to_owned())),
+        Ok(Err((0, e))) => return Err(DispatchError::NotSent(format!("nothing was sent: {e}"))),
+        Ok(Err((_, e))) => return Err(DispatchError::BrokeOff(format!("sending failed: {e}"))),
+        Err(_) => {
+            return Err(DispatchError::MayHaveRun(
+                "sending took too long".to_owned(),
+            ));
+        }
     }
     let head = match time::timeout(limit, connection.head()).await {
         Ok(Ok(head)) => head,
-        Ok(Err(e)) => return Err(Failed::BrokeOff(e.to_string())),
-        Err(_) => return Err(Failed::MayHaveRun("no answer in time".to_owned())),
+        Ok(Err(e)) => return Err(DispatchError::BrokeOff(e.to_string())),
+        Err(_) => return Err(DispatchError::MayHaveRun("no answer in time".to_owned())),
     };
     let facts = gateway.platform.dialect.answer(&head);
     let answer = Begun { connection, head };
@@ -131,7 +139,7 @@
     gateway: &Gateway,
     target: &Target<'_>,
     limit: Duration,
-) -> Result<Connection, Failed> {
+) -> Result<Connection, DispatchError> {
     let opened = connection::open_within(target.addr, &gateway.codec, CONNECT.min(limit)).await;
     opened.map_err(|e| {
         let now = gateway.now();
@@ -139,7 +147,7 @@
             .directory
             .borrow_mut()
             .record_failure(target.id, now);
-        Failed::NotSent(format!("connecting failed: {e}"))
+        DispatchError::NotSent(format!("connecting failed: {e}"))
     })
 }
 
@@ -150,21 +158,26 @@
     answer: Begun,
     facts: &AnswerFacts,
     after: Duration,
-) -> Result<Begun, Failed> {
+) -> Result<Begun, DispatchError> {
     let head = &answer.head;
     // Before anything else: what belongs to another request says nothing of this one.
     if facts.attempt.is_some() && facts.attempt != admitted.incoming.attempt {
-        return Err(Failed::MayHaveRun("the answer is another's".to_owned()));
+        return Err(DispatchError::MayHaveRun(
+            "the answer is another's".to_owned(),
+        ));
     }
     gateway.note_limit(target.id, facts);
     if facts.not_run || facts.misdirected {
         let at = facts.fault_at.unwrap_or(target.addr);
         note_refusal(gateway, at, facts.misdirected, after);
-        return Err(Failed::NotRun(format!("{} by {at}", head.status.as_u16())));
+        return Err(DispatchError::NotRun(format!(
+            "{} by {at}",
+            head.status.as_u16()
+        )));
     }
     if facts.encoded || !facts.sealed {
         let why = format!("{} is not the endpoint's answer", head.status.as_u16());
-        return Err(Failed::MayHaveRun(why));
+        return Err(DispatchError::MayHaveRun(why));
     }
     Ok(answer)
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -17,14 +17,15 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    Admitted, Ended, call, ended,
+    Admitted, Ended,
+    attempts::Attempts,
+    call, ended,
     events::{EventBatch, EventSplitter},
     on_chain::OnChain,
     probe,
     refusal::Refusal,
-    send::{self, Begun, Failed, Target},
+    send::{self, Begun, DispatchError, Target},
     success,
-    tries::Tries,
     watch::Watch,
 };
 use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
@@ -48,7 +49,7 @@
         admitted,
         events: EventSplitter::after(admitted.incoming.last_event),
         tried: Vec::new(),
-        tries: Tries::new(Refusal::NoEndpoint("no chain covers all layers")),
+        attempts: Attempts::new(Refusal::NoEndpoint("no chain covers all layers")),
         last_event_at: None,
     };
     let run = time::timeout_at(admitted.due, stream.run(out)).await;
@@ -84,7 +85,7 @@
     /// The keys of the chains that it was sent to.
     tried: Vec<u64>,
     /// Runs that failed.
-    tries: Tries,
+    attempts: Attempts,
     /// When the last events were passed on.
     last_event_at: Option<Instant>,
 }
@@ -105,7 +106,7 @@
     /// The stream is complete.
     Complete(http::StatusCode),
     /// It broke off or never began.
-    Failed(Failed),
+    Failed(DispatchError),
 }
 
 impl Stream<'_> {
@@ -114,13 +115,13 @@
             return Err(Refusal::NoEndpoint("the service has no engines").into());
         };
         for _ in 0..self.admitted.most_sends() + call::MORE_TRIES {
-            if !self.admitted.may_send(self.gateway, &mut self.tries) {
+            if !self.admitted.may_send(self.gateway, &mut self.attempts) {
                 break;
             }
             let Some(planned) = self.choose(&engine) else {
                 break;
             };
-            if self.tries.sent() > 0 {
+            if self.attempts.dispatches() > 0 {
                 if !self.admitted.take_repeat(self.gateway).await {
                     break;
                 }
@@ -140,14 +141,14 @@
                 RunEnd::Failed(failed) => {
                     self.note(&planned.chain, &failed, out.started());
                     self.note_end(&planned.chain, &failed).await;
-                    self.tries.failed(failed);
+                    self.attempts.record_failure(failed);
                 }
             }
         }
-        Err(self.tries.refusal().into())
+        Err(self.attempts.refusal().into())
     }
 
-    fn note(&self, chain: &Chain, failed: &Failed, started: bool) {
+    fn note(&self, chain: &Chain, failed: &DispatchError, started: bool) {
         self.admitted.trail.show();
         log::info!(
             target: "forward",
@@ -162,7 +163,7 @@
     }
 
     /// Notes if an endpoint has ended under a run that failed, before another one gets it.
-    async fn note_end(&self, chain: &Chain, failed: &Failed) {
+    async fn note_end(&self, chain: &Chain, failed: &DispatchError) {
         let parts = chain.stages.iter();
         let ran: Vec<ended::Ran<'_>> = parts
             .map(|part| ended::Ran {
@@ -190,13 +191,13 @@
             .or_else(|| choice::choose(&chains, &loads, &want, now, draw, untried));
         let Some(Choice { index, estimate }) = chosen else {
             if !chains.is_empty() && !without_permit.is_empty() {
-                self.tries.not_sent(Refusal::AtLimit);
+                self.attempts.record_not_sent(Refusal::AtLimit);
             }
             return None;
         };
         if estimate.memory_fill > MOST_FILL {
             let short = Refusal::NoEndpoint("memory is short everywhere");
-            self.tries.not_sent(short);
+            self.attempts.record_not_sent(short);
             return None;
         }
         Some(Planned {
@@ -240,7 +241,7 @@
         let route = &self.admitted.route;
         RunTiming {
             started: false,
-            may_retry: self.admitted.may_go_on(&self.tries),
+            may_retry: self.admitted.may_go_on(&self.attempts),
             first_event_target: route.latency_target,
             max_gap: route.gap_target,
             expected_first: planned.expected_first,
@@ -282,7 +283,10 @@
         let begun = match sent {
             Ok(begun) => begun,
             Err(failed) => {
-                if matches!(failed, Failed::MayHaveRun(_) | Failed::BrokeOff(_)) {
+                if matches!(
+                    failed,
+                    DispatchError::MayHaveRun(_) | DispatchError::BrokeOff(_)
+                ) {
                     probe::after_break(gateway, chain).await;
                 }
                 return Ok(RunEnd::Failed(failed));
@@ -291,9 +295,9 @@
         if begun.head.status.is_server_error() {
             let now = gateway.now();
             gateway.directory.borrow_mut().record_error(target.id, now);
-            if self.admitted.may_go_on(&self.tries) {
+            if self.admitted.may_go_on(&self.attempts) {
                 let why = format!("{} of its own", begun.head.status.as_u16());
-                return Ok(RunEnd::Failed(Failed::MayHaveRun(why)));
+                return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
             }
         }
         if !success(begun.head.status) {
@@ -320,11 +324,11 @@
         let status = begun.head.status;
         let body = match begun.connection.whole_body(MOST_FAILURE).await {
             Ok(body) => body,
-            Err(e) => return Ok(RunEnd::Failed(Failed::MayHaveRun(e.to_string()))),
+            Err(e) => return Ok(RunEnd::Failed(DispatchError::MayHaveRun(e.to_string()))),
         };
         if out.started() {
             let why = format!("{} instead of the rest", status.as_u16());
-            return Ok(RunEnd::Failed(Failed::MayHaveRun(why)));
+            return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
         }
         let mut headers = std::mem::take(&mut begun.head.headers);
         self.gateway.platform.dialect.strip(&mut headers);
@@ -423,11 +427,11 @@
 }
 
 fn given_up_on(why: &str) -> RunEnd {
-    RunEnd::Failed(Failed::MayHaveRun(why.to_owned()))
+    RunEnd::Failed(DispatchError::MayHaveRun(why.to_owned()))
 }
 
 fn broke_off(why: &str) -> RunEnd {
-    RunEnd::Failed(Failed::BrokeOff(why.to_owned()))
+    RunEnd::Failed(DispatchError::BrokeOff(why.to_owned()))
 }
 
 fn ms(duration: Duration) -> f64 {
