--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -51,7 +51,7 @@
     metrics.answered(admitted.kind_label(), head.status);
     let headers = std::mem::take(&mut head.headers);
     out.whole(head.status, headers, whole.body).await?;
-    admitted.trail.answered(head.status);
+    admitted.request_log.finish_answered(head.status);
     Ok(())
 }
 
@@ -71,7 +71,9 @@
         }
         tried.push(endpoint.id.clone());
         let to = endpoint.id.to_string();
-        admitted.trail.sent(to, Duration::ZERO, 0.0, None);
+        admitted
+            .request_log
+            .record_dispatch(to, Duration::ZERO, 0.0, None);
         let more = admitted.may_go_on(&attempts);
         let left = admitted.left();
         let limit = if more { left.mul_f64(FIRST_PART) } else { left };
@@ -84,10 +86,10 @@
                 attempts.record_error_answer();
             }
             Err(failed) => {
-                admitted.trail.show();
+                admitted.request_log.write_buffered();
                 log::info!(
                     target: "forward",
-                    id = admitted.trail.id(),
+                    id = admitted.request_log.id(),
                     request:% = admitted.fingerprint(),
                     endpoint = &*endpoint.id,
                     why:? = failed;
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -10,9 +10,9 @@
 mod on_chain;
 mod probe;
 mod refusal;
+mod request_log;
 mod send;
 mod stream;
-mod trail;
 mod watch;
 
 use std::{cell::OnceCell, io, rc::Rc, time::Duration};
@@ -40,8 +40,8 @@
 pub use probe::Prober;
 pub(crate) use probe::prove;
 use refusal::Refusal;
-pub use trail::LineBudget;
-use trail::{Step, Trail};
+pub use request_log::RequestLogBudget;
+use request_log::{Decision, RequestLog};
 
 /// How long a request waits for which neither its route nor its caller says it.
 const USUAL_DEADLINE: Duration = Duration::from_secs(30);
@@ -59,7 +59,7 @@
     /// When its final answer is due: the route's timeout, or the caller's deadline.
     due: Instant,
     /// What was decided for it.
-    trail: Trail,
+    request_log: RequestLog,
     /// Made when it is first needed: with its answer, or when a send has failed.
     fingerprint: OnceCell<Fingerprint>,
 }
@@ -115,11 +115,11 @@
     async fn take_repeat(&self, gateway: &Gateway) -> bool {
         let service = &self.service.name;
         gateway.until_recorded(service).await;
-        let standing = gateway.repeats_standing(service);
+        let budget = gateway.repeats_standing(service);
         let allowed = gateway.take_repeat(service);
-        self.trail.step(Step::Repeat {
+        self.request_log.record(Decision::Retry {
             allowed,
-            standing,
+            budget,
             divisor: gateway.bounds.divisor(gateway.now()),
         });
         allowed
@@ -196,17 +196,17 @@
                 let priority = workspace.as_ref().and_then(|w| w.priority);
                 let due = at + route.timeout.min(deadline);
                 let kind = kind_label(route.kind);
-                let trail = Trail::new(gateway, id(&incoming), kind, at, &route);
-                trail.step(Step::Admitted {
+                let request_log = RequestLog::new(gateway, id(&incoming), kind, at, &route);
+                request_log.record(Decision::Admitted {
                     route: route.name.clone(),
                     workspace: workspace.as_ref().map(|w| w.name.clone()),
                     catalogue: gateway.catalogue_version(),
                     proof_age: gateway.proof_age().unwrap_or_default(),
-                    left: due.saturating_duration_since(at),
+                    time_left: due.saturating_duration_since(at),
                 });
                 Ok(Admitted {
                     due,
-                    trail,
+                    request_log,
                     fingerprint: OnceCell::new(),
                     priority: priority.unwrap_or(route.priority).min(9),
                     workspace: workspace.map(|w| w.name),
@@ -278,9 +278,9 @@
         match result {
             Ok(()) => Ok(()),
             Err(Ended::Io(e)) => {
-                admitted.trail.ended(Outcome::Broken);
+                admitted.request_log.finish(Outcome::Broken);
                 let why = &e;
-                log::info!(target: "forward", id = admitted.trail.id(), why:% = why; "Answer was not passed on.");
+                log::info!(target: "forward", id = admitted.request_log.id(), why:% = why; "Answer was not passed on.");
                 Err(e)
             }
             Err(Ended::Refused(refusal)) => {
--- a/crates/gateway/src/forward/refusal.rs
+++ b/crates/gateway/src/forward/refusal.rs
@@ -113,13 +113,13 @@
 
 /// Ends the trail of a request that was routed and not served.
 pub(super) fn log(admitted: &Admitted, refusal: &Refusal) {
-    admitted.trail.ended(match refusal.status() {
+    admitted.request_log.finish(match refusal.status() {
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Refused,
         _ => Outcome::Failed,
     });
     log::info!(
         target: "forward",
-        id = admitted.trail.id(),
+        id = admitted.request_log.id(),
         route = &*admitted.route.name,
         after_ms = admitted.at.elapsed().as_millis() as u64,
         why:? = refusal;
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -56,7 +56,7 @@
     match run {
         Ok(Ok(status)) => {
             gateway.metrics.answered(admitted.kind_label(), status);
-            admitted.trail.answered(status);
+            admitted.request_log.finish_answered(status);
             Ok(())
         }
         Ok(Err(ended)) => Err(cut(admitted, out, ended)),
@@ -69,8 +69,8 @@
 fn cut(admitted: &Admitted, out: &Responder<'_>, ended: Ended) -> Ended {
     match ended {
         Ended::Refused(refusal) if out.started() => {
-            admitted.trail.show();
-            log::info!(target: "forward", id = admitted.trail.id(), why:? = refusal; "Stream breaks off.");
+            admitted.request_log.write_buffered();
+            log::info!(target: "forward", id = admitted.request_log.id(), why:? = refusal; "Stream breaks off.");
             Ended::Io(std::io::ErrorKind::ConnectionAborted.into())
         }
         other => other,
@@ -135,7 +135,9 @@
             let after_event = out.started().then(|| self.events.last()).flatten();
             let to = planned.chain.to_string();
             let (first, fill) = (planned.expected_first, planned.expected_fill);
-            self.admitted.trail.sent(to, first, fill, after_event);
+            self.admitted
+                .request_log
+                .record_dispatch(to, first, fill, after_event);
             match self.run_on(&planned, out).await? {
                 RunEnd::Complete(status) => return Ok(status),
                 RunEnd::Failed(failed) => {
@@ -149,10 +151,10 @@
     }
 
     fn note(&self, chain: &Chain, failed: &DispatchError, started: bool) {
-        self.admitted.trail.show();
+        self.admitted.request_log.write_buffered();
         log::info!(
             target: "forward",
-            id = self.admitted.trail.id(),
+            id = self.admitted.request_log.id(),
             request:% = self.admitted.fingerprint(),
             chain = chain.to_string(),
             started = started,
@@ -421,7 +423,7 @@
         }
         self.gateway.metrics.relayed.inc_by(events.len() as u64);
         out.piece(events).await?;
-        self.admitted.trail.events();
+        self.admitted.request_log.record_relayed_events();
         Ok(())
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -39,7 +39,7 @@
 use self::listing::Ignored;
 use crate::{
     bounds::Bounds,
-    forward::{LineBudget, Looks, Prober},
+    forward::{Looks, Prober, RequestLogBudget},
     http::{connection::Connection, pool::Idle},
     metrics::Metrics,
     peers::Peers,
@@ -137,7 +137,7 @@
     /// Requests that are being answered.
     pub open: Cell<u32>,
     /// How many requests may be logged whole.
-    pub lines: LineBudget,
+    pub log_budget: RequestLogBudget,
     /// Asks the parts of chains that stand still.
     pub prober: Prober,
     /// Requests under which endpoints have ended.
@@ -152,7 +152,7 @@
     /// A host that knows nothing yet.
     pub fn new(settings: Settings, platform: Platform, codec: ServiceConfig) -> Rc<Self> {
         let freshness = Freshness::new(settings.key_revocation);
-        let lines = LineBudget::new(settings.logged_per_s);
+        let log_budget = RequestLogBudget::new(settings.logged_per_s);
         let bounds = Bounds::new(settings.retries);
         let quarantine = Quarantine::new(settings.request_hold);
         let outage = StoreOutage::new(settings.endpoint_heartbeat);
@@ -185,7 +185,7 @@
             peers: Peers::default(),
             asked: Cell::new(false),
             open: Cell::new(0),
-            lines,
+            log_budget,
             prober: Prober::default(),
             quarantine: RefCell::new(quarantine),
             looks: Looks::default(),
