--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -189,7 +189,7 @@
 
 /// Ends when the endpoint is known to have ended: what it was asked is lost.
 async fn until_over(gateway: &Gateway, id: &str) {
-    let mut changed = gateway.prober.lost();
+    let mut changed = gateway.prober.endpoint_failures();
     while !gateway.directory.borrow().has_ended(id) {
         // The sender lives as long as the gateway does.
         let _ = changed.changed().await;
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -5,9 +5,9 @@
 
 mod attempts;
 mod call;
+mod chain_load;
 mod ended;
 mod events;
-mod on_chain;
 mod probe;
 mod refusal;
 mod request_log;
@@ -38,7 +38,7 @@
 pub use ended::Looks;
 pub use events::{EventBatch, EventSplitter};
 pub use probe::Prober;
-pub(crate) use probe::prove;
+pub(crate) use probe::poll_relisted;
 use refusal::Refusal;
 pub use request_log::RequestLogBudget;
 use request_log::{Decision, RequestLog};
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -1,10 +1,10 @@
-//! Asks the parts of a chain that is in doubt how they are.
+//! Probes the stages of suspected chains.
 //!
-//! The first stage learns only after seconds which later one it waits for, and a stream can't tell a
-//! part that is gone from one that is busy or slow. Each part answers for itself within a few ms. One
-//! that does not answer twice is lost: it gets nothing more until it answers again or is delisted, and
-//! runs on chains with it go on elsewhere. One that says it is slow counts as slow. When a chain is
-//! probed is decided in [`dragonflyrill_fleet::probing`].
+//! The first stage learns only after seconds which later stage it waits for, and a stream doesn't show whether a
+//! stage has terminated or is busy or slow. Each stage itself answers a probe within a few ms. A stage that does
+//! not answer two calls is unresponsive: no requests are sent to it until it answers again or is delisted, and
+//! runs on chains with it continue on other chains. A stage that reports a slowdown counts as slow.
+//! [`dragonflyrill_fleet::probing`] decides when a chain is probed.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,108 +19,113 @@
 
 use crate::{gateway::Gateway, ports::EngineReport};
 
-/// How long a part may take to answer: its answer needs no slot, and the network a ms at most; the
-/// rest is for hosts that are busy. With it a loss is known to all hosts within 0.1 s.
-const ANSWER: Duration = Duration::from_millis(60);
-/// When a part is asked a second time, by another connection: what a lossy link lost, or a stale
-/// connection, must not count as its end.
-const SECOND: Duration = Duration::from_millis(20);
-/// How long after a part was lost it is asked whether it is back; twice as long each further time.
-const BACK: Duration = Duration::from_millis(400);
-/// The longest pause between such calls. Each host makes them for each part that is lost.
-const LONGEST_BACK: Duration = Duration::from_millis(1600);
-
-/// What is probed, and what was found.
+/// The timeout of a call. The answer needs no slot of the engine and the network takes 1 ms at most; the rest
+/// allows for busy hosts. With this timeout, all hosts know within 0.1 s that a stage is unresponsive.
+const CALL_TIMEOUT: Duration = Duration::from_millis(60);
+/// The delay of the second call to a stage, on another connection: a packet lost on a link, or a stale connection,
+/// must not make the stage count as unresponsive.
+const SECOND_CALL_DELAY: Duration = Duration::from_millis(20);
+/// The pause before an unresponsive or slow endpoint is polled for the first time. It doubles with each poll.
+const MIN_RECOVERY_PAUSE: Duration = Duration::from_millis(400);
+/// The maximum pause between these polls. Each host polls each such endpoint.
+const MAX_RECOVERY_PAUSE: Duration = Duration::from_millis(1600);
+
+/// The state of the probes of this host.
 pub struct Prober {
     schedule: RefCell<ProbeSchedule>,
-    /// Probes that go on, by the chain's key; true when one has ended.
-    going_on: RefCell<FxHashMap<u64, watch::Receiver<bool>>>,
-    /// Grows with each part that is found to be lost, and each endpoint that has ended.
-    lost: watch::Sender<u64>,
+    /// Probes in progress, by the key of the chain; the value becomes true when the probe ends.
+    in_progress: RefCell<FxHashMap<u64, watch::Receiver<bool>>>,
+    /// Incremented whenever a stage becomes unresponsive or an endpoint terminates.
+    failures: watch::Sender<u64>,
 }
 
 impl Default for Prober {
     fn default() -> Self {
         Self {
             schedule: RefCell::default(),
-            going_on: RefCell::default(),
-            lost: watch::Sender::new(0),
+            in_progress: RefCell::default(),
+            failures: watch::Sender::new(0),
         }
     }
 }
 
 impl Prober {
-    /// An event has come over a chain.
-    pub(super) fn event(&self, chain: &Chain, now: Duration) {
+    /// Records an event of a stream on a chain.
+    pub(super) fn record_event(&self, chain: &Chain, now: Duration) {
         self.schedule.borrow_mut().record_event(chain, now);
     }
 
-    /// Changes whenever a part is found to be lost, or an endpoint to have ended.
-    pub(super) fn lost(&self) -> watch::Receiver<u64> {
-        self.lost.subscribe()
+    /// Changes whenever a stage becomes unresponsive or an endpoint is known to have terminated.
+    pub(super) fn endpoint_failures(&self) -> watch::Receiver<u64> {
+        self.failures.subscribe()
     }
 
-    /// An endpoint has ended.
-    pub(crate) fn changed(&self) {
-        self.lost.send_modify(|n| *n += 1);
+    /// Notifies the subscribers of [`Prober::endpoint_failures`] that an endpoint failed.
+    pub(crate) fn notify_failure(&self) {
+        self.failures.send_modify(|n| *n += 1);
     }
 }
 
-/// Has a chain in doubt probed where that may tell more; gives the probe that goes on.
-pub(super) fn in_doubt(
+/// Starts a probe of a suspected chain if the schedule allows one. Returns the probe in progress, if any, whose
+/// value becomes true when it ends.
+pub(super) fn probe_suspected(
     gateway: &Rc<Gateway>,
     chain: &Chain,
-    doubt: Suspicion,
+    suspicion: Suspicion,
 ) -> Option<watch::Receiver<bool>> {
     let prober = &gateway.prober;
-    let mut going_on = prober.going_on.borrow_mut();
-    going_on.retain(|_, done| !*done.borrow());
-    if let Some(done) = going_on.get(&chain.key) {
+    let mut in_progress = prober.in_progress.borrow_mut();
+    in_progress.retain(|_, done| !*done.borrow());
+    if let Some(done) = in_progress.get(&chain.key) {
         return Some(done.clone());
     }
     let (now, hosts) = (gateway.now(), gateway.counted_hosts());
     let mut schedule = prober.schedule.borrow_mut();
-    let Decision::Probe(ids) = schedule.decide(chain, doubt, now, hosts) else {
+    let Decision::Probe(ids) = schedule.decide(chain, suspicion, now, hosts) else {
         return None;
     };
-    log::info!(target: "forward", chain = chain.to_string(), doubt:? = doubt; "A chain is in doubt and is probed.");
+    log::info!(target: "forward", chain = chain.to_string(), doubt:? = suspicion; "A suspected chain is probed.");
     let (ended, done) = watch::channel(false);
-    going_on.insert(chain.key, done.clone());
-    let asked = chain.stages.iter().filter(|p| ids.contains(&p.id));
-    let asked: Vec<Stage> = asked.cloned().collect();
+    in_progress.insert(chain.key, done.clone());
+    let probed = chain.stages.iter().filter(|p| ids.contains(&p.id));
+    let probed: Vec<Stage> = probed.cloned().collect();
     let gateway = gateway.clone();
     actix_rt::spawn(async move {
-        future::join_all(asked.iter().map(|part| probe(&gateway, part))).await;
+        future::join_all(probed.iter().map(|stage| probe_stage(&gateway, stage))).await;
         ended.send_replace(true);
     });
     Some(done)
 }
 
-/// Has a chain over which a run broke off probed, and waits for the end of that.
+/// Probes a chain on which a run broke off, if the schedule allows a probe, and waits until the probe ends.
 pub(super) async fn after_break(gateway: &Rc<Gateway>, chain: &Chain) {
-    if let Some(mut done) = in_doubt(gateway, chain, Suspicion::Still) {
-        // A probe that was dropped tells nothing more.
+    if let Some(mut done) = probe_suspected(gateway, chain, Suspicion::Still) {
+        // A probe whose task was dropped yields no further results.
         let _ = done.wait_for(|done| *done).await;
     }
 }
 
-async fn probe(gateway: &Rc<Gateway>, part: &Stage) {
+async fn probe_stage(gateway: &Rc<Gateway>, stage: &Stage) {
     let prober = &gateway.prober;
-    if gateway.directory.borrow().is_unresponsive(&part.id) {
+    if gateway.directory.borrow().is_unresponsive(&stage.id) {
         return;
     }
-    let reply = answer(gateway, part).await;
+    let reply = call_twice(gateway, stage).await;
     if let Reply::Withheld = reply {
         return;
     }
     if let Reply::Report(report) = reply {
-        gateway.reported(&part.id, &report);
+        gateway.reported(&stage.id, &report);
         let now = gateway.now();
-        prober.schedule.borrow_mut().record_answer(&part.id, now);
+        prober.schedule.borrow_mut().record_answer(&stage.id, now);
         let mut directory = gateway.directory.borrow_mut();
-        if directory.record_slowdown(&part.id, report.pace, now) {
-            log::info!(target: "fleet", endpoint = &*part.id, pace = report.pace; "Endpoint is slow.");
-            actix_rt::spawn(ask_until_well(gateway.clone(), Asked::of(part), BACK));
+        if directory.record_slowdown(&stage.id, report.pace, now) {
+            log::info!(target: "fleet", endpoint = &*stage.id, pace = report.pace; "Endpoint is slow.");
+            actix_rt::spawn(poll_until_healthy(
+                gateway.clone(),
+                PolledEndpoint::of(stage),
+                MIN_RECOVERY_PAUSE,
+            ));
         }
         return;
     }
@@ -128,66 +133,75 @@
     if gateway
         .directory
         .borrow_mut()
-        .record_unresponsive(&part.id, now)
+        .record_unresponsive(&stage.id, now)
     {
-        log::info!(target: "fleet", endpoint = &*part.id; "Endpoint does not answer and is avoided.");
-        gateway.prober.changed();
-        actix_rt::spawn(ask_until_well(gateway.clone(), Asked::of(part), BACK));
+        log::info!(target: "fleet", endpoint = &*stage.id; "Endpoint does not answer and is avoided.");
+        gateway.prober.notify_failure();
+        actix_rt::spawn(poll_until_healthy(
+            gateway.clone(),
+            PolledEndpoint::of(stage),
+            MIN_RECOVERY_PAUSE,
+        ));
     }
 }
 
-/// Asks an endpoint that counts as lost since it was listed again until it answers or is delisted.
-pub(crate) fn prove(gateway: &Rc<Gateway>, endpoint: &Endpoint) {
-    let asked = Asked {
+/// Polls an endpoint that was listed again and counts as unresponsive until it answers or is delisted.
+pub(crate) fn poll_relisted(gateway: &Rc<Gateway>, endpoint: &Endpoint) {
+    let endpoint = PolledEndpoint {
         id: endpoint.id.clone(),
         addr: endpoint.addr,
     };
-    actix_rt::spawn(ask_until_well(gateway.clone(), asked, Duration::ZERO));
+    actix_rt::spawn(poll_until_healthy(
+        gateway.clone(),
+        endpoint,
+        Duration::ZERO,
+    ));
 }
 
-/// An endpoint that is asked.
-struct Asked {
+/// An endpoint that is polled.
+struct PolledEndpoint {
     id: Rc<str>,
     addr: SocketAddr,
 }
 
-impl Asked {
-    fn of(part: &Stage) -> Self {
+impl PolledEndpoint {
+    fn of(stage: &Stage) -> Self {
         Self {
-            id: part.id.clone(),
-            addr: part.addr,
+            id: stage.id.clone(),
+            addr: stage.addr,
         }
     }
 }
 
-/// What became of a call to an endpoint.
+/// The result of a call to an endpoint.
 enum Reply {
-    /// It said how it is.
+    /// The endpoint reported its state.
     Report(EngineReport),
-    /// It did not answer.
+    /// The endpoint did not answer, or the call failed.
     Silent,
-    /// The call was not made, as the limit that the endpoint names left no permit: nothing is known.
+    /// The call was not made, because the limit stated by the endpoint leaves no permit. Nothing is known about the
+    /// endpoint.
     Withheld,
 }
 
-/// What an endpoint answers to one call.
-async fn ask(gateway: &Gateway, id: &Rc<str>, addr: SocketAddr) -> Reply {
+/// Calls an endpoint once.
+async fn call(gateway: &Gateway, id: &Rc<str>, addr: SocketAddr) -> Reply {
     if !gateway.take_permits(&[id]) {
         return Reply::Withheld;
     }
     let report = gateway.platform.engines.report(addr);
-    match time::timeout(ANSWER, report).await {
+    match time::timeout(CALL_TIMEOUT, report).await {
         Ok(Ok(report)) => Reply::Report(report),
         Ok(Err(_)) | Err(_) => Reply::Silent,
     }
 }
 
-/// What a part answers to one of two calls; it is silent only if it answers neither.
-async fn answer(gateway: &Gateway, part: &Stage) -> Reply {
-    let first = std::pin::pin!(ask(gateway, &part.id, part.addr));
+/// Calls a stage twice, the second time after a delay. The result is silent only if neither call is answered.
+async fn call_twice(gateway: &Gateway, stage: &Stage) -> Reply {
+    let first = std::pin::pin!(call(gateway, &stage.id, stage.addr));
     let second = std::pin::pin!(async {
-        time::sleep(SECOND).await;
-        ask(gateway, &part.id, part.addr).await
+        time::sleep(SECOND_CALL_DELAY).await;
+        call(gateway, &stage.id, stage.addr).await
     });
     let (answered, other) = future::select(first, second).await.factor_first();
     if let Reply::Report(report) = answered {
@@ -200,45 +214,45 @@
     }
 }
 
-/// Asks an endpoint that is lost or slow until it is well or no longer listed, for the first time
-/// after a pause.
-async fn ask_until_well(gateway: Rc<Gateway>, part: Asked, first: Duration) {
+/// Polls an endpoint that is unresponsive or slow until it is healthy or no longer active; the first time after
+/// the pause `first`.
+async fn poll_until_healthy(gateway: Rc<Gateway>, endpoint: PolledEndpoint, first: Duration) {
     let mut pause = first;
     loop {
         time::sleep(pause).await;
-        if !gateway.directory.borrow().is_active(&part.id) {
+        if !gateway.directory.borrow().is_active(&endpoint.id) {
             return;
         }
-        let report = match ask(&gateway, &part.id, part.addr).await {
+        let report = match call(&gateway, &endpoint.id, endpoint.addr).await {
             Reply::Report(report) => Some(report),
             Reply::Silent | Reply::Withheld => None,
         };
         if let Some(report) = &report {
-            gateway.reported(&part.id, report);
+            gateway.reported(&endpoint.id, report);
         }
-        pause = LONGEST_BACK.min(pause * 2).max(BACK);
+        pause = MAX_RECOVERY_PAUSE.min(pause * 2).max(MIN_RECOVERY_PAUSE);
         let now = gateway.now();
         let mut directory = gateway.directory.borrow_mut();
-        let lost = directory.is_unresponsive(&part.id);
-        let listed = directory.get(&part.id).and_then(|e| e.layers);
+        let unresponsive = directory.is_unresponsive(&endpoint.id);
+        let listed = directory.get(&endpoint.id).and_then(|e| e.layers);
         match report {
-            // It has started again behind a cut, and its entry is that of before.
-            Some(report) if lost && report.layers != listed => {
-                directory.record_unresponsive(&part.id, now);
-                pause = BACK;
+            // The endpoint has restarted while it was partitioned, and its entry in the list is older.
+            Some(report) if unresponsive && report.layers != listed => {
+                directory.record_unresponsive(&endpoint.id, now);
+                pause = MIN_RECOVERY_PAUSE;
             }
             Some(report) => {
-                directory.record_slowdown(&part.id, report.pace, now);
-                if lost {
-                    log::info!(target: "fleet", endpoint = &*part.id; "Endpoint answers again.");
-                    directory.record_success(&part.id);
+                directory.record_slowdown(&endpoint.id, report.pace, now);
+                if unresponsive {
+                    log::info!(target: "fleet", endpoint = &*endpoint.id; "Endpoint answers again.");
+                    directory.record_success(&endpoint.id);
                 }
-                if directory.slowdown_factor(&part.id, now) <= 1.0 {
+                if directory.slowdown_factor(&endpoint.id, now) <= 1.0 {
                     return;
                 }
             }
-            None if lost => {
-                directory.record_unresponsive(&part.id, now);
+            None if unresponsive => {
+                directory.record_unresponsive(&endpoint.id, now);
             }
             None => {}
         }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -19,9 +19,10 @@
 use super::{
     Admitted, Ended,
     attempts::Attempts,
-    call, ended,
+    call,
+    chain_load::ChainLoadGuard,
+    ended,
     events::{EventBatch, EventSplitter},
-    on_chain::OnChain,
     probe,
     refusal::Refusal,
     send::{self, Begun, DispatchError, Target},
@@ -258,7 +259,7 @@
     ) -> Result<RunEnd, Ended> {
         let gateway = self.gateway;
         let chain = &planned.chain;
-        let on = OnChain::new(gateway, chain, &planned.want);
+        let chain_load = ChainLoadGuard::new(gateway, chain, &planned.want);
         let hops: Vec<(SocketAddr, LayerRange)> =
             chain.stages.iter().map(|p| (p.addr, p.layers)).collect();
         let parts: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
@@ -305,7 +306,9 @@
         if !success(begun.head.status) {
             return self.pass_failure(begun, out).await;
         }
-        let end = self.relay(&mut watch, &on, begun, sent_at, out).await?;
+        let end = self
+            .relay(&mut watch, &chain_load, begun, sent_at, out)
+            .await?;
         if let RunEnd::Complete(_) = end {
             gateway.survived(self.admitted.fingerprint());
             let mut directory = gateway.directory.borrow_mut();
@@ -341,7 +344,7 @@
     async fn relay(
         &mut self,
         watch: &mut Watch<'_>,
-        on: &OnChain<'_>,
+        chain_load: &ChainLoadGuard<'_>,
         mut begun: Begun,
         sent_at: Instant,
         out: &mut Responder<'_>,
@@ -375,12 +378,12 @@
                 EventBatch::Missing => return Ok(given_up_on("events are missing")),
                 EventBatch::Events(events) => self.pass_on(&mut begun, events, out).await?,
             }
-            on.read();
+            chain_load.end_prefill();
             watch.run.started = true;
             since = Instant::now();
             self.last_event_at = Some(since);
             let now = self.gateway.now();
-            self.gateway.prober.event(watch.chain, now);
+            self.gateway.prober.record_event(watch.chain, now);
         }
         out.end().await?;
         if begun.connection.reusable() {
--- a/crates/gateway/src/forward/watch.rs
+++ b/crates/gateway/src/forward/watch.rs
@@ -37,7 +37,7 @@
 impl Watch<'_> {
     /// Ends when a run of which nothing has come since then is to be given up, and says why.
     pub(super) async fn until_given_up(&self, since: Instant) -> GivenUp {
-        let mut lost = self.gateway.prober.lost();
+        let mut lost = self.gateway.prober.endpoint_failures();
         let mut probed: Option<Instant> = None;
         loop {
             if self.over_part() {
@@ -55,7 +55,7 @@
                         true => Suspicion::Still,
                         false => Suspicion::Late,
                     };
-                    probe::in_doubt(self.gateway, self.chain, doubt);
+                    probe::probe_suspected(self.gateway, self.chain, doubt);
                     probed = Some(Instant::now());
                 }
                 Step::Wait(wait) => {
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -56,7 +56,7 @@
         log_listed(listed);
         if put == PutOutcome::Relisted {
             log::info!(target: "fleet", endpoint = &*id; "Endpoint is listed again and must answer first.");
-            forward::prove(self, listed);
+            forward::poll_relisted(self, listed);
         }
     }
 
@@ -68,7 +68,7 @@
         self.loads.borrow_mut().forget(&endpoint.id);
         self.limits.borrow_mut().remove(&endpoint.id);
         self.idle.drop_all(endpoint.addr);
-        self.prober.changed();
+        self.prober.notify_failure();
         self.metrics.endpoint_restarts.inc();
     }
 
