--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -12,10 +12,9 @@
 use super::{
     Admitted, Ended,
     attempts::Attempts,
-    ended,
     refusal::Refusal,
     send::{self, Begun, DispatchError, Target},
-    success,
+    success, termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder};
 
@@ -95,11 +94,11 @@
                     why:? = failed;
                     "A call failed."
                 );
-                let ran = ended::Ran {
+                let ran = termination::RunEndpoint {
                     id: &endpoint.id,
                     addr: endpoint.addr,
                 };
-                ended::note(gateway, admitted, &[ran], &failed).await;
+                termination::record_terminations(gateway, admitted, &[ran], &failed).await;
                 attempts.record_failure(failed);
             }
         }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -6,14 +6,14 @@
 mod attempts;
 mod call;
 mod chain_load;
-mod ended;
 mod events;
 mod probe;
 mod refusal;
 mod request_log;
+mod run_monitor;
 mod send;
 mod stream;
-mod watch;
+mod termination;
 
 use std::{cell::OnceCell, io, rc::Rc, time::Duration};
 
@@ -35,13 +35,13 @@
 };
 
 use attempts::Attempts;
-pub use ended::Looks;
 pub use events::{EventBatch, EventSplitter};
 pub use probe::Prober;
 pub(crate) use probe::poll_relisted;
 use refusal::Refusal;
 pub use request_log::RequestLogBudget;
 use request_log::{Decision, RequestLog};
+pub use termination::TerminationChecks;
 
 /// How long a request waits for which neither its route nor its caller says it.
 const USUAL_DEADLINE: Duration = Duration::from_secs(30);
@@ -267,8 +267,8 @@
             Ok(admitted) => admitted,
             Err(denied) => {
                 let Denied { incoming, refusal } = *denied;
-                refusal::log_denied(gateway, id(&incoming), &refusal);
-                return refusal::answer(gateway, &incoming, "unrouted", &refusal, out).await;
+                refusal::log_denial(gateway, id(&incoming), &refusal);
+                return refusal::send_answer(gateway, &incoming, "unrouted", &refusal, out).await;
             }
         };
         let result = match admitted.route.kind {
@@ -284,9 +284,9 @@
                 Err(e)
             }
             Err(Ended::Refused(refusal)) => {
-                refusal::log(&admitted, &refusal);
+                refusal::log_refusal(&admitted, &refusal);
                 let kind = admitted.kind_label();
-                refusal::answer(gateway, &admitted.incoming, kind, &refusal, out).await
+                refusal::send_answer(gateway, &admitted.incoming, kind, &refusal, out).await
             }
         }
     }
--- a/crates/gateway/src/forward/refusal.rs
+++ b/crates/gateway/src/forward/refusal.rs
@@ -1,4 +1,4 @@
-//! The answers that the gateway gives itself, and the status of each.
+//! Answers that the gateway itself gives to requests, and the status of each.
 
 use std::{io, time::Duration};
 
@@ -9,47 +9,48 @@
 use super::Admitted;
 use crate::{gateway::Gateway, http::callers::Responder, metrics::Outcome, ports::Incoming};
 
-/// When a refused caller may come back, at least, and the spread, so that callers don't return
-/// together. An engine that refused has room again in a few hundred ms.
-const COME_BACK: Duration = Duration::from_millis(150);
-const COME_BACK_SPREAD: Duration = Duration::from_millis(350);
-/// When a caller may come back that no endpoint can take, at least, and the spread: loads of layers
-/// and answers take seconds. Callers with less time come back after a third of it.
-const LATER: Duration = Duration::from_millis(900);
-const LATER_SPREAD: Duration = Duration::from_millis(1600);
-/// When a caller may come back to another host, at most.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+/// The minimum retry delay of a refused caller, and the range of a random addition that keeps callers from
+/// retrying at the same moment. An engine that refused has free capacity again within a few hundred ms.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+const RETRY_DELAY_SPREAD: Duration = Duration::from_millis(350);
+/// The minimum retry delay and its random addition for a caller whose request no endpoint can run: loading layers
+/// and finishing other requests take seconds. Callers with less time left retry after a third of it.
+const NO_ENDPOINT_DELAY: Duration = Duration::from_millis(900);
+const NO_ENDPOINT_DELAY_SPREAD: Duration = Duration::from_millis(1600);
+/// The maximum retry delay of a caller that is to retry at another host.
+const MAX_OTHER_HOST_DELAY: Duration = Duration::from_millis(50);
 
-/// Why the gateway answers itself.
+/// The reason why the gateway itself answers a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// A header can't be used.
+    /// A header is invalid.
     Malformed(String),
-    /// This host is about to end.
+    /// This host is shutting down.
     Leaving,
-    /// No catalogue is known that may be acted on.
+    /// No catalogue is known, or the known one may be outdated.
     Stale,
-    /// No route has the host and a prefix of the path.
+    /// No route matches the host and a prefix of the path.
     NoRoute,
-    /// The key is no workspace's.
+    /// The key does not belong to a workspace, or is missing.
     NoWorkspace,
-    /// No endpoint can take it; it was not run.
+    /// No endpoint can run the request; it was not run.
     NoEndpoint(&'static str),
-    /// The endpoints that could take it name limits, of which nothing is left now; it was not run.
+    /// The endpoints that could run the request state limits that are used up; it was not run.
     AtLimit,
-    /// Endpoints have ended under it, and it is not sent for so long; this attempt was not run.
+    /// The request is quarantined for this long, because endpoints terminated while they ran it; this attempt was not
+    /// run.
     EndsEndpoints(Duration),
-    /// All endpoints that were asked refused it; it was not run.
+    /// All endpoints that the request was sent to refused it; it was not run.
     NotRun(String),
-    /// It was sent and may have run; nothing usable came back.
+    /// The request was sent and may have run, but there is no usable answer.
     MayHaveRun(String),
-    /// Time is up; it was sent and may have run.
+    /// The request was sent and may have run, but its time is over.
     OutOfTime,
 }
 
 impl Refusal {
-    /// The status. Those of refusals that promise that nothing was run are given only by cases that
-    /// know it.
+    /// The status of the answer. Only refusals that guarantee that the request was not run have a status that promises
+    /// this.
     fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
@@ -66,25 +67,25 @@
         }
     }
 
-    /// When the caller may come back.
+    /// The delay after which the caller may retry; `None` if a retry is of no use or not safe.
     fn retry_after(&self) -> Option<Duration> {
         let draw: f64 = rand::rng().random();
         match self {
-            // Another host takes it at once.
-            Self::Leaving => Some(ELSEWHERE.mul_f64(draw)),
-            Self::EndsEndpoints(left) => Some(*left),
-            // Layers have to be loaded first, or requests to end.
-            Self::NoEndpoint(_) => Some(LATER + LATER_SPREAD.mul_f64(draw)),
+            // Another host accepts the request at once.
+            Self::Leaving => Some(MAX_OTHER_HOST_DELAY.mul_f64(draw)),
+            Self::EndsEndpoints(remaining) => Some(*remaining),
+            // Layers must be loaded first, or other requests must end.
+            Self::NoEndpoint(_) => Some(NO_ENDPOINT_DELAY + NO_ENDPOINT_DELAY_SPREAD.mul_f64(draw)),
             _ if self.status() == StatusCode::SERVICE_UNAVAILABLE => {
-                Some(COME_BACK + COME_BACK_SPREAD.mul_f64(draw))
+                Some(RETRY_DELAY + RETRY_DELAY_SPREAD.mul_f64(draw))
             }
             _ => None,
         }
     }
 }
 
-/// Gives the answer.
-pub(super) async fn answer(
+/// Sends the answer of a refusal to the caller.
+pub(super) async fn send_answer(
     gateway: &Gateway,
     incoming: &Incoming,
     kind: &str,
@@ -98,8 +99,8 @@
     out.whole(status, headers, Bytes::new()).await
 }
 
-/// Writes a line on a request that got no route.
-pub(super) fn log_denied(gateway: &Gateway, id: &str, refusal: &Refusal) {
+/// Logs a request that was refused before it was routed.
+pub(super) fn log_denial(gateway: &Gateway, id: &str, refusal: &Refusal) {
     let proof_age = gateway.proof_age().unwrap_or_default();
     log::info!(
         target: "forward",
@@ -111,8 +112,8 @@
     );
 }
 
-/// Ends the trail of a request that was routed and not served.
-pub(super) fn log(admitted: &Admitted, refusal: &Refusal) {
+/// Ends the log of a request that was routed and then refused.
+pub(super) fn log_refusal(admitted: &Admitted, refusal: &Refusal) {
     admitted.request_log.finish(match refusal.status() {
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Refused,
         _ => Outcome::Failed,
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -21,13 +21,12 @@
     attempts::Attempts,
     call,
     chain_load::ChainLoadGuard,
-    ended,
     events::{EventBatch, EventSplitter},
     probe,
     refusal::Refusal,
+    run_monitor::RunMonitor,
     send::{self, Begun, DispatchError, Target},
-    success,
-    watch::Watch,
+    success, termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
 
@@ -168,13 +167,13 @@
     /// Notes if an endpoint has ended under a run that failed, before another one gets it.
     async fn note_end(&self, chain: &Chain, failed: &DispatchError) {
         let parts = chain.stages.iter();
-        let ran: Vec<ended::Ran<'_>> = parts
-            .map(|part| ended::Ran {
+        let endpoints: Vec<termination::RunEndpoint<'_>> = parts
+            .map(|part| termination::RunEndpoint {
                 id: &part.id,
                 addr: part.addr,
             })
             .collect();
-        ended::note(self.gateway, self.admitted, &ran, failed).await;
+        termination::record_terminations(self.gateway, self.admitted, &endpoints, failed).await;
     }
 
     /// The next run, if a chain can take it.
@@ -272,16 +271,16 @@
             after_event: self.events.last(),
             leaves: Cell::new(false),
         };
-        let mut watch = Watch {
+        let mut monitor = RunMonitor {
             gateway,
             chain,
-            run: self.waited_for(planned),
+            timing: self.waited_for(planned),
         };
         let sent_at = Instant::now();
         let sent = tokio::select! {
             biased;
-            sent = send::send(gateway, self.admitted, &target, watch.run.timeout()) => sent,
-            given_up = watch.until_given_up(sent_at) => Err(target.given_up(given_up.why)),
+            sent = send::send(gateway, self.admitted, &target, monitor.timing.timeout()) => sent,
+            abandoned = monitor.until_abandoned(sent_at) => Err(target.given_up(abandoned.why)),
         };
         let begun = match sent {
             Ok(begun) => begun,
@@ -307,7 +306,7 @@
             return self.pass_failure(begun, out).await;
         }
         let end = self
-            .relay(&mut watch, &chain_load, begun, sent_at, out)
+            .relay(&mut monitor, &chain_load, begun, sent_at, out)
             .await?;
         if let RunEnd::Complete(_) = end {
             gateway.survived(self.admitted.fingerprint());
@@ -343,7 +342,7 @@
 
     async fn relay(
         &mut self,
-        watch: &mut Watch<'_>,
+        monitor: &mut RunMonitor<'_>,
         chain_load: &ChainLoadGuard<'_>,
         mut begun: Begun,
         sent_at: Instant,
@@ -355,13 +354,13 @@
             let piece = tokio::select! {
                 biased;
                 piece = begun.connection.chunk() => piece,
-                given_up = watch.until_given_up(since) => {
+                abandoned = monitor.until_abandoned(since) => {
                     // What has ended sends nothing more, and its caller may as well know.
-                    if out.started() && !given_up.over && !self.may_go_on_elsewhere() {
-                        watch.run.may_retry = false;
+                    if out.started() && !abandoned.terminated && !self.may_go_on_elsewhere() {
+                        monitor.timing.may_retry = false;
                         continue;
                     }
-                    return Ok(given_up_on(given_up.why));
+                    return Ok(given_up_on(abandoned.why));
                 }
             };
             let piece = match piece {
@@ -369,7 +368,7 @@
                 Ok(None) if self.events.is_at_event_boundary() && out.started() => break,
                 Ok(None) => return Ok(broke_off("it ended inside an event")),
                 Err(e) => {
-                    probe::after_break(self.gateway, watch.chain).await;
+                    probe::after_break(self.gateway, monitor.chain).await;
                     return Ok(broke_off(&e.to_string()));
                 }
             };
@@ -379,15 +378,15 @@
                 EventBatch::Events(events) => self.pass_on(&mut begun, events, out).await?,
             }
             chain_load.end_prefill();
-            watch.run.started = true;
+            monitor.timing.started = true;
             since = Instant::now();
             self.last_event_at = Some(since);
             let now = self.gateway.now();
-            self.gateway.prober.record_event(watch.chain, now);
+            self.gateway.prober.record_event(monitor.chain, now);
         }
         out.end().await?;
         if begun.connection.reusable() {
-            let addr = watch.chain.first_stage().addr;
+            let addr = monitor.chain.first_stage().addr;
             self.gateway
                 .keep(addr, begun.connection, &self.admitted.service);
         }
--- /dev/null
+++ b/crates/gateway/src/forward/termination.rs
@@ -0,0 +1,100 @@
+//! Detects endpoints that terminate while they run a request.
+//!
+//! A connection that ends before the end of an answer may have been reset by the network, or the endpoint may
+//! have dropped this request only. If the process has terminated, its port is closed, and a new connection to it is
+//! refused at once. A missing response proves nothing, since a partition looks the same. Nor does an accepted
+//! connection prove that the same process is running: its next incarnation may already listen there, which becomes
+//! known when it is listed.
+
+use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
+
+use actix_http::ServiceConfig;
+use futures_util::{
+    FutureExt,
+    future::{LocalBoxFuture, Shared},
+};
+use rustc_hash::FxHashMap;
+
+use super::{Admitted, send::DispatchError};
+use crate::{gateway::Gateway, http::connection};
+
+/// How long to wait for a connection to be refused. The network takes 1 ms at most, and the request waits
+/// meanwhile.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(60);
+
+/// A check of the address of an endpoint: true if connections to it are refused.
+type TerminationCheck = Shared<LocalBoxFuture<'static, bool>>;
+
+/// Checks of endpoints that may have terminated. All requests that run at an endpoint fail together when it
+/// terminates, so they share one check.
+#[derive(Default)]
+pub struct TerminationChecks(RefCell<FxHashMap<Rc<str>, TerminationCheck>>);
+
+impl TerminationChecks {
+    fn check(&self, gateway: &Gateway, id: &Rc<str>, addr: SocketAddr) -> TerminationCheck {
+        let mut checks = self.0.borrow_mut();
+        // A negative result may change, so it is not kept. A termination is final.
+        let directory = gateway.directory.borrow();
+        checks.retain(|id, check| check.peek() != Some(&false) && directory.get(id).is_some());
+        let new = || {
+            is_port_closed(addr, gateway.codec.clone())
+                .boxed_local()
+                .shared()
+        };
+        checks.entry(id.clone()).or_insert_with(new).clone()
+    }
+}
+
+async fn is_port_closed(addr: SocketAddr, config: ServiceConfig) -> bool {
+    let opened = connection::open_within(addr, &config, REFUSAL_TIMEOUT).await;
+    opened.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused)
+}
+
+/// An endpoint that ran a request, or a stage of it.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RunEndpoint<'a> {
+    pub(super) id: &'a Rc<str>,
+    pub(super) addr: SocketAddr,
+}
+
+/// Records whether one of the endpoints of a failed run has terminated. The request was sent to the first of them.
+///
+/// Where an endpoint may have terminated, the broken run is recorded, so that it counts once the termination is
+/// known.
+pub(super) async fn record_terminations(
+    gateway: &Gateway,
+    admitted: &Admitted,
+    endpoints: &[RunEndpoint<'_>],
+    error: &DispatchError,
+) {
+    let broke_off = match error {
+        DispatchError::NotSent(_) | DispatchError::NotRun(_) => return,
+        DispatchError::MayHaveRun(_) => false,
+        DispatchError::BrokeOff(_) => true,
+    };
+    if let Some(terminated) = endpoints
+        .iter()
+        .find(|e| gateway.directory.borrow().has_ended(e.id))
+    {
+        return gateway.ended_under(admitted.fingerprint(), terminated.id);
+    }
+    for (index, endpoint) in endpoints.iter().enumerate() {
+        // If a later stage has terminated, the first one breaks off after a while. By then the later one is
+        // known to be unresponsive.
+        let unresponsive = gateway.directory.borrow().is_unresponsive(endpoint.id);
+        let suspected = unresponsive || (broke_off && index == 0);
+        if !suspected {
+            continue;
+        }
+        // A run that was abandoned must not wait for an address that may not respond either.
+        if broke_off
+            && gateway
+                .termination_checks
+                .check(gateway, endpoint.id, endpoint.addr)
+                .await
+        {
+            return gateway.ended_under(admitted.fingerprint(), endpoint.id);
+        }
+        gateway.broke_off_at(admitted.fingerprint(), endpoint.id);
+    }
+}
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -39,7 +39,7 @@
 use self::listing::Ignored;
 use crate::{
     bounds::Bounds,
-    forward::{Looks, Prober, RequestLogBudget},
+    forward::{Prober, RequestLogBudget, TerminationChecks},
     http::{connection::Connection, pool::Idle},
     metrics::Metrics,
     peers::Peers,
@@ -143,7 +143,7 @@
     /// Requests under which endpoints have ended.
     pub quarantine: RefCell<Quarantine>,
     /// Looks whether endpoints have ended over which runs broke off.
-    pub looks: Looks,
+    pub termination_checks: TerminationChecks,
     /// The limits that endpoints name.
     pub limits: RefCell<EndpointLimits>,
 }
@@ -188,7 +188,7 @@
             log_budget,
             prober: Prober::default(),
             quarantine: RefCell::new(quarantine),
-            looks: Looks::default(),
+            termination_checks: TerminationChecks::default(),
             limits: RefCell::default(),
         })
     }
