--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -10,11 +10,12 @@
 use tokio::time;
 
 use super::{
-    Admitted, Ended,
+    AdmittedRequest, ForwardError,
     attempts::Attempts,
+    is_success,
     refusal::Refusal,
     send::{self, Begun, DispatchError, Target},
-    success, termination,
+    termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder};
 
@@ -33,9 +34,9 @@
 /// Forwards a call and passes its answer on.
 pub(super) async fn forward(
     gateway: &Gateway,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     out: &mut Responder<'_>,
-) -> Result<(), Ended> {
+) -> Result<(), ForwardError> {
     let whole = answer(gateway, admitted).await?;
     let Begun {
         mut connection,
@@ -54,18 +55,18 @@
     Ok(())
 }
 
-async fn answer(gateway: &Gateway, admitted: &Admitted) -> Result<Whole, Refusal> {
+async fn answer(gateway: &Gateway, admitted: &AdmittedRequest) -> Result<Whole, Refusal> {
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut attempts = Attempts::new(Refusal::NoEndpoint("no endpoint of the service is known"));
     let mut failure: Option<Whole> = None;
-    for _ in 0..admitted.most_sends() + MORE_TRIES {
-        if admitted.left().is_zero() || !admitted.may_send(gateway, &mut attempts) {
+    for _ in 0..admitted.max_dispatches() + MORE_TRIES {
+        if admitted.time_left().is_zero() || !admitted.may_dispatch(gateway, &mut attempts) {
             break;
         }
         let Some(endpoint) = pick(gateway, admitted, &tried, &mut attempts) else {
             break;
         };
-        if attempts.dispatches() > 0 && !admitted.take_repeat(gateway).await {
+        if attempts.dispatches() > 0 && !admitted.acquire_retry(gateway).await {
             break;
         }
         tried.push(endpoint.id.clone());
@@ -73,11 +74,11 @@
         admitted
             .request_log
             .record_dispatch(to, Duration::ZERO, 0.0, None);
-        let more = admitted.may_go_on(&attempts);
-        let left = admitted.left();
+        let more = admitted.may_dispatch_again(&attempts);
+        let left = admitted.time_left();
         let limit = if more { left.mul_f64(FIRST_PART) } else { left };
         match attempt_at(gateway, admitted, &endpoint, limit).await {
-            Ok(whole) if success(whole.begun.head.status) || !may_improve(&whole, more) => {
+            Ok(whole) if is_success(whole.begun.head.status) || !may_improve(&whole, more) => {
                 return Ok(whole);
             }
             Ok(whole) => {
@@ -106,7 +107,7 @@
     if let Some(whole) = failure {
         return Ok(whole);
     }
-    match attempts.may_have_run() && admitted.left().is_zero() {
+    match attempts.may_have_run() && admitted.time_left().is_zero() {
         true => Err(Refusal::OutOfTime),
         false => Err(attempts.refusal()),
     }
@@ -120,7 +121,7 @@
 /// The endpoint of the next send; the tries note if limits leave none.
 fn pick(
     gateway: &Gateway,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     tried: &[Rc<str>],
     attempts: &mut Attempts,
 ) -> Option<Rc<Endpoint>> {
@@ -138,7 +139,7 @@
 
 async fn attempt_at(
     gateway: &Gateway,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     endpoint: &Endpoint,
     limit: Duration,
 ) -> Result<Whole, DispatchError> {
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,7 +1,7 @@
-//! Forwarding of callers' requests to endpoints.
+//! Forwards callers' requests to endpoints.
 //!
-//! [`Forwarder`] reads what a request is, finds its route and whose it is, and hands it to
-//! `call` or `stream`. What is refused there is said in one place, `refusal`.
+//! [`Forwarder`] parses the headers of a request, finds its route and workspace, and forwards it through `call` or
+//! `stream`. All refusals are defined in `refusal`.
 
 mod attempts;
 mod call;
@@ -43,11 +43,11 @@
 use request_log::{Decision, RequestLog};
 pub use termination::TerminationChecks;
 
-/// How long a request waits for which neither its route nor its caller says it.
-const USUAL_DEADLINE: Duration = Duration::from_secs(30);
+/// The deadline of a request whose caller states none. The timeout of its route applies as well.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// A request whose route and workspace are known.
-struct Admitted {
+struct AdmittedRequest {
     head: RequestHead,
     body: Bytes,
     incoming: Incoming,
@@ -55,47 +55,47 @@
     service: Rc<Service>,
     workspace: Option<Rc<str>>,
     priority: u8,
-    at: Instant,
-    /// When its final answer is due: the route's timeout, or the caller's deadline.
+    received_at: Instant,
+    /// When the answer must be complete: after the route's timeout or the caller's deadline, whichever is earlier.
     due: Instant,
-    /// What was decided for it.
+    /// The decisions on the request.
     request_log: RequestLog,
-    /// Made when it is first needed: with its answer, or when a send has failed.
+    /// Computed on first use: when an endpoint answered, a dispatch failed, or any request is quarantined.
     fingerprint: OnceCell<Fingerprint>,
 }
 
-impl Admitted {
-    /// How long the caller and the route still wait.
-    fn left(&self) -> Duration {
+impl AdmittedRequest {
+    /// The time left until the answer must be complete.
+    fn time_left(&self) -> Duration {
         self.due.saturating_duration_since(Instant::now())
     }
 
-    /// The most endpoints that it may be sent to.
-    fn most_sends(&self) -> u32 {
+    /// The maximum number of dispatches of the request.
+    fn max_dispatches(&self) -> u32 {
         self.route.max_attempts.max(1)
     }
 
-    /// Whether it may be sent once more after these tries, which note if it is held.
-    fn may_send(&self, gateway: &Gateway, attempts: &mut Attempts) -> bool {
-        if let Some(refusal) = self.held(gateway) {
+    /// Whether the request may be dispatched after these attempts. A quarantine is recorded in them as refusal.
+    fn may_dispatch(&self, gateway: &Gateway, attempts: &mut Attempts) -> bool {
+        if let Some(refusal) = self.quarantine_refusal(gateway) {
             attempts.record_not_sent(refusal);
             return false;
         }
         let may_run_again = self.route.kind.retryable() || !attempts.may_have_run();
-        may_run_again && attempts.dispatches() < self.most_sends()
+        may_run_again && attempts.dispatches() < self.max_dispatches()
     }
 
-    /// Whether another send may follow the next one, even if that may have run.
-    fn may_go_on(&self, attempts: &Attempts) -> bool {
-        self.route.kind.retryable() && attempts.dispatches() + 1 < self.most_sends()
+    /// Whether another dispatch may follow the next one, even if the next one may have run.
+    fn may_dispatch_again(&self, attempts: &Attempts) -> bool {
+        self.route.kind.retryable() && attempts.dispatches() + 1 < self.max_dispatches()
     }
 
-    /// Names it, whichever attempt of it this is.
+    /// Identifies the request across all attempts of its caller.
     fn fingerprint(&self) -> Fingerprint {
         let made = || {
             let path = self.head.uri.path_and_query();
             Fingerprint::of(&RequestIdentity {
-                host: asked_host(&self.head),
+                host: requested_host(&self.head),
                 method: self.head.method.as_str(),
                 path: path.map_or("", |p| p.as_str()),
                 workspace: self.workspace.as_deref(),
@@ -105,14 +105,14 @@
         *self.fingerprint.get_or_init(made)
     }
 
-    /// Why it is not sent, if endpoints have ended under it, at whichever host.
-    fn held(&self, gateway: &Gateway) -> Option<Refusal> {
-        let left = gateway.request_held(|| self.fingerprint())?;
-        Some(Refusal::EndsEndpoints(left))
+    /// The refusal of a request that is quarantined because endpoints terminated while they ran it, on any host.
+    fn quarantine_refusal(&self, gateway: &Gateway) -> Option<Refusal> {
+        let remaining = gateway.request_held(|| self.fingerprint())?;
+        Some(Refusal::EndsEndpoints(remaining))
     }
 
-    /// Takes one repeat of it out of the budget; false if none is left.
-    async fn take_repeat(&self, gateway: &Gateway) -> bool {
+    /// Acquires a retry from the budget of the service; false if none is left.
+    async fn acquire_retry(&self, gateway: &Gateway) -> bool {
         let service = &self.service.name;
         gateway.until_recorded(service).await;
         let budget = gateway.repeats_standing(service);
@@ -130,8 +130,8 @@
     }
 }
 
-/// The host that a request names, without the port.
-fn asked_host(head: &RequestHead) -> &str {
+/// The host in the `Host` header of a request, without the port.
+fn requested_host(head: &RequestHead) -> &str {
     let host = head.headers.get(header::HOST);
     let host = host.and_then(|h| h.to_str().ok()).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
@@ -145,66 +145,71 @@
     }
 }
 
-/// The id of a request, as its caller gave it.
-fn id(incoming: &Incoming) -> &str {
+/// The id that the caller gave this attempt of the request; `-` if there is none.
+fn request_id(incoming: &Incoming) -> &str {
     let id = incoming.attempt.as_ref();
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// A request that was refused before it had a route.
-struct Denied {
+/// The refusal of a request that has no route yet.
+struct Denial {
     incoming: Incoming,
     refusal: Refusal,
 }
 
-impl Denied {
+impl Denial {
     fn new(incoming: Incoming, refusal: Refusal) -> Box<Self> {
         Box::new(Self { incoming, refusal })
     }
 }
 
-/// Answers callers' requests by forwarding them.
+/// Answers callers' requests by forwarding them to endpoints.
 pub struct Forwarder {
     gateway: Rc<Gateway>,
 }
 
 impl Forwarder {
-    /// A forwarder for a host.
+    /// Creates a forwarder that uses the state of a host.
     pub fn new(gateway: Rc<Gateway>) -> Self {
         Self { gateway }
     }
 
-    fn admit(&self, received: Received) -> Result<Admitted, Box<Denied>> {
-        let Received { mut head, body, at } = received;
+    fn admit(&self, received: Received) -> Result<AdmittedRequest, Box<Denial>> {
+        let Received {
+            mut head,
+            body,
+            at: received_at,
+        } = received;
         let gateway = &self.gateway;
         if !gateway.takes_requests() {
             let incoming = gateway.platform.dialect.incoming(&mut head);
-            return Err(Denied::new(incoming.unwrap_or_default(), Refusal::Leaving));
+            return Err(Denial::new(incoming.unwrap_or_default(), Refusal::Leaving));
         }
         let incoming = match gateway.platform.dialect.incoming(&mut head) {
             Ok(incoming) => incoming,
             Err(fault) => {
                 let refusal = Refusal::Malformed(fault.to_string());
-                return Err(Denied::new(Incoming::default(), refusal));
+                return Err(Denial::new(Incoming::default(), refusal));
             }
         };
-        match self.find(&head, &incoming) {
+        match self.find_route(&head, &incoming) {
             Ok((route, workspace)) => {
                 let service = route.pick_service(rand::rng().random()).clone();
                 gateway.count_request(&service.name);
-                let deadline = incoming.deadline.unwrap_or(USUAL_DEADLINE);
+                let deadline = incoming.deadline.unwrap_or(DEFAULT_DEADLINE);
                 let priority = workspace.as_ref().and_then(|w| w.priority);
-                let due = at + route.timeout.min(deadline);
+                let due = received_at + route.timeout.min(deadline);
                 let kind = kind_label(route.kind);
-                let request_log = RequestLog::new(gateway, id(&incoming), kind, at, &route);
+                let request_log =
+                    RequestLog::new(gateway, request_id(&incoming), kind, received_at, &route);
                 request_log.record(Decision::Admitted {
                     route: route.name.clone(),
                     workspace: workspace.as_ref().map(|w| w.name.clone()),
                     catalogue: gateway.catalogue_version(),
                     proof_age: gateway.proof_age().unwrap_or_default(),
-                    time_left: due.saturating_duration_since(at),
+                    time_left: due.saturating_duration_since(received_at),
                 });
-                Ok(Admitted {
+                Ok(AdmittedRequest {
                     due,
                     request_log,
                     fingerprint: OnceCell::new(),
@@ -215,26 +220,26 @@
                     incoming,
                     route,
                     service,
-                    at,
+                    received_at,
                 })
             }
-            Err(refusal) => Err(Denied::new(incoming, refusal)),
+            Err(refusal) => Err(Denial::new(incoming, refusal)),
         }
     }
 
-    /// The route of a request and whose it is.
-    fn find(
+    /// Finds the route of a request and the workspace of its caller.
+    fn find_route(
         &self,
         head: &RequestHead,
         incoming: &Incoming,
     ) -> Result<(Rc<Route>, Option<Workspace>), Refusal> {
         let gateway = &self.gateway;
         let catalogue = gateway.catalogue.borrow();
-        // A catalogue that may be outdated must neither honour a key nor deny a route.
+        // A catalogue that may be outdated must neither accept a key nor deny a route.
         let Some(catalogue) = catalogue.as_ref().filter(|_| gateway.fresh()) else {
             return Err(Refusal::Stale);
         };
-        let Some(route) = catalogue.route(asked_host(head), head.uri.path()) else {
+        let Some(route) = catalogue.route(requested_host(head), head.uri.path()) else {
             return Err(Refusal::NoRoute);
         };
         let workspace = incoming
@@ -262,12 +267,12 @@
 
     async fn handle(&self, received: Received, out: &mut Responder<'_>) -> io::Result<()> {
         let gateway = &self.gateway;
-        let _open = OpenRequest::new(gateway);
+        let _open = OpenRequestGuard::new(gateway);
         let admitted = match self.admit(received) {
             Ok(admitted) => admitted,
-            Err(denied) => {
-                let Denied { incoming, refusal } = *denied;
-                refusal::log_denial(gateway, id(&incoming), &refusal);
+            Err(denial) => {
+                let Denial { incoming, refusal } = *denial;
+                refusal::log_denial(gateway, request_id(&incoming), &refusal);
                 return refusal::send_answer(gateway, &incoming, "unrouted", &refusal, out).await;
             }
         };
@@ -277,13 +282,13 @@
         };
         match result {
             Ok(()) => Ok(()),
-            Err(Ended::Io(e)) => {
+            Err(ForwardError::Io(e)) => {
                 admitted.request_log.finish(Outcome::Broken);
                 let why = &e;
                 log::info!(target: "forward", id = admitted.request_log.id(), why:% = why; "Answer was not passed on.");
                 Err(e)
             }
-            Err(Ended::Refused(refusal)) => {
+            Err(ForwardError::Refused(refusal)) => {
                 refusal::log_refusal(&admitted, &refusal);
                 let kind = admitted.kind_label();
                 refusal::send_answer(gateway, &admitted.incoming, kind, &refusal, out).await
@@ -296,10 +301,10 @@
     }
 }
 
-/// Counts a request while it is being answered.
-struct OpenRequest<'a>(&'a Gateway);
+/// Counts a request as open until it is dropped.
+struct OpenRequestGuard<'a>(&'a Gateway);
 
-impl<'a> OpenRequest<'a> {
+impl<'a> OpenRequestGuard<'a> {
     fn new(gateway: &'a Gateway) -> Self {
         gateway.asked.set(true);
         gateway.open.set(gateway.open.get() + 1);
@@ -307,33 +312,32 @@
     }
 }
 
-impl Drop for OpenRequest<'_> {
+impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
 }
 
-/// Why a request was not answered by an endpoint.
-enum Ended {
-    /// The caller's connection failed, or the answer broke off.
+/// The reason why the answer of an endpoint was not relayed completely.
+enum ForwardError {
+    /// The caller's connection failed, or an answer that had started was aborted.
     Io(io::Error),
-    /// The gateway gives an answer of its own.
+    /// The gateway itself answers the request.
     Refused(Refusal),
 }
 
-impl From<io::Error> for Ended {
+impl From<io::Error> for ForwardError {
     fn from(e: io::Error) -> Self {
         Self::Io(e)
     }
 }
 
-impl From<Refusal> for Ended {
+impl From<Refusal> for ForwardError {
     fn from(refusal: Refusal) -> Self {
         Self::Refused(refusal)
     }
 }
 
-/// Whether the status is a success.
-fn success(status: StatusCode) -> bool {
+fn is_success(status: StatusCode) -> bool {
     status.is_success()
 }
--- a/crates/gateway/src/forward/refusal.rs
+++ b/crates/gateway/src/forward/refusal.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use rand::Rng;
 
-use super::Admitted;
+use super::AdmittedRequest;
 use crate::{gateway::Gateway, http::callers::Responder, metrics::Outcome, ports::Incoming};
 
 /// The minimum retry delay of a refused caller, and the range of a random addition that keeps callers from
@@ -37,10 +37,10 @@
     NoEndpoint(&'static str),
     /// The endpoints that could run the request state limits that are used up; it was not run.
     AtLimit,
-    /// The request is quarantined for this long, because endpoints terminated while they ran it; this attempt was not
-    /// run.
+    /// The request is quarantined for this long, because endpoints terminated while they ran it; this attempt
+    /// was not run.
     EndsEndpoints(Duration),
-    /// All endpoints that the request was sent to refused it; it was not run.
+    /// Every endpoint refused the request, or nothing was sent to it; the request was not run.
     NotRun(String),
     /// The request was sent and may have run, but there is no usable answer.
     MayHaveRun(String),
@@ -49,8 +49,8 @@
 }
 
 impl Refusal {
-    /// The status of the answer. Only refusals that guarantee that the request was not run have a status that promises
-    /// this.
+    /// The status of the answer. Only refusals that guarantee that the request was not run have a status that
+    /// promises this.
     fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
@@ -113,7 +113,7 @@
 }
 
 /// Ends the log of a request that was routed and then refused.
-pub(super) fn log_refusal(admitted: &Admitted, refusal: &Refusal) {
+pub(super) fn log_refusal(admitted: &AdmittedRequest, refusal: &Refusal) {
     admitted.request_log.finish(match refusal.status() {
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Refused,
         _ => Outcome::Failed,
@@ -122,7 +122,7 @@
         target: "forward",
         id = admitted.request_log.id(),
         route = &*admitted.route.name,
-        after_ms = admitted.at.elapsed().as_millis() as u64,
+        after_ms = admitted.received_at.elapsed().as_millis() as u64,
         why:? = refusal;
         "Request is not served."
     );
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -6,7 +6,7 @@
 use dragonflyrill_fleet::{endpoints::Directory, layers::LayerRange};
 use tokio::time;
 
-use super::Admitted;
+use super::AdmittedRequest;
 use crate::{
     gateway::Gateway,
     http::{
@@ -84,7 +84,7 @@
 /// A refusal of the endpoint that says that the request was not run comes back as such.
 pub(super) async fn send(
     gateway: &Gateway,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     target: &Target<'_>,
     limit: Duration,
 ) -> Result<Begun, DispatchError> {
@@ -100,7 +100,7 @@
         ));
     }
     // The same for what other hosts have found out meanwhile.
-    if admitted.held(gateway).is_some() {
+    if admitted.quarantine_refusal(gateway).is_some() {
         return Err(DispatchError::NotSent(
             "endpoints have ended under it".to_owned(),
         ));
@@ -153,7 +153,7 @@
 
 fn check(
     gateway: &Gateway,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     target: &Target<'_>,
     answer: Begun,
     facts: &AnswerFacts,
@@ -211,9 +211,13 @@
     capacity().map_or(0.0, |capacity| taken / capacity.max(1.0))
 }
 
-fn outgoing_head(gateway: &Gateway, admitted: &Admitted, target: &Target<'_>) -> RequestHead {
+fn outgoing_head(
+    gateway: &Gateway,
+    admitted: &AdmittedRequest,
+    target: &Target<'_>,
+) -> RequestHead {
     let out = Outgoing {
-        deadline: admitted.left(),
+        deadline: admitted.time_left(),
         endpoint: target.name,
         workspace: admitted.workspace.as_deref(),
         priority: admitted.priority,
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -17,16 +17,16 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    Admitted, Ended,
+    AdmittedRequest, ForwardError,
     attempts::Attempts,
     call,
     chain_load::ChainLoadGuard,
     events::{EventBatch, EventSplitter},
-    probe,
+    is_success, probe,
     refusal::Refusal,
     run_monitor::RunMonitor,
     send::{self, Begun, DispatchError, Target},
-    success, termination,
+    termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
 
@@ -41,9 +41,9 @@
 /// Forwards a stream and passes its events on.
 pub(super) async fn forward(
     gateway: &Rc<Gateway>,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     out: &mut Responder<'_>,
-) -> Result<(), Ended> {
+) -> Result<(), ForwardError> {
     let mut stream = Stream {
         gateway,
         admitted,
@@ -60,18 +60,22 @@
             Ok(())
         }
         Ok(Err(ended)) => Err(cut(admitted, out, ended)),
-        Err(_) => Err(cut(admitted, out, Ended::Refused(Refusal::OutOfTime))),
+        Err(_) => Err(cut(
+            admitted,
+            out,
+            ForwardError::Refused(Refusal::OutOfTime),
+        )),
     }
 }
 
 /// Once a part of an answer was sent there is no other answer: the connection ends without the
 /// mark of completeness.
-fn cut(admitted: &Admitted, out: &Responder<'_>, ended: Ended) -> Ended {
+fn cut(admitted: &AdmittedRequest, out: &Responder<'_>, ended: ForwardError) -> ForwardError {
     match ended {
-        Ended::Refused(refusal) if out.started() => {
+        ForwardError::Refused(refusal) if out.started() => {
             admitted.request_log.write_buffered();
             log::info!(target: "forward", id = admitted.request_log.id(), why:? = refusal; "Stream breaks off.");
-            Ended::Io(std::io::ErrorKind::ConnectionAborted.into())
+            ForwardError::Io(std::io::ErrorKind::ConnectionAborted.into())
         }
         other => other,
     }
@@ -80,7 +84,7 @@
 /// One stream and the runs that it is made of.
 struct Stream<'a> {
     gateway: &'a Rc<Gateway>,
-    admitted: &'a Admitted,
+    admitted: &'a AdmittedRequest,
     events: EventSplitter,
     /// The keys of the chains that it was sent to.
     tried: Vec<u64>,
@@ -110,19 +114,19 @@
 }
 
 impl Stream<'_> {
-    async fn run(&mut self, out: &mut Responder<'_>) -> Result<http::StatusCode, Ended> {
+    async fn run(&mut self, out: &mut Responder<'_>) -> Result<http::StatusCode, ForwardError> {
         let Some(engine) = self.admitted.service.engine.clone() else {
             return Err(Refusal::NoEndpoint("the service has no engines").into());
         };
-        for _ in 0..self.admitted.most_sends() + call::MORE_TRIES {
-            if !self.admitted.may_send(self.gateway, &mut self.attempts) {
+        for _ in 0..self.admitted.max_dispatches() + call::MORE_TRIES {
+            if !self.admitted.may_dispatch(self.gateway, &mut self.attempts) {
                 break;
             }
             let Some(planned) = self.choose(&engine) else {
                 break;
             };
             if self.attempts.dispatches() > 0 {
-                if !self.admitted.take_repeat(self.gateway).await {
+                if !self.admitted.acquire_retry(self.gateway).await {
                     break;
                 }
                 self.gateway
@@ -224,7 +228,7 @@
         let route = &self.admitted.route;
         let on_time = match self.last_event_at {
             Some(at) => at + route.gap_target,
-            None => self.admitted.at + route.latency_target,
+            None => self.admitted.received_at + route.latency_target,
         };
         let left = on_time.saturating_duration_since(Instant::now());
         RequestDemand {
@@ -243,11 +247,14 @@
         let route = &self.admitted.route;
         RunTiming {
             started: false,
-            may_retry: self.admitted.may_go_on(&self.attempts),
+            may_retry: self.admitted.may_dispatch_again(&self.attempts),
             first_event_target: route.latency_target,
             max_gap: route.gap_target,
             expected_first: planned.expected_first,
-            waited_before: self.last_event_at.unwrap_or(self.admitted.at).elapsed(),
+            waited_before: self
+                .last_event_at
+                .unwrap_or(self.admitted.received_at)
+                .elapsed(),
         }
     }
 
@@ -255,7 +262,7 @@
         &mut self,
         planned: &Planned,
         out: &mut Responder<'_>,
-    ) -> Result<RunEnd, Ended> {
+    ) -> Result<RunEnd, ForwardError> {
         let gateway = self.gateway;
         let chain = &planned.chain;
         let chain_load = ChainLoadGuard::new(gateway, chain, &planned.want);
@@ -297,12 +304,12 @@
         if begun.head.status.is_server_error() {
             let now = gateway.now();
             gateway.directory.borrow_mut().record_error(target.id, now);
-            if self.admitted.may_go_on(&self.attempts) {
+            if self.admitted.may_dispatch_again(&self.attempts) {
                 let why = format!("{} of its own", begun.head.status.as_u16());
                 return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
             }
         }
-        if !success(begun.head.status) {
+        if !is_success(begun.head.status) {
             return self.pass_failure(begun, out).await;
         }
         let end = self
@@ -324,7 +331,7 @@
         &mut self,
         mut begun: Begun,
         out: &mut Responder<'_>,
-    ) -> Result<RunEnd, Ended> {
+    ) -> Result<RunEnd, ForwardError> {
         let status = begun.head.status;
         let body = match begun.connection.whole_body(MOST_FAILURE).await {
             Ok(body) => body,
@@ -347,7 +354,7 @@
         mut begun: Begun,
         sent_at: Instant,
         out: &mut Responder<'_>,
-    ) -> Result<RunEnd, Ended> {
+    ) -> Result<RunEnd, ForwardError> {
         let status = begun.head.status;
         let mut since = sent_at;
         loop {
@@ -396,7 +403,7 @@
     /// Whether another chain has room for the rest of the stream now. One that is as good as full may
     /// refuse it, and an answer that was cut for that is worse than one that pauses.
     fn may_go_on_elsewhere(&mut self) -> bool {
-        if self.admitted.held(self.gateway).is_some() {
+        if self.admitted.quarantine_refusal(self.gateway).is_some() {
             return false;
         }
         let Some(engine) = self.admitted.service.engine.clone() else {
@@ -417,7 +424,7 @@
         begun: &mut Begun,
         events: Bytes,
         out: &mut Responder<'_>,
-    ) -> Result<(), Ended> {
+    ) -> Result<(), ForwardError> {
         if !out.started() {
             let mut headers = std::mem::take(&mut begun.head.headers);
             self.gateway.platform.dialect.strip(&mut headers);
--- a/crates/gateway/src/forward/termination.rs
+++ b/crates/gateway/src/forward/termination.rs
@@ -15,7 +15,7 @@
 };
 use rustc_hash::FxHashMap;
 
-use super::{Admitted, send::DispatchError};
+use super::{AdmittedRequest, send::DispatchError};
 use crate::{gateway::Gateway, http::connection};
 
 /// How long to wait for a connection to be refused. The network takes 1 ms at most, and the request waits
@@ -63,7 +63,7 @@
 /// known.
 pub(super) async fn record_terminations(
     gateway: &Gateway,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     endpoints: &[RunEndpoint<'_>],
     error: &DispatchError,
 ) {
