--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -14,7 +14,7 @@
     attempts::Attempts,
     is_success,
     refusal::Refusal,
-    send::{self, Begun, DispatchError, Target},
+    send::{self, Answer, DispatchError, Target},
     termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder};
@@ -27,7 +27,7 @@
 const FIRST_PART: f64 = 0.5;
 
 struct Whole {
-    begun: Begun,
+    begun: Answer,
     body: Bytes,
 }
 
@@ -38,7 +38,7 @@
     out: &mut Responder<'_>,
 ) -> Result<(), ForwardError> {
     let whole = answer(gateway, admitted).await?;
-    let Begun {
+    let Answer {
         mut connection,
         mut head,
     } = whole.begun;
@@ -149,9 +149,9 @@
         name: &endpoint.name,
         addr: endpoint.addr,
         chain: &[],
-        parts: &[&endpoint.id],
+        endpoint_ids: &[&endpoint.id],
         after_event: None,
-        leaves: Cell::new(false),
+        sending: Cell::new(false),
     };
     let until = time::Instant::now() + limit;
     let asked = async {
@@ -168,7 +168,7 @@
     let result = tokio::select! {
         biased;
         result = asked => result,
-        () = until_over(gateway, &endpoint.id) => Err(target.given_up("the endpoint has ended")),
+        () = until_over(gateway, &endpoint.id) => Err(target.abandoned("the endpoint has ended")),
     };
     if result.is_ok() {
         gateway.survived(admitted.fingerprint());
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to an endpoint, up to the head of the answer.
+//! Dispatches a request to an endpoint and reads the head of the answer.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,102 +16,108 @@
     ports::{AnswerFacts, Outgoing},
 };
 
-/// How long a new connection to an endpoint may take. Endpoints are a fraction of a millisecond
-/// away; one that needs longer does not answer.
-const CONNECT: Duration = Duration::from_millis(300);
+/// The timeout for opening a connection to an endpoint. Endpoints are a fraction of a ms away; one that takes longer
+/// does not respond.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A refusal that comes within this time was not waited for anything that does not answer.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// A refusal within this time was not caused by waiting for an unresponsive endpoint.
+const IMMEDIATE_REFUSAL_TIME: Duration = Duration::from_millis(500);
 
-/// An endpoint with less of its memory taken refuses for another reason: it is leaving, or gives
-/// its layers up.
-const MAY_BE_FULL: f64 = 0.6;
+/// The fraction of memory in use above which a refusal may be for lack of memory. Below it the endpoint refuses for
+/// another reason: it is draining or releases its layers.
+const MIN_FULL_MEMORY_FRACTION: f64 = 0.6;
 
-/// Why nothing was sent to an endpoint that takes no more requests now.
+/// The reason why nothing was sent to an endpoint whose stated limit leaves no permit.
 const LIMIT_REACHED: &str = "an endpoint's limit is reached";
 
-/// Why a send brought no answer that can be used.
+/// The reason why a dispatch yielded no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum DispatchError {
-    /// Nothing has left for the endpoint.
+    /// Nothing was sent to the endpoint.
     NotSent(String),
-    /// The endpoint did not run it and will not.
+    /// The endpoint has not run the request and will not run it.
     NotRun(String),
-    /// It may have run, or may be running.
+    /// The request may have run, or may still be running.
     MayHaveRun(String),
-    /// The same, and the connection ended in the midst: the endpoint may have ended.
+    /// As [`Self::MayHaveRun`], and the connection failed before the end of the answer: the endpoint may have
+    /// terminated.
     BrokeOff(String),
 }
 
-/// An endpoint and what goes to it.
+/// The endpoint that a request is dispatched to, and the data specific to this dispatch.
 pub(super) struct Target<'a> {
     pub(super) id: &'a Rc<str>,
-    /// The name that it answers to.
+    /// The name that the request has as target; an endpoint with another name refuses it.
     pub(super) name: &'a str,
     pub(super) addr: SocketAddr,
+    /// The stages of the chain, by address and layers; empty for a plain call.
     pub(super) chain: &'a [(SocketAddr, LayerRange)],
-    /// The ids of all endpoints that will run a part of it.
-    pub(super) parts: &'a [&'a Rc<str>],
+    /// The ids of all endpoints that run a stage of the request.
+    pub(super) endpoint_ids: &'a [&'a Rc<str>],
+    /// The id of the event after which the answer is to continue.
     pub(super) after_event: Option<u64>,
-    /// Becomes true before the first byte of the request leaves.
-    pub(super) leaves: Cell<bool>,
+    /// Becomes true before the first byte of the request is sent.
+    pub(super) sending: Cell<bool>,
 }
 
 impl Target<'_> {
-    /// An endpoint that has left since it was chosen.
-    fn left(&self, directory: &Directory) -> Option<&Rc<str>> {
-        let mut parts = self.parts.iter().copied();
-        parts.find(|id| !directory.is_active(id))
+    /// An endpoint that has become inactive since it was chosen.
+    fn inactive_endpoint(&self, directory: &Directory) -> Option<&Rc<str>> {
+        let mut endpoint_ids = self.endpoint_ids.iter().copied();
+        endpoint_ids.find(|id| !directory.is_active(id))
     }
 
-    /// What becomes of a send that is given up on the way: it may have run as soon as a byte has left.
-    pub(super) fn given_up(&self, why: &str) -> DispatchError {
-        match self.leaves.get() {
+    /// The error of a dispatch that is abandoned: the request may have run from the first byte sent on.
+    pub(super) fn abandoned(&self, why: &str) -> DispatchError {
+        match self.sending.get() {
             true => DispatchError::MayHaveRun(why.to_owned()),
             false => DispatchError::NotSent(why.to_owned()),
         }
     }
 }
 
-/// An answer whose body is still to come.
-pub(super) struct Begun {
+/// An answer whose head was read and whose body was not.
+pub(super) struct Answer {
     pub(super) connection: Connection,
     pub(super) head: ResponseHead,
 }
 
 /// Sends a request and reads the head of the answer.
 ///
-/// A refusal of the endpoint that says that the request was not run comes back as such.
+/// # Errors
+///
+/// [`DispatchError::NotRun`] if the endpoint refuses the request and states that it was not run.
+/// [`DispatchError::NotSent`] if nothing was sent, and one of the others if the request may have run.
 pub(super) async fn send(
     gateway: &Gateway,
     admitted: &AdmittedRequest,
     target: &Target<'_>,
     limit: Duration,
-) -> Result<Begun, DispatchError> {
+) -> Result<Answer, DispatchError> {
     gateway.metrics.sends.inc();
     let mut connection = match gateway.idle.take(target.addr) {
         Some(connection) => connection,
         None => connect(gateway, target, limit).await?,
     };
-    // The last check before bytes leave: the key may have lapsed while the request waited.
+    // The last check before bytes are sent: the key may have been revoked while the request waited.
     if !gateway.fresh() {
         return Err(DispatchError::NotSent(
             "the catalogue may be outdated".to_owned(),
         ));
     }
-    // The same for what other hosts have found out meanwhile.
+    // Other hosts may have quarantined the request in the meantime.
     if admitted.quarantine_refusal(gateway).is_some() {
         return Err(DispatchError::NotSent(
-            "endpoints have ended under it".to_owned(),
+            "the request is quarantined".to_owned(),
         ));
     }
-    if let Some(id) = target.left(&gateway.directory.borrow()) {
-        return Err(DispatchError::NotSent(format!("{id} has left")));
+    if let Some(id) = target.inactive_endpoint(&gateway.directory.borrow()) {
+        return Err(DispatchError::NotSent(format!("{id} is no longer active")));
     }
-    if !gateway.take_permits(target.parts) {
+    if !gateway.take_permits(target.endpoint_ids) {
         return Err(DispatchError::NotSent(LIMIT_REACHED.to_owned()));
     }
-    target.leaves.set(true);
+    target.sending.set(true);
     let sent_at = time::Instant::now();
     let head = outgoing_head(gateway, admitted, target);
     let sent = time::timeout(limit, connection.send(head, admitted.body.clone())).await;
@@ -131,8 +137,8 @@
         Err(_) => return Err(DispatchError::MayHaveRun("no answer in time".to_owned())),
     };
     let facts = gateway.platform.dialect.answer(&head);
-    let answer = Begun { connection, head };
-    check(gateway, admitted, target, answer, &facts, sent_at.elapsed())
+    let answer = Answer { connection, head };
+    check_answer(gateway, admitted, target, answer, &facts, sent_at.elapsed())
 }
 
 async fn connect(
@@ -140,7 +146,8 @@
     target: &Target<'_>,
     limit: Duration,
 ) -> Result<Connection, DispatchError> {
-    let opened = connection::open_within(target.addr, &gateway.codec, CONNECT.min(limit)).await;
+    let opened =
+        connection::open_within(target.addr, &gateway.codec, CONNECT_TIMEOUT.min(limit)).await;
     opened.map_err(|e| {
         let now = gateway.now();
         gateway
@@ -151,25 +158,25 @@
     })
 }
 
-fn check(
+fn check_answer(
     gateway: &Gateway,
     admitted: &AdmittedRequest,
     target: &Target<'_>,
-    answer: Begun,
+    answer: Answer,
     facts: &AnswerFacts,
-    after: Duration,
-) -> Result<Begun, DispatchError> {
+    elapsed: Duration,
+) -> Result<Answer, DispatchError> {
     let head = &answer.head;
-    // Before anything else: what belongs to another request says nothing of this one.
+    // This check is first: the answer to another request has no information about this one.
     if facts.attempt.is_some() && facts.attempt != admitted.incoming.attempt {
         return Err(DispatchError::MayHaveRun(
-            "the answer is another's".to_owned(),
+            "the answer belongs to another request".to_owned(),
         ));
     }
     gateway.note_limit(target.id, facts);
     if facts.not_run || facts.misdirected {
         let at = facts.fault_at.unwrap_or(target.addr);
-        note_refusal(gateway, at, facts.misdirected, after);
+        record_refusal_by(gateway, at, facts.misdirected, elapsed);
         return Err(DispatchError::NotRun(format!(
             "{} by {at}",
             head.status.as_u16()
@@ -182,33 +189,33 @@
     Ok(answer)
 }
 
-/// An endpoint that refuses is left alone for a moment: longer if it is not what it was taken for
-/// or does not answer, briefly if it is only full.
-fn note_refusal(gateway: &Gateway, at: SocketAddr, misdirected: bool, after: Duration) {
+/// Records a refusal, so that the endpoint gets no requests for a while: for longer if it is not the expected
+/// incarnation or does not respond, and briefly if only its memory is full.
+fn record_refusal_by(gateway: &Gateway, at: SocketAddr, misdirected: bool, elapsed: Duration) {
     let mut directory = gateway.directory.borrow_mut();
     let found = directory.iter().find(|e| e.addr == at);
     let Some(id) = found.map(|e| e.id.clone()) else {
         return;
     };
     let now = gateway.now();
-    let at_once = !misdirected && after < AT_ONCE;
-    let full = at_once && fill(gateway, &directory, &id, now) > MAY_BE_FULL;
+    let immediate = !misdirected && elapsed < IMMEDIATE_REFUSAL_TIME;
+    let full = immediate && memory_fill(gateway, &directory, &id, now) > MIN_FULL_MEMORY_FRACTION;
     match full {
         true => gateway.loads.borrow_mut().record_refusal(&id, now),
         false => directory.record_failure(&id, now),
     }
 }
 
-/// The part of an endpoint's memory that is taken, as far as is known; none for a plain service.
-fn fill(gateway: &Gateway, directory: &Directory, id: &str, now: Duration) -> f64 {
+/// The fraction of an endpoint's memory that is in use, as far as known; 0 for a plain service.
+fn memory_fill(gateway: &Gateway, directory: &Directory, id: &str, now: Duration) -> f64 {
     let catalogue = gateway.catalogue.borrow();
     let capacity = || {
         let endpoint = directory.get(id)?;
         let service = catalogue.as_ref()?.service(&endpoint.service)?;
         service.engine.as_ref()?.capacity(endpoint)
     };
-    let taken = gateway.loads.borrow().load_at(id, now).token_layers;
-    capacity().map_or(0.0, |capacity| taken / capacity.max(1.0))
+    let used = gateway.loads.borrow().load_at(id, now).token_layers;
+    capacity().map_or(0.0, |capacity| used / capacity.max(1.0))
 }
 
 fn outgoing_head(
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -25,7 +25,7 @@
     is_success, probe,
     refusal::Refusal,
     run_monitor::RunMonitor,
-    send::{self, Begun, DispatchError, Target},
+    send::{self, Answer, DispatchError, Target},
     termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
@@ -268,15 +268,15 @@
         let chain_load = ChainLoadGuard::new(gateway, chain, &planned.want);
         let hops: Vec<(SocketAddr, LayerRange)> =
             chain.stages.iter().map(|p| (p.addr, p.layers)).collect();
-        let parts: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
+        let endpoint_ids: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
         let target = Target {
             id: &chain.first_stage().id,
             name: &chain.first_stage().name,
             addr: chain.first_stage().addr,
             chain: &hops,
-            parts: &parts,
+            endpoint_ids: &endpoint_ids,
             after_event: self.events.last(),
-            leaves: Cell::new(false),
+            sending: Cell::new(false),
         };
         let mut monitor = RunMonitor {
             gateway,
@@ -287,7 +287,7 @@
         let sent = tokio::select! {
             biased;
             sent = send::send(gateway, self.admitted, &target, monitor.timing.timeout()) => sent,
-            abandoned = monitor.until_abandoned(sent_at) => Err(target.given_up(abandoned.why)),
+            abandoned = monitor.until_abandoned(sent_at) => Err(target.abandoned(abandoned.why)),
         };
         let begun = match sent {
             Ok(begun) => begun,
@@ -329,7 +329,7 @@
     /// An answer that is not a stream: passed on if nothing was yet.
     async fn pass_failure(
         &mut self,
-        mut begun: Begun,
+        mut begun: Answer,
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, ForwardError> {
         let status = begun.head.status;
@@ -351,7 +351,7 @@
         &mut self,
         monitor: &mut RunMonitor<'_>,
         chain_load: &ChainLoadGuard<'_>,
-        mut begun: Begun,
+        mut begun: Answer,
         sent_at: Instant,
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, ForwardError> {
@@ -421,7 +421,7 @@
 
     async fn pass_on(
         &mut self,
-        begun: &mut Begun,
+        begun: &mut Answer,
         events: Bytes,
         out: &mut Responder<'_>,
     ) -> Result<(), ForwardError> {
