--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -1,7 +1,7 @@
-//! Plain calls: a request, and an answer that is read whole before it is passed on.
+//! Plain calls: requests whose answer is read completely before it is relayed.
 //!
-//! Reading it whole first lets a call that may be repeated be sent again when the answer breaks
-//! off, and keeps an answer that breaks off from looking complete.
+//! So a call that may be retried can be dispatched again if its answer breaks off, and a partial answer never looks
+//! complete to the caller.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -19,29 +19,30 @@
 };
 use crate::{gateway::Gateway, http::callers::Responder};
 
-/// The largest answer of a plain call.
-const MOST_ANSWER: usize = 8 * 1024 * 1024;
-/// Tries beyond those that a route allows, for endpoints to which nothing could be sent.
-pub(super) const MORE_TRIES: u32 = 3;
-/// The part of the time left that a send may take while another one could follow.
-const FIRST_PART: f64 = 0.5;
+/// The maximum size of the body of an answer to a plain call.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Attempts in addition to the dispatches that a route allows, for endpoints to which nothing can be sent.
+pub(super) const EXTRA_ATTEMPTS: u32 = 3;
+/// The fraction of the time left that a dispatch may take while another one may follow.
+const NON_FINAL_TIME_FRACTION: f64 = 0.5;
 
-struct Whole {
-    begun: Answer,
+/// An answer with its complete body.
+struct CompleteAnswer {
+    answer: Answer,
     body: Bytes,
 }
 
-/// Forwards a call and passes its answer on.
+/// Forwards a call and relays its answer.
 pub(super) async fn forward(
     gateway: &Gateway,
     admitted: &AdmittedRequest,
     out: &mut Responder<'_>,
 ) -> Result<(), ForwardError> {
-    let whole = answer(gateway, admitted).await?;
+    let complete = fetch_answer(gateway, admitted).await?;
     let Answer {
         mut connection,
         mut head,
-    } = whole.begun;
+    } = complete.answer;
     if connection.reusable() {
         let addr = connection.peer();
         gateway.keep(addr, connection, &admitted.service);
@@ -50,16 +51,22 @@
     let metrics = &gateway.metrics;
     metrics.answered(admitted.kind_label(), head.status);
     let headers = std::mem::take(&mut head.headers);
-    out.whole(head.status, headers, whole.body).await?;
+    out.whole(head.status, headers, complete.body).await?;
     admitted.request_log.finish_answered(head.status);
     Ok(())
 }
 
-async fn answer(gateway: &Gateway, admitted: &AdmittedRequest) -> Result<Whole, Refusal> {
+/// Dispatches a call until an answer can be relayed or no further attempt is allowed.
+///
+/// An answer with a server error is returned if no later attempt yields a better one.
+async fn fetch_answer(
+    gateway: &Gateway,
+    admitted: &AdmittedRequest,
+) -> Result<CompleteAnswer, Refusal> {
     let mut tried: Vec<Rc<str>> = Vec::new();
     let mut attempts = Attempts::new(Refusal::NoEndpoint("no endpoint of the service is known"));
-    let mut failure: Option<Whole> = None;
-    for _ in 0..admitted.max_dispatches() + MORE_TRIES {
+    let mut failure: Option<CompleteAnswer> = None;
+    for _ in 0..admitted.max_dispatches() + EXTRA_ATTEMPTS {
         if admitted.time_left().is_zero() || !admitted.may_dispatch(gateway, &mut attempts) {
             break;
         }
@@ -74,38 +81,45 @@
         admitted
             .request_log
             .record_dispatch(to, Duration::ZERO, 0.0, None);
-        let more = admitted.may_dispatch_again(&attempts);
+        let may_retry = admitted.may_dispatch_again(&attempts);
         let left = admitted.time_left();
-        let limit = if more { left.mul_f64(FIRST_PART) } else { left };
-        match attempt_at(gateway, admitted, &endpoint, limit).await {
-            Ok(whole) if is_success(whole.begun.head.status) || !may_improve(&whole, more) => {
-                return Ok(whole);
+        let limit = if may_retry {
+            left.mul_f64(NON_FINAL_TIME_FRACTION)
+        } else {
+            left
+        };
+        match attempt(gateway, admitted, &endpoint, limit).await {
+            Ok(complete)
+                if is_success(complete.answer.head.status)
+                    || !may_improve(&complete, may_retry) =>
+            {
+                return Ok(complete);
             }
-            Ok(whole) => {
-                failure = Some(whole);
+            Ok(complete) => {
+                failure = Some(complete);
                 attempts.record_error_answer();
             }
-            Err(failed) => {
+            Err(error) => {
                 admitted.request_log.write_buffered();
                 log::info!(
                     target: "forward",
                     id = admitted.request_log.id(),
                     request:% = admitted.fingerprint(),
                     endpoint = &*endpoint.id,
-                    why:? = failed;
+                    why:? = error;
                     "A call failed."
                 );
-                let ran = termination::RunEndpoint {
+                let endpoint = termination::RunEndpoint {
                     id: &endpoint.id,
                     addr: endpoint.addr,
                 };
-                termination::record_terminations(gateway, admitted, &[ran], &failed).await;
-                attempts.record_failure(failed);
+                termination::record_terminations(gateway, admitted, &[endpoint], &error).await;
+                attempts.record_failure(error);
             }
         }
     }
-    if let Some(whole) = failure {
-        return Ok(whole);
+    if let Some(complete) = failure {
+        return Ok(complete);
     }
     match attempts.may_have_run() && admitted.time_left().is_zero() {
         true => Err(Refusal::OutOfTime),
@@ -113,12 +127,13 @@
     }
 }
 
-/// Whether another endpoint may do better than this failure.
-fn may_improve(whole: &Whole, more: bool) -> bool {
-    more && whole.begun.head.status.is_server_error()
+/// Whether another endpoint may give a better answer.
+fn may_improve(complete: &CompleteAnswer, may_retry: bool) -> bool {
+    may_retry && complete.answer.head.status.is_server_error()
 }
 
-/// The endpoint of the next send; the tries note if limits leave none.
+/// Selects the endpoint of the next dispatch. If there is none and endpoints lack permits, `attempts` records this
+/// as the reason.
 fn pick(
     gateway: &Gateway,
     admitted: &AdmittedRequest,
@@ -127,23 +142,23 @@
 ) -> Option<Rc<Endpoint>> {
     let service = &admitted.service.name;
     let without_permit = gateway.without_permit(service);
-    let passed_over = [tried, &without_permit].concat();
+    let excluded = [tried, &without_permit].concat();
     let near = &gateway.settings.data_centre;
     let directory = gateway.directory.borrow();
-    let picked = directory.pick(service, near, &passed_over, gateway.now());
+    let picked = directory.pick(service, near, &excluded, gateway.now());
     if picked.is_none() && !without_permit.is_empty() {
         attempts.record_not_sent(Refusal::AtLimit);
     }
     picked
 }
 
-async fn attempt_at(
+async fn attempt(
     gateway: &Gateway,
     admitted: &AdmittedRequest,
     endpoint: &Endpoint,
     limit: Duration,
-) -> Result<Whole, DispatchError> {
-    let _at = AtEndpoint::new(gateway, &endpoint.id);
+) -> Result<CompleteAnswer, DispatchError> {
+    let _guard = EndpointRequestGuard::new(gateway, &endpoint.id);
     let target = Target {
         id: &endpoint.id,
         name: &endpoint.name,
@@ -154,11 +169,11 @@
         sending: Cell::new(false),
     };
     let until = time::Instant::now() + limit;
-    let asked = async {
-        let mut begun = send::send(gateway, admitted, &target, limit).await?;
-        let body = time::timeout_at(until, begun.connection.whole_body(MOST_ANSWER)).await;
+    let exchange = async {
+        let mut answer = send::send(gateway, admitted, &target, limit).await?;
+        let body = time::timeout_at(until, answer.connection.whole_body(MAX_ANSWER_BYTES)).await;
         match body {
-            Ok(Ok(body)) => Ok(Whole { begun, body }),
+            Ok(Ok(body)) => Ok(CompleteAnswer { answer, body }),
             Ok(Err(e)) => Err(DispatchError::BrokeOff(e.to_string())),
             Err(_) => Err(DispatchError::MayHaveRun(
                 "the answer took too long".to_owned(),
@@ -167,15 +182,15 @@
     };
     let result = tokio::select! {
         biased;
-        result = asked => result,
-        () = until_over(gateway, &endpoint.id) => Err(target.abandoned("the endpoint has ended")),
+        result = exchange => result,
+        () = until_terminated(gateway, &endpoint.id) => Err(target.abandoned("the endpoint has ended")),
     };
     if result.is_ok() {
         gateway.survived(admitted.fingerprint());
     }
     let mut directory = gateway.directory.borrow_mut();
     match &result {
-        Ok(whole) if whole.begun.head.status.is_server_error() => {
+        Ok(complete) if complete.answer.head.status.is_server_error() => {
             directory.record_error(&endpoint.id, gateway.now());
         }
         Ok(_) => directory.record_success(&endpoint.id),
@@ -187,29 +202,29 @@
     result
 }
 
-/// Ends when the endpoint is known to have ended: what it was asked is lost.
-async fn until_over(gateway: &Gateway, id: &str) {
-    let mut changed = gateway.prober.endpoint_failures();
+/// Waits until the endpoint is known to have terminated: its requests are lost then.
+async fn until_terminated(gateway: &Gateway, id: &str) {
+    let mut failures = gateway.prober.endpoint_failures();
     while !gateway.directory.borrow().has_ended(id) {
-        // The sender lives as long as the gateway does.
-        let _ = changed.changed().await;
+        // The sender lives as long as the gateway.
+        let _ = failures.changed().await;
     }
 }
 
-/// Counts a request at an endpoint while it is there.
-struct AtEndpoint<'a> {
+/// Counts a request at an endpoint until it is dropped.
+struct EndpointRequestGuard<'a> {
     gateway: &'a Gateway,
     id: &'a str,
 }
 
-impl<'a> AtEndpoint<'a> {
+impl<'a> EndpointRequestGuard<'a> {
     fn new(gateway: &'a Gateway, id: &'a str) -> Self {
         gateway.directory.borrow_mut().begin_request(id);
         Self { gateway, id }
     }
 }
 
-impl Drop for AtEndpoint<'_> {
+impl Drop for EndpointRequestGuard<'_> {
     fn drop(&mut self) {
         self.gateway.directory.borrow_mut().end_request(self.id);
     }
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -16,15 +16,15 @@
     ports::{AnswerFacts, Outgoing},
 };
 
-/// The timeout for opening a connection to an endpoint. Endpoints are a fraction of a ms away; one that takes longer
-/// does not respond.
+/// The timeout for opening a connection to an endpoint. Endpoints are a fraction of a ms away; one that takes
+/// longer does not respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A refusal within this time was not caused by waiting for an unresponsive endpoint.
 const IMMEDIATE_REFUSAL_TIME: Duration = Duration::from_millis(500);
 
-/// The fraction of memory in use above which a refusal may be for lack of memory. Below it the endpoint refuses for
-/// another reason: it is draining or releases its layers.
+/// The fraction of memory in use above which a refusal may be for lack of memory. Below it the endpoint refuses
+/// for another reason: it is draining or releases its layers.
 const MIN_FULL_MEMORY_FRACTION: f64 = 0.6;
 
 /// The reason why nothing was sent to an endpoint whose stated limit leaves no permit.
@@ -47,7 +47,7 @@
 /// The endpoint that a request is dispatched to, and the data specific to this dispatch.
 pub(super) struct Target<'a> {
     pub(super) id: &'a Rc<str>,
-    /// The name that the request has as target; an endpoint with another name refuses it.
+    /// The name of the endpoint, sent with the request; an endpoint with another name refuses it.
     pub(super) name: &'a str,
     pub(super) addr: SocketAddr,
     /// The stages of the chain, by address and layers; empty for a plain call.
@@ -167,7 +167,7 @@
     elapsed: Duration,
 ) -> Result<Answer, DispatchError> {
     let head = &answer.head;
-    // This check is first: the answer to another request has no information about this one.
+    // This check comes first: the answer to another request says nothing about this one.
     if facts.attempt.is_some() && facts.attempt != admitted.incoming.attempt {
         return Err(DispatchError::MayHaveRun(
             "the answer belongs to another request".to_owned(),
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -1,7 +1,7 @@
-//! Event streams over a chain that its first stage drives.
+//! Event streams over chains. The first stage of a chain drives it.
 //!
-//! Events are passed on whole, as they arrive. When a run breaks off or stalls, another chain goes
-//! on after the last event that was passed on, inside the same answer, if the route allows it.
+//! Complete events are relayed as they arrive. If a run breaks off or stalls and the route allows it, a run on
+//! another chain continues the same answer after the last event that was relayed.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -30,15 +30,15 @@
 };
 use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
 
-/// From this fill of its fullest part on a chain gets nothing more. Requests end early as often as
-/// late, so that a chain that looks full may have room.
-const MOST_FILL: f64 = 1.6;
-/// The least time that is counted as left for an event to be on time.
-const LEAST_LEFT: Duration = Duration::from_millis(1);
-/// The largest answer passed on whole because it is not a success.
-const MOST_FAILURE: usize = 256 * 1024;
+/// The estimated memory fill of its fullest stage above which a chain gets no requests. Requests end early as
+/// often as late, so a chain that is estimated to be full may still have free capacity.
+const MAX_MEMORY_FILL: f64 = 1.6;
+/// The minimum time that is assumed to be left for an event to meet its target.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
+/// The maximum size of the body of an answer that is not a success.
+const MAX_ERROR_ANSWER_BYTES: usize = 256 * 1024;
 
-/// Forwards a stream and passes its events on.
+/// Forwards a stream and relays its events.
 pub(super) async fn forward(
     gateway: &Rc<Gateway>,
     admitted: &AdmittedRequest,
@@ -48,7 +48,7 @@
         gateway,
         admitted,
         events: EventSplitter::after(admitted.incoming.last_event),
-        tried: Vec::new(),
+        tried_chains: Vec::new(),
         attempts: Attempts::new(Refusal::NoEndpoint("no chain covers all layers")),
         last_event_at: None,
     };
@@ -59,8 +59,8 @@
             admitted.request_log.finish_answered(status);
             Ok(())
         }
-        Ok(Err(ended)) => Err(cut(admitted, out, ended)),
-        Err(_) => Err(cut(
+        Ok(Err(error)) => Err(abort_if_started(admitted, out, error)),
+        Err(_) => Err(abort_if_started(
             admitted,
             out,
             ForwardError::Refused(Refusal::OutOfTime),
@@ -68,10 +68,14 @@
     }
 }
 
-/// Once a part of an answer was sent there is no other answer: the connection ends without the
-/// mark of completeness.
-fn cut(admitted: &AdmittedRequest, out: &Responder<'_>, ended: ForwardError) -> ForwardError {
-    match ended {
+/// Aborts an answer that has started, since no other answer can replace it: the connection is closed without the
+/// end of the body, so that the caller sees that the answer is incomplete.
+fn abort_if_started(
+    admitted: &AdmittedRequest,
+    out: &Responder<'_>,
+    error: ForwardError,
+) -> ForwardError {
+    match error {
         ForwardError::Refused(refusal) if out.started() => {
             admitted.request_log.write_buffered();
             log::info!(target: "forward", id = admitted.request_log.id(), why:? = refusal; "Stream breaks off.");
@@ -81,27 +85,27 @@
     }
 }
 
-/// One stream and the runs that it is made of.
+/// A stream that is forwarded, and its runs so far.
 struct Stream<'a> {
     gateway: &'a Rc<Gateway>,
     admitted: &'a AdmittedRequest,
     events: EventSplitter,
-    /// The keys of the chains that it was sent to.
-    tried: Vec<u64>,
-    /// Runs that failed.
+    /// The keys of the chains to which it was dispatched.
+    tried_chains: Vec<u64>,
+    /// The runs that failed.
     attempts: Attempts,
-    /// When the last events were passed on.
+    /// When the last events were relayed.
     last_event_at: Option<Instant>,
 }
 
 /// The next run of a stream.
-struct Planned {
+struct PlannedRun {
     chain: Chain,
-    /// What the run needs.
-    want: RequestDemand,
-    /// Until its first event, as expected.
+    /// The resources and latency targets of the run.
+    demand: RequestDemand,
+    /// The expected time to its first event.
     expected_first: Duration,
-    /// How full its fullest part is taken to be.
+    /// The estimated memory fill of the fullest stage.
     expected_fill: f64,
 }
 
@@ -109,7 +113,7 @@
 enum RunEnd {
     /// The stream is complete.
     Complete(http::StatusCode),
-    /// It broke off or never began.
+    /// It broke off, was abandoned or did not start.
     Failed(DispatchError),
 }
 
@@ -118,11 +122,11 @@
         let Some(engine) = self.admitted.service.engine.clone() else {
             return Err(Refusal::NoEndpoint("the service has no engines").into());
         };
-        for _ in 0..self.admitted.max_dispatches() + call::MORE_TRIES {
+        for _ in 0..self.admitted.max_dispatches() + call::EXTRA_ATTEMPTS {
             if !self.admitted.may_dispatch(self.gateway, &mut self.attempts) {
                 break;
             }
-            let Some(planned) = self.choose(&engine) else {
+            let Some(planned) = self.plan_run(&engine) else {
                 break;
             };
             if self.attempts.dispatches() > 0 {
@@ -135,26 +139,26 @@
                     .inc_by(u64::from(out.started()));
                 self.events.resume();
             }
-            self.tried.push(planned.chain.key);
+            self.tried_chains.push(planned.chain.key);
             let after_event = out.started().then(|| self.events.last()).flatten();
             let to = planned.chain.to_string();
             let (first, fill) = (planned.expected_first, planned.expected_fill);
             self.admitted
                 .request_log
                 .record_dispatch(to, first, fill, after_event);
-            match self.run_on(&planned, out).await? {
+            match self.run_on_chain(&planned, out).await? {
                 RunEnd::Complete(status) => return Ok(status),
-                RunEnd::Failed(failed) => {
-                    self.note(&planned.chain, &failed, out.started());
-                    self.note_end(&planned.chain, &failed).await;
-                    self.attempts.record_failure(failed);
+                RunEnd::Failed(error) => {
+                    self.log_failed_run(&planned.chain, &error, out.started());
+                    self.record_terminations(&planned.chain, &error).await;
+                    self.attempts.record_failure(error);
                 }
             }
         }
         Err(self.attempts.refusal().into())
     }
 
-    fn note(&self, chain: &Chain, failed: &DispatchError, started: bool) {
+    fn log_failed_run(&self, chain: &Chain, error: &DispatchError, started: bool) {
         self.admitted.request_log.write_buffered();
         log::info!(
             target: "forward",
@@ -163,59 +167,59 @@
             chain = chain.to_string(),
             started = started,
             after_event:? = self.events.last(),
-            why:? = failed;
+            why:? = error;
             "A run of a stream failed."
         );
     }
 
-    /// Notes if an endpoint has ended under a run that failed, before another one gets it.
-    async fn note_end(&self, chain: &Chain, failed: &DispatchError) {
-        let parts = chain.stages.iter();
-        let endpoints: Vec<termination::RunEndpoint<'_>> = parts
-            .map(|part| termination::RunEndpoint {
-                id: &part.id,
-                addr: part.addr,
+    /// Records whether an endpoint terminated during a failed run, before the request is dispatched again.
+    async fn record_terminations(&self, chain: &Chain, error: &DispatchError) {
+        let stages = chain.stages.iter();
+        let endpoints: Vec<termination::RunEndpoint<'_>> = stages
+            .map(|stage| termination::RunEndpoint {
+                id: &stage.id,
+                addr: stage.addr,
             })
             .collect();
-        termination::record_terminations(self.gateway, self.admitted, &endpoints, failed).await;
+        termination::record_terminations(self.gateway, self.admitted, &endpoints, error).await;
     }
 
-    /// The next run, if a chain can take it.
-    fn choose(&mut self, engine: &Engine) -> Option<Planned> {
+    /// Plans the next run; `None` if no chain can accept it.
+    fn plan_run(&mut self, engine: &Engine) -> Option<PlannedRun> {
         let gateway = self.gateway;
         let chains = gateway.chains(&self.admitted.service.name, engine);
         let now = gateway.now();
-        let want = self.want(engine);
+        let demand = self.demand(engine);
         let loads = gateway.loads.borrow();
         let without_permit = gateway.without_permit(&self.admitted.service.name);
         let permitted =
             |chain: &Chain| !chain.stages.iter().any(|p| without_permit.contains(&p.id));
-        let untried = |chain: &Chain| !self.tried.contains(&chain.key) && permitted(chain);
-        let with_room = |chain: &Chain| untried(chain) && !loads.is_full(chain, now);
+        let untried = |chain: &Chain| !self.tried_chains.contains(&chain.key) && permitted(chain);
+        let with_capacity = |chain: &Chain| untried(chain) && !loads.is_full(chain, now);
         let draw = rand::rng().random();
-        let chosen = choice::choose(&chains, &loads, &want, now, draw, with_room)
-            .or_else(|| choice::choose(&chains, &loads, &want, now, draw, untried));
+        let chosen = choice::choose(&chains, &loads, &demand, now, draw, with_capacity)
+            .or_else(|| choice::choose(&chains, &loads, &demand, now, draw, untried));
         let Some(Choice { index, estimate }) = chosen else {
             if !chains.is_empty() && !without_permit.is_empty() {
                 self.attempts.record_not_sent(Refusal::AtLimit);
             }
             return None;
         };
-        if estimate.memory_fill > MOST_FILL {
+        if estimate.memory_fill > MAX_MEMORY_FILL {
             let short = Refusal::NoEndpoint("memory is short everywhere");
             self.attempts.record_not_sent(short);
             return None;
         }
-        Some(Planned {
+        Some(PlannedRun {
             chain: chains[index].clone(),
-            want,
+            demand,
             expected_first: Duration::from_secs_f64(estimate.first_event_ms.max(0.0) / 1000.0),
             expected_fill: estimate.memory_fill,
         })
     }
 
-    /// What the next run needs.
-    fn want(&self, engine: &Engine) -> RequestDemand {
+    /// The resources and latency targets of the next run.
+    fn demand(&self, engine: &Engine) -> RequestDemand {
         let Incoming {
             tokens,
             answer_guess,
@@ -224,7 +228,7 @@
         let prompt_tokens = tokens.map_or(engine.typical_prompt_tokens, |(prompt, _)| {
             f64::from(prompt)
         });
-        let most = tokens.map_or(f64::INFINITY, |(_, most)| f64::from(most));
+        let max_tokens = tokens.map_or(f64::INFINITY, |(_, max_tokens)| f64::from(max_tokens));
         let route = &self.admitted.route;
         let on_time = match self.last_event_at {
             Some(at) => at + route.gap_target,
@@ -235,15 +239,15 @@
             prompt_tokens,
             answer_tokens: answer_guess
                 .map_or(engine.typical_answer_tokens, f64::from)
-                .min(most),
-            first_event_target_ms: ms(left.max(LEAST_LEFT)),
+                .min(max_tokens),
+            first_event_target_ms: ms(left.max(MIN_TIME_LEFT)),
             max_gap_ms: ms(route.gap_target),
             tokens_per_event: engine.tokens_per_event,
         }
     }
 
-    /// What is waited for in the run that begins now.
-    fn waited_for(&self, planned: &Planned) -> RunTiming {
+    /// The timing of a run that is dispatched now.
+    fn timing(&self, planned: &PlannedRun) -> RunTiming {
         let route = &self.admitted.route;
         RunTiming {
             started: false,
@@ -258,14 +262,14 @@
         }
     }
 
-    async fn run_on(
+    async fn run_on_chain(
         &mut self,
-        planned: &Planned,
+        planned: &PlannedRun,
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, ForwardError> {
         let gateway = self.gateway;
         let chain = &planned.chain;
-        let chain_load = ChainLoadGuard::new(gateway, chain, &planned.want);
+        let chain_load = ChainLoadGuard::new(gateway, chain, &planned.demand);
         let hops: Vec<(SocketAddr, LayerRange)> =
             chain.stages.iter().map(|p| (p.addr, p.layers)).collect();
         let endpoint_ids: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
@@ -281,7 +285,7 @@
         let mut monitor = RunMonitor {
             gateway,
             chain,
-            timing: self.waited_for(planned),
+            timing: self.timing(planned),
         };
         let sent_at = Instant::now();
         let sent = tokio::select! {
@@ -289,31 +293,31 @@
             sent = send::send(gateway, self.admitted, &target, monitor.timing.timeout()) => sent,
             abandoned = monitor.until_abandoned(sent_at) => Err(target.abandoned(abandoned.why)),
         };
-        let begun = match sent {
-            Ok(begun) => begun,
-            Err(failed) => {
+        let answer = match sent {
+            Ok(answer) => answer,
+            Err(error) => {
                 if matches!(
-                    failed,
+                    error,
                     DispatchError::MayHaveRun(_) | DispatchError::BrokeOff(_)
                 ) {
                     probe::after_break(gateway, chain).await;
                 }
-                return Ok(RunEnd::Failed(failed));
+                return Ok(RunEnd::Failed(error));
             }
         };
-        if begun.head.status.is_server_error() {
+        if answer.head.status.is_server_error() {
             let now = gateway.now();
             gateway.directory.borrow_mut().record_error(target.id, now);
             if self.admitted.may_dispatch_again(&self.attempts) {
-                let why = format!("{} of its own", begun.head.status.as_u16());
+                let why = format!("the endpoint answered {}", answer.head.status.as_u16());
                 return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
             }
         }
-        if !is_success(begun.head.status) {
-            return self.pass_failure(begun, out).await;
+        if !is_success(answer.head.status) {
+            return self.relay_error_answer(answer, out).await;
         }
         let end = self
-            .relay(&mut monitor, &chain_load, begun, sent_at, out)
+            .relay(&mut monitor, &chain_load, answer, sent_at, out)
             .await?;
         if let RunEnd::Complete(_) = end {
             gateway.survived(self.admitted.fingerprint());
@@ -326,22 +330,25 @@
         Ok(end)
     }
 
-    /// An answer that is not a stream: passed on if nothing was yet.
-    async fn pass_failure(
+    /// Relays an answer that is not a success, unless events were relayed already.
+    async fn relay_error_answer(
         &mut self,
-        mut begun: Answer,
+        mut answer: Answer,
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, ForwardError> {
-        let status = begun.head.status;
-        let body = match begun.connection.whole_body(MOST_FAILURE).await {
+        let status = answer.head.status;
+        let body = match answer.connection.whole_body(MAX_ERROR_ANSWER_BYTES).await {
             Ok(body) => body,
             Err(e) => return Ok(RunEnd::Failed(DispatchError::MayHaveRun(e.to_string()))),
         };
         if out.started() {
-            let why = format!("{} instead of the rest", status.as_u16());
+            let why = format!(
+                "the endpoint answered {} instead of the remaining events",
+                status.as_u16()
+            );
             return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
         }
-        let mut headers = std::mem::take(&mut begun.head.headers);
+        let mut headers = std::mem::take(&mut answer.head.headers);
         self.gateway.platform.dialect.strip(&mut headers);
         out.whole(status, headers, body).await?;
         Ok(RunEnd::Complete(status))
@@ -351,38 +358,40 @@
         &mut self,
         monitor: &mut RunMonitor<'_>,
         chain_load: &ChainLoadGuard<'_>,
-        mut begun: Answer,
+        mut answer: Answer,
         sent_at: Instant,
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, ForwardError> {
-        let status = begun.head.status;
+        let status = answer.head.status;
         let mut since = sent_at;
         loop {
             let piece = tokio::select! {
                 biased;
-                piece = begun.connection.chunk() => piece,
+                piece = answer.connection.chunk() => piece,
                 abandoned = monitor.until_abandoned(since) => {
-                    // What has ended sends nothing more, and its caller may as well know.
-                    if out.started() && !abandoned.terminated && !self.may_go_on_elsewhere() {
+                    // After a termination no more events follow: the answer is aborted rather than left waiting.
+                    if out.started() && !abandoned.terminated && !self.may_continue_elsewhere() {
                         monitor.timing.may_retry = false;
                         continue;
                     }
-                    return Ok(given_up_on(abandoned.why));
+                    return Ok(abandoned_run(abandoned.why));
                 }
             };
             let piece = match piece {
                 Ok(Some(piece)) => piece,
                 Ok(None) if self.events.is_at_event_boundary() && out.started() => break,
-                Ok(None) => return Ok(broke_off("it ended inside an event")),
+                Ok(None) => return Ok(broken_run("the stream ended inside an event")),
                 Err(e) => {
                     probe::after_break(self.gateway, monitor.chain).await;
-                    return Ok(broke_off(&e.to_string()));
+                    return Ok(broken_run(&e.to_string()));
                 }
             };
             match self.events.push(piece) {
                 EventBatch::Empty => continue,
-                EventBatch::Missing => return Ok(given_up_on("events are missing")),
-                EventBatch::Events(events) => self.pass_on(&mut begun, events, out).await?,
+                EventBatch::Missing => {
+                    return Ok(abandoned_run("events are missing in the stream"));
+                }
+                EventBatch::Events(events) => self.relay_events(&mut answer, events, out).await?,
             }
             chain_load.end_prefill();
             monitor.timing.started = true;
@@ -392,17 +401,17 @@
             self.gateway.prober.record_event(monitor.chain, now);
         }
         out.end().await?;
-        if begun.connection.reusable() {
+        if answer.connection.reusable() {
             let addr = monitor.chain.first_stage().addr;
             self.gateway
-                .keep(addr, begun.connection, &self.admitted.service);
+                .keep(addr, answer.connection, &self.admitted.service);
         }
         Ok(RunEnd::Complete(status))
     }
 
-    /// Whether another chain has room for the rest of the stream now. One that is as good as full may
-    /// refuse it, and an answer that was cut for that is worse than one that pauses.
-    fn may_go_on_elsewhere(&mut self) -> bool {
+    /// Whether another chain has free capacity for the rest of the stream now. A chain that is nearly full may
+    /// refuse it, and an answer that is aborted then is worse than one that pauses.
+    fn may_continue_elsewhere(&mut self) -> bool {
         if self.admitted.quarantine_refusal(self.gateway).is_some() {
             return false;
         }
@@ -410,25 +419,25 @@
             return false;
         };
         let name = &self.admitted.service.name;
-        let Some(planned) = self.choose(&engine) else {
+        let Some(planned) = self.plan_run(&engine) else {
             return false;
         };
         let now = self.gateway.now();
         let full = self.gateway.loads.borrow().is_full(&planned.chain, now);
-        let room = planned.expected_fill <= 1.0 && !full;
-        room && self.gateway.may_repeat(name)
+        let has_capacity = planned.expected_fill <= 1.0 && !full;
+        has_capacity && self.gateway.may_repeat(name)
     }
 
-    async fn pass_on(
+    async fn relay_events(
         &mut self,
-        begun: &mut Answer,
+        answer: &mut Answer,
         events: Bytes,
         out: &mut Responder<'_>,
     ) -> Result<(), ForwardError> {
         if !out.started() {
-            let mut headers = std::mem::take(&mut begun.head.headers);
+            let mut headers = std::mem::take(&mut answer.head.headers);
             self.gateway.platform.dialect.strip(&mut headers);
-            out.begin(begun.head.status, headers)?;
+            out.begin(answer.head.status, headers)?;
         }
         self.gateway.metrics.relayed.inc_by(events.len() as u64);
         out.piece(events).await?;
@@ -437,11 +446,11 @@
     }
 }
 
-fn given_up_on(why: &str) -> RunEnd {
+fn abandoned_run(why: &str) -> RunEnd {
     RunEnd::Failed(DispatchError::MayHaveRun(why.to_owned()))
 }
 
-fn broke_off(why: &str) -> RunEnd {
+fn broken_run(why: &str) -> RunEnd {
     RunEnd::Failed(DispatchError::BrokeOff(why.to_owned()))
 }
 
