--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -40,7 +40,7 @@
     }
 
     /// Records a failed attempt.
-    pub(super) fn record_failure(&mut self, error: DispatchError) {
+    pub(super) fn record_failed_attempt(&mut self, error: DispatchError) {
         self.dispatches += u32::from(!matches!(error, DispatchError::NotSent(_)));
         match error {
             DispatchError::MayHaveRun(why) | DispatchError::BrokeOff(why) => {
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -109,12 +109,12 @@
                     why:? = error;
                     "A call failed."
                 );
-                let endpoint = termination::RunEndpoint {
+                let run_endpoint = termination::RunEndpoint {
                     id: &endpoint.id,
                     addr: endpoint.addr,
                 };
-                termination::record_terminations(gateway, admitted, &[endpoint], &error).await;
-                attempts.record_failure(error);
+                termination::record_terminations(gateway, admitted, &[run_endpoint], &error).await;
+                attempts.record_failed_attempt(error);
             }
         }
     }
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -147,15 +147,11 @@
 
 /// Polls an endpoint that was listed again and counts as unresponsive until it answers or is delisted.
 pub(crate) fn poll_relisted(gateway: &Rc<Gateway>, endpoint: &Endpoint) {
-    let endpoint = PolledEndpoint {
+    let polled = PolledEndpoint {
         id: endpoint.id.clone(),
         addr: endpoint.addr,
     };
-    actix_rt::spawn(poll_until_healthy(
-        gateway.clone(),
-        endpoint,
-        Duration::ZERO,
-    ));
+    actix_rt::spawn(poll_until_healthy(gateway.clone(), polled, Duration::ZERO));
 }
 
 /// An endpoint that is polled.
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -151,7 +151,7 @@
                 RunEnd::Failed(error) => {
                     self.log_failed_run(&planned.chain, &error, out.started());
                     self.record_terminations(&planned.chain, &error).await;
-                    self.attempts.record_failure(error);
+                    self.attempts.record_failed_attempt(error);
                 }
             }
         }
