--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -1,7 +1,7 @@
-//! Event streams over a chain that its first stage drives.
+//! Event streams over chains. The first stage of a chain drives it.
 //!
-//! Events are passed on whole, as they arrive. When a run breaks off or stalls, another chain goes
-//! on after the last event that was passed on, inside the same answer, if the route allows it.
+//! Complete events are relayed as they arrive. If a run breaks off or stalls and the route allows it, a run on
+//! another chain continues the same answer after the last event that was relayed.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,86 +17,95 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    Admitted, Ended, call, ended,
-    events::{Events, Taken},
-    on_chain::OnChain,
-    probe,
+    AdmittedRequest, ForwardError,
+    attempts::Attempts,
+    call,
+    chain_load::ChainLoadGuard,
+    events::{EventBatch, EventSplitter},
+    is_success, probe,
     refusal::Refusal,
-    send::{self, Begun, Failed, Target},
-    success,
-    tries::Tries,
-    watch::Watch,
+    run_monitor::RunMonitor,
+    send::{self, Answer, DispatchError, Target},
+    termination,
 };
 use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
 
-/// From this fill of its fullest part on a chain gets nothing more. Requests end early as often as
-/// late, so that a chain that looks full may have room.
-const MOST_FILL: f64 = 1.6;
-/// The least time that is counted as left for an event to be on time.
-const LEAST_LEFT: Duration = Duration::from_millis(1);
-/// The largest answer passed on whole because it is not a success.
-const MOST_FAILURE: usize = 256 * 1024;
+/// The estimated memory fill of its fullest stage above which a chain gets no requests. Requests end early as
+/// often as late, so a chain that is estimated to be full may still have free capacity.
+const MAX_MEMORY_FILL: f64 = 1.6;
+/// The minimum time that is assumed to be left for an event to meet its target.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
+/// The maximum size of the body of an answer that is not a success.
+const MAX_ERROR_ANSWER_BYTES: usize = 256 * 1024;
 
-/// Forwards a stream and passes its events on.
+/// Forwards a stream and relays its events.
 pub(super) async fn forward(
     gateway: &Rc<Gateway>,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     out: &mut Responder<'_>,
-) -> Result<(), Ended> {
+) -> Result<(), ForwardError> {
     let mut stream = Stream {
         gateway,
         admitted,
-        events: Events::after(admitted.incoming.last_event),
-        tried: Vec::new(),
-        tries: Tries::new(Refusal::NoEndpoint("no chain covers all layers")),
+        events: EventSplitter::after(admitted.incoming.last_event),
+        tried_chains: Vec::new(),
+        attempts: Attempts::new(Refusal::NoEndpoint("no chain covers all layers")),
         last_event_at: None,
     };
     let run = time::timeout_at(admitted.due, stream.run(out)).await;
     match run {
         Ok(Ok(status)) => {
             gateway.metrics.answered(admitted.kind_label(), status);
-            admitted.trail.answered(status);
+            admitted.request_log.finish_answered(status);
             Ok(())
         }
-        Ok(Err(ended)) => Err(cut(admitted, out, ended)),
-        Err(_) => Err(cut(admitted, out, Ended::Refused(Refusal::OutOfTime))),
+        Ok(Err(error)) => Err(abort_if_started(admitted, out, error)),
+        Err(_) => Err(abort_if_started(
+            admitted,
+            out,
+            ForwardError::Refused(Refusal::OutOfTime),
+        )),
     }
 }
 
-/// Once a part of an answer was sent there is no other answer: the connection ends without the
-/// mark of completeness.
-fn cut(admitted: &Admitted, out: &Responder<'_>, ended: Ended) -> Ended {
-    match ended {
-        Ended::Refused(refusal) if out.started() => {
-            admitted.trail.show();
-            log::info!(target: "forward", id = admitted.trail.id(), why:? = refusal; "Stream breaks off.");
-            Ended::Io(std::io::ErrorKind::ConnectionAborted.into())
+/// Aborts an answer that has started, since no other answer can replace it: the connection is closed without the
+/// end of the body, so that the caller sees that the answer is incomplete.
+fn abort_if_started(
+    admitted: &AdmittedRequest,
+    out: &Responder<'_>,
+    error: ForwardError,
+) -> ForwardError {
+    match error {
+        ForwardError::Refused(refusal) if out.started() => {
+            admitted.request_log.write_buffered();
+            log::info!(target: "forward", id = admitted.request_log.id(), why:? = refusal; "Stream breaks off.");
+            ForwardError::Io(std::io::ErrorKind::ConnectionAborted.into())
         }
         other => other,
     }
 }
 
-/// One stream and the runs that it is made of.
+/// A stream that is forwarded, and its runs so far.
 struct Stream<'a> {
     gateway: &'a Rc<Gateway>,
-    admitted: &'a Admitted,
-    events: Events,
-    /// The keys of the chains that it was sent to.
-    tried: Vec<u64>,
-    /// Runs that failed.
-    tries: Tries,
-    /// When the last events were passed on.
+    admitted: &'a AdmittedRequest,
+    events: EventSplitter,
+    /// The keys of the chains to which it was dispatched.
+    tried_chains: Vec<u64>,
+    /// The runs that failed.
+    attempts: Attempts,
+    /// When the last events were relayed.
     last_event_at: Option<Instant>,
 }
 
 /// The next run of a stream.
-struct Planned {
+struct PlannedRun {
     chain: Chain,
-    /// What the run needs.
-    want: RequestDemand,
-    /// Until its first event, as expected.
+    /// The resources and latency targets of the run.
+    demand: RequestDemand,
+    /// The expected time to its first event.
     expected_first: Duration,
-    /// How full its fullest part is taken to be.
+    /// The estimated memory fill of the fullest stage.
     expected_fill: f64,
 }
 
@@ -104,24 +113,24 @@
 enum RunEnd {
     /// The stream is complete.
     Complete(http::StatusCode),
-    /// It broke off or never began.
-    Failed(Failed),
+    /// It broke off, was abandoned or did not start.
+    Failed(DispatchError),
 }
 
 impl Stream<'_> {
-    async fn run(&mut self, out: &mut Responder<'_>) -> Result<http::StatusCode, Ended> {
+    async fn run(&mut self, out: &mut Responder<'_>) -> Result<http::StatusCode, ForwardError> {
         let Some(engine) = self.admitted.service.engine.clone() else {
             return Err(Refusal::NoEndpoint("the service has no engines").into());
         };
-        for _ in 0..self.admitted.most_sends() + call::MORE_TRIES {
-            if !self.admitted.may_send(self.gateway, &mut self.tries) {
+        for _ in 0..self.admitted.max_dispatches() + call::EXTRA_ATTEMPTS {
+            if !self.admitted.may_dispatch(self.gateway, &mut self.attempts) {
                 break;
             }
-            let Some(planned) = self.choose(&engine) else {
+            let Some(planned) = self.plan_run(&engine) else {
                 break;
             };
-            if self.tries.sent() > 0 {
-                if !self.admitted.take_repeat(self.gateway).await {
+            if self.attempts.dispatches() > 0 {
+                if !self.admitted.acquire_retry(self.gateway).await {
                     break;
                 }
                 self.gateway
@@ -130,85 +139,87 @@
                     .inc_by(u64::from(out.started()));
                 self.events.resume();
             }
-            self.tried.push(planned.chain.key);
+            self.tried_chains.push(planned.chain.key);
             let after_event = out.started().then(|| self.events.last()).flatten();
             let to = planned.chain.to_string();
             let (first, fill) = (planned.expected_first, planned.expected_fill);
-            self.admitted.trail.sent(to, first, fill, after_event);
-            match self.run_on(&planned, out).await? {
+            self.admitted
+                .request_log
+                .record_dispatch(to, first, fill, after_event);
+            match self.run_on_chain(&planned, out).await? {
                 RunEnd::Complete(status) => return Ok(status),
-                RunEnd::Failed(failed) => {
-                    self.note(&planned.chain, &failed, out.started());
-                    self.note_end(&planned.chain, &failed).await;
-                    self.tries.failed(failed);
+                RunEnd::Failed(error) => {
+                    self.log_failed_run(&planned.chain, &error, out.started());
+                    self.record_terminations(&planned.chain, &error).await;
+                    self.attempts.record_failed_attempt(error);
                 }
             }
         }
-        Err(self.tries.refusal().into())
+        Err(self.attempts.refusal().into())
     }
 
-    fn note(&self, chain: &Chain, failed: &Failed, started: bool) {
-        self.admitted.trail.show();
+    fn log_failed_run(&self, chain: &Chain, error: &DispatchError, started: bool) {
+        self.admitted.request_log.write_buffered();
         log::info!(
             target: "forward",
-            id = self.admitted.trail.id(),
+            id = self.admitted.request_log.id(),
             request:% = self.admitted.fingerprint(),
             chain = chain.to_string(),
             started = started,
             after_event:? = self.events.last(),
-            why:? = failed;
+            why:? = error;
             "A run of a stream failed."
         );
     }
 
-    /// Notes if an endpoint has ended under a run that failed, before another one gets it.
-    async fn note_end(&self, chain: &Chain, failed: &Failed) {
-        let parts = chain.stages.iter();
-        let ran: Vec<ended::Ran<'_>> = parts
-            .map(|part| ended::Ran {
-                id: &part.id,
-                addr: part.addr,
+    /// Records whether an endpoint terminated during a failed run, before the request is dispatched again.
+    async fn record_terminations(&self, chain: &Chain, error: &DispatchError) {
+        let stages = chain.stages.iter();
+        let endpoints: Vec<termination::RunEndpoint<'_>> = stages
+            .map(|stage| termination::RunEndpoint {
+                id: &stage.id,
+                addr: stage.addr,
             })
             .collect();
-        ended::note(self.gateway, self.admitted, &ran, failed).await;
+        termination::record_terminations(self.gateway, self.admitted, &endpoints, error).await;
     }
 
-    /// The next run, if a chain can take it.
-    fn choose(&mut self, engine: &Engine) -> Option<Planned> {
+    /// Plans the next run; `None` if no chain can accept it.
+    fn plan_run(&mut self, engine: &Engine) -> Option<PlannedRun> {
         let gateway = self.gateway;
         let chains = gateway.chains(&self.admitted.service.name, engine);
         let now = gateway.now();
-        let want = self.want(engine);
+        let demand = self.demand(engine);
         let loads = gateway.loads.borrow();
         let without_permit = gateway.without_permit(&self.admitted.service.name);
         let permitted =
             |chain: &Chain| !chain.stages.iter().any(|p| without_permit.contains(&p.id));
-        let untried = |chain: &Chain| !self.tried.contains(&chain.key) && permitted(chain);
-        let with_room = |chain: &Chain| untried(chain) && !loads.is_full(chain, now);
+        let untried = |chain: &Chain| !self.tried_chains.contains(&chain.key) && permitted(chain);
+        let with_capacity = |chain: &Chain| untried(chain) && !loads.is_full(chain, now);
         let draw = rand::rng().random();
-        let chosen = choice::choose(&chains, &loads, &want, now, draw, with_room)
-            .or_else(|| choice::choose(&chains, &loads, &want, now, draw, untried));
+        let chosen = choice::choose(&chains, &loads, &demand, now, draw, with_capacity)
+            .or_else(|| choice::choose(&chains, &loads, &demand, now, draw, untried));
         let Some(Choice { index, estimate }) = chosen else {
             if !chains.is_empty() && !without_permit.is_empty() {
-                self.tries.not_sent(Refusal::AtLimit);
+                self.attempts.record_not_sent(Refusal::AtLimit);
             }
             return None;
         };
-        if estimate.memory_fill > MOST_FILL {
+        if estimate.memory_fill > MAX_MEMORY_FILL {
             let short = Refusal::NoEndpoint("memory is short everywhere");
-            self.tries.not_sent(short);
+            self.attempts.record_not_sent(short);
             return None;
         }
-        Some(Planned {
+        Some(PlannedRun {
             chain: chains[index].clone(),
-            want,
+            demand,
             expected_first: Duration::from_secs_f64(estimate.first_event_ms.max(0.0) / 1000.0),
             expected_fill: estimate.memory_fill,
         })
     }
 
-    /// What the next run needs.
-    fn want(&self, engine: &Engine) -> RequestDemand {
+    /// The resources and latency targets of the next run.
+    fn demand(&self, engine: &Engine) -> RequestDemand {
         let Incoming {
             tokens,
             answer_guess,
@@ -217,89 +228,97 @@
         let prompt_tokens = tokens.map_or(engine.typical_prompt_tokens, |(prompt, _)| {
             f64::from(prompt)
         });
-        let most = tokens.map_or(f64::INFINITY, |(_, most)| f64::from(most));
+        let max_tokens = tokens.map_or(f64::INFINITY, |(_, max_tokens)| f64::from(max_tokens));
         let route = &self.admitted.route;
         let on_time = match self.last_event_at {
             Some(at) => at + route.gap_target,
-            None => self.admitted.at + route.latency_target,
+            None => self.admitted.received_at + route.latency_target,
         };
         let left = on_time.saturating_duration_since(Instant::now());
         RequestDemand {
             prompt_tokens,
             answer_tokens: answer_guess
                 .map_or(engine.typical_answer_tokens, f64::from)
-                .min(most),
-            first_event_target_ms: ms(left.max(LEAST_LEFT)),
+                .min(max_tokens),
+            first_event_target_ms: ms(left.max(MIN_TIME_LEFT)),
             max_gap_ms: ms(route.gap_target),
             tokens_per_event: engine.tokens_per_event,
         }
     }
 
-    /// What is waited for in the run that begins now.
-    fn waited_for(&self, planned: &Planned) -> RunTiming {
+    /// The timing of a run that is dispatched now.
+    fn timing(&self, planned: &PlannedRun) -> RunTiming {
         let route = &self.admitted.route;
         RunTiming {
             started: false,
-            may_retry: self.admitted.may_go_on(&self.tries),
+            may_retry: self.admitted.may_dispatch_again(&self.attempts),
             first_event_target: route.latency_target,
             max_gap: route.gap_target,
             expected_first: planned.expected_first,
-            waited_before: self.last_event_at.unwrap_or(self.admitted.at).elapsed(),
+            waited_before: self
+                .last_event_at
+                .unwrap_or(self.admitted.received_at)
+                .elapsed(),
         }
     }
 
-    async fn run_on(
+    async fn run_on_chain(
         &mut self,
-        planned: &Planned,
+        planned: &PlannedRun,
         out: &mut Responder<'_>,
-    ) -> Result<RunEnd, Ended> {
+    ) -> Result<RunEnd, ForwardError> {
         let gateway = self.gateway;
         let chain = &planned.chain;
-        let on = OnChain::new(gateway, chain, &planned.want);
+        let chain_load = ChainLoadGuard::new(gateway, chain, &planned.demand);
         let hops: Vec<(SocketAddr, LayerRange)> =
             chain.stages.iter().map(|p| (p.addr, p.layers)).collect();
-        let parts: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
+        let endpoint_ids: Vec<&Rc<str>> = chain.stages.iter().map(|p| &p.id).collect();
         let target = Target {
             id: &chain.first_stage().id,
             name: &chain.first_stage().name,
             addr: chain.first_stage().addr,
             chain: &hops,
-            parts: &parts,
+            endpoint_ids: &endpoint_ids,
             after_event: self.events.last(),
-            leaves: Cell::new(false),
+            sending: Cell::new(false),
         };
-        let mut watch = Watch {
+        let mut monitor = RunMonitor {
             gateway,
             chain,
-            run: self.waited_for(planned),
+            timing: self.timing(planned),
         };
         let sent_at = Instant::now();
         let sent = tokio::select! {
             biased;
-            sent = send::send(gateway, self.admitted, &target, watch.run.timeout()) => sent,
-            given_up = watch.until_given_up(sent_at) => Err(target.given_up(given_up.why)),
+            sent = send::send(gateway, self.admitted, &target, monitor.timing.timeout()) => sent,
+            abandoned = monitor.until_abandoned(sent_at) => Err(target.abandoned(abandoned.why)),
         };
-        let begun = match sent {
-            Ok(begun) => begun,
-            Err(failed) => {
-                if matches!(failed, Failed::MayHaveRun(_) | Failed::BrokeOff(_)) {
+        let answer = match sent {
+            Ok(answer) => answer,
+            Err(error) => {
+                if matches!(
+                    error,
+                    DispatchError::MayHaveRun(_) | DispatchError::BrokeOff(_)
+                ) {
                     probe::after_break(gateway, chain).await;
                 }
-                return Ok(RunEnd::Failed(failed));
+                return Ok(RunEnd::Failed(error));
             }
         };
-        if begun.head.status.is_server_error() {
+        if answer.head.status.is_server_error() {
             let now = gateway.now();
             gateway.directory.borrow_mut().record_error(target.id, now);
-            if self.admitted.may_go_on(&self.tries) {
-                let why = format!("{} of its own", begun.head.status.as_u16());
-                return Ok(RunEnd::Failed(Failed::MayHaveRun(why)));
+            if self.admitted.may_dispatch_again(&self.attempts) {
+                let why = format!("the endpoint answered {}", answer.head.status.as_u16());
+                return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
             }
         }
-        if !success(begun.head.status) {
-            return self.pass_failure(begun, out).await;
+        if !is_success(answer.head.status) {
+            return self.relay_error_answer(answer, out).await;
         }
-        let end = self.relay(&mut watch, &on, begun, sent_at, out).await?;
+        let end = self
+            .relay(&mut monitor, &chain_load, answer, sent_at, out)
+            .await?;
         if let RunEnd::Complete(_) = end {
             gateway.survived(self.admitted.fingerprint());
             let mut directory = gateway.directory.borrow_mut();
@@ -311,22 +330,25 @@
         Ok(end)
     }
 
-    /// An answer that is not a stream: passed on if nothing was yet.
-    async fn pass_failure(
+    /// Relays an answer that is not a success, unless events were relayed already.
+    async fn relay_error_answer(
         &mut self,
-        mut begun: Begun,
+        mut answer: Answer,
         out: &mut Responder<'_>,
-    ) -> Result<RunEnd, Ended> {
-        let status = begun.head.status;
-        let body = match begun.connection.whole_body(MOST_FAILURE).await {
+    ) -> Result<RunEnd, ForwardError> {
+        let status = answer.head.status;
+        let body = match answer.connection.whole_body(MAX_ERROR_ANSWER_BYTES).await {
             Ok(body) => body,
-            Err(e) => return Ok(RunEnd::Failed(Failed::MayHaveRun(e.to_string()))),
+            Err(e) => return Ok(RunEnd::Failed(DispatchError::MayHaveRun(e.to_string()))),
         };
         if out.started() {
-            let why = format!("{} instead of the rest", status.as_u16());
-            return Ok(RunEnd::Failed(Failed::MayHaveRun(why)));
+            let why = format!(
+                "the endpoint answered {} instead of the remaining events",
+                status.as_u16()
+            );
+            return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
         }
-        let mut headers = std::mem::take(&mut begun.head.headers);
+        let mut headers = std::mem::take(&mut answer.head.headers);
         self.gateway.platform.dialect.strip(&mut headers);
         out.whole(status, headers, body).await?;
         Ok(RunEnd::Complete(status))
@@ -334,100 +356,102 @@
 
     async fn relay(
         &mut self,
-        watch: &mut Watch<'_>,
-        on: &OnChain<'_>,
-        mut begun: Begun,
+        monitor: &mut RunMonitor<'_>,
+        chain_load: &ChainLoadGuard<'_>,
+        mut answer: Answer,
         sent_at: Instant,
         out: &mut Responder<'_>,
-    ) -> Result<RunEnd, Ended> {
-        let status = begun.head.status;
+    ) -> Result<RunEnd, ForwardError> {
+        let status = answer.head.status;
         let mut since = sent_at;
         loop {
             let piece = tokio::select! {
                 biased;
-                piece = begun.connection.chunk() => piece,
-                given_up = watch.until_given_up(since) => {
-                    // What has ended sends nothing more, and its caller may as well know.
-                    if out.started() && !given_up.over && !self.may_go_on_elsewhere() {
-                        watch.run.may_retry = false;
+                piece = answer.connection.chunk() => piece,
+                abandoned = monitor.until_abandoned(since) => {
+                    // After a termination no more events follow: the answer is aborted rather than left waiting.
+                    if out.started() && !abandoned.terminated && !self.may_continue_elsewhere() {
+                        monitor.timing.may_retry = false;
                         continue;
                     }
-                    return Ok(given_up_on(given_up.why));
+                    return Ok(abandoned_run(abandoned.why));
                 }
             };
             let piece = match piece {
                 Ok(Some(piece)) => piece,
-                Ok(None) if self.events.at_end_of_event() && out.started() => break,
-                Ok(None) => return Ok(broke_off("it ended inside an event")),
+                Ok(None) if self.events.is_at_event_boundary() && out.started() => break,
+                Ok(None) => return Ok(broken_run("the stream ended inside an event")),
                 Err(e) => {
-                    probe::after_break(self.gateway, watch.chain).await;
-                    return Ok(broke_off(&e.to_string()));
+                    probe::after_break(self.gateway, monitor.chain).await;
+                    return Ok(broken_run(&e.to_string()));
                 }
             };
-            match self.events.take(piece) {
-                Taken::Nothing => continue,
-                Taken::Gap => return Ok(given_up_on("events are missing")),
-                Taken::Events(events) => self.pass_on(&mut begun, events, out).await?,
+            match self.events.push(piece) {
+                EventBatch::Empty => continue,
+                EventBatch::Missing => {
+                    return Ok(abandoned_run("events are missing in the stream"));
+                }
+                EventBatch::Events(events) => self.relay_events(&mut answer, events, out).await?,
             }
-            on.read();
-            watch.run.started = true;
+            chain_load.end_prefill();
+            monitor.timing.started = true;
             since = Instant::now();
             self.last_event_at = Some(since);
             let now = self.gateway.now();
-            self.gateway.prober.event(watch.chain, now);
+            self.gateway.prober.record_event(monitor.chain, now);
         }
         out.end().await?;
-        if begun.connection.reusable() {
-            let addr = watch.chain.first_stage().addr;
+        if answer.connection.reusable() {
+            let addr = monitor.chain.first_stage().addr;
             self.gateway
-                .keep(addr, begun.connection, &self.admitted.service);
+                .keep(addr, answer.connection, &self.admitted.service);
         }
         Ok(RunEnd::Complete(status))
     }
 
-    /// Whether another chain has room for the rest of the stream now. One that is as good as full may
-    /// refuse it, and an answer that was cut for that is worse than one that pauses.
-    fn may_go_on_elsewhere(&mut self) -> bool {
-        if self.admitted.held(self.gateway).is_some() {
+    /// Whether another chain has free capacity for the rest of the stream now. A chain that is nearly full may
+    /// refuse it, and an answer that is aborted then is worse than one that pauses.
+    fn may_continue_elsewhere(&mut self) -> bool {
+        if self.admitted.quarantine_refusal(self.gateway).is_some() {
             return false;
         }
         let Some(engine) = self.admitted.service.engine.clone() else {
             return false;
         };
         let name = &self.admitted.service.name;
-        let Some(planned) = self.choose(&engine) else {
+        let Some(planned) = self.plan_run(&engine) else {
             return false;
         };
         let now = self.gateway.now();
         let full = self.gateway.loads.borrow().is_full(&planned.chain, now);
-        let room = planned.expected_fill <= 1.0 && !full;
-        room && self.gateway.may_repeat(name)
+        let has_capacity = planned.expected_fill <= 1.0 && !full;
+        has_capacity && self.gateway.may_repeat(name)
     }
 
-    async fn pass_on(
+    async fn relay_events(
         &mut self,
-        begun: &mut Begun,
+        answer: &mut Answer,
         events: Bytes,
         out: &mut Responder<'_>,
-    ) -> Result<(), Ended> {
+    ) -> Result<(), ForwardError> {
         if !out.started() {
-            let mut headers = std::mem::take(&mut begun.head.headers);
+            let mut headers = std::mem::take(&mut answer.head.headers);
             self.gateway.platform.dialect.strip(&mut headers);
-            out.begin(begun.head.status, headers)?;
+            out.begin(answer.head.status, headers)?;
         }
         self.gateway.metrics.relayed.inc_by(events.len() as u64);
         out.piece(events).await?;
-        self.admitted.trail.events();
+        self.admitted.request_log.record_relayed_events();
         Ok(())
     }
 }
 
-fn given_up_on(why: &str) -> RunEnd {
-    RunEnd::Failed(Failed::MayHaveRun(why.to_owned()))
+fn abandoned_run(why: &str) -> RunEnd {
+    RunEnd::Failed(DispatchError::MayHaveRun(why.to_owned()))
 }
 
-fn broke_off(why: &str) -> RunEnd {
-    RunEnd::Failed(Failed::BrokeOff(why.to_owned()))
+fn broken_run(why: &str) -> RunEnd {
+    RunEnd::Failed(DispatchError::BrokeOff(why.to_owned()))
 }
 
 fn ms(duration: Duration) -> f64 {
