--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -54,7 +54,7 @@
                 mark = None;
             }
             Err(e) => {
-                log::warn!(target: "catalogue", why:% = e, fresh = gateway.fresh(); "No news of the catalogue.");
+                log::warn!(target: "catalogue", why:% = e, fresh = gateway.is_catalogue_fresh(); "No news of the catalogue.");
                 if matches!(e, PlatformError::Malformed(_)) {
                     mark = None;
                 }
@@ -82,10 +82,10 @@
 /// Takes what a read has brought; gives where to go on.
 fn take(gateway: &Gateway, news: CatalogueNews, sent_at: Duration, before: Option<Mark>) -> Mark {
     if let Some(new) = news.catalogue {
-        gateway.adopt(new);
+        gateway.adopt_catalogue(new);
     }
     if gateway.catalogue.borrow().is_some() {
-        gateway.proven(sent_at);
+        gateway.record_proof(sent_at);
     }
     news.mark.max(before.unwrap_or(0))
 }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -83,8 +83,8 @@
         let now = self.gateway.now();
         self.mark = Some(news.mark);
         self.gateway.heard(On::List, now);
-        let known = self.gateway.list_mark.get();
-        self.gateway.list_mark.set(known.max(news.mark));
+        let known = self.gateway.list_revision.get();
+        self.gateway.list_revision.set(known.max(news.mark));
         let mut gone = self.named(&news.removed);
         for fault in news.unusable {
             self.gateway.ignore_entry(fault);
@@ -114,7 +114,7 @@
         self.gateway
             .directory
             .borrow_mut()
-            .record_revision(self.gateway.list_mark.get());
+            .record_revision(self.gateway.list_revision.get());
     }
 
     /// The ids of the starts that are listed under names.
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -162,7 +162,7 @@
         if bounds.row().is_none() {
             return false;
         }
-        if gateway.leaving() && !self.left {
+        if gateway.is_shutting_down() && !self.left {
             bounds.leave();
             self.left = true;
             return true;
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -97,7 +97,7 @@
                 continue;
             };
             let listed = self.listed(&service.name);
-            let asked = self.gateway.asked.get();
+            let asked = self.gateway.request_received.get();
             let settled = self.with_planner(&service.name, &listed, |planner, engines, now| {
                 planner.settled(engines, asked, now)
             });
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -111,7 +111,7 @@
         let now = self.gateway.now();
         self.hear(now);
         let held = self.lease.held(now);
-        if self.gateway.leaving() {
+        if self.gateway.is_shutting_down() {
             self.lease.shut_down();
         }
         self.show_lease();
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -43,7 +43,7 @@
     } = whole.begun;
     if connection.reusable() {
         let addr = connection.peer();
-        gateway.keep(addr, connection, &admitted.service);
+        gateway.pool_connection(addr, connection, &admitted.service);
     }
     gateway.platform.dialect.strip(&mut head.headers);
     let metrics = &gateway.metrics;
--- a/crates/gateway/src/forward/ended.rs
+++ b/crates/gateway/src/forward/ended.rs
@@ -78,7 +78,12 @@
             continue;
         }
         // A run that was given up must not wait for an address that is as silent.
-        if broke_off && gateway.looks.look(gateway, part.id, part.addr).await {
+        if broke_off
+            && gateway
+                .termination_checks
+                .look(gateway, part.id, part.addr)
+                .await
+        {
             return gateway.ended_under(admitted.fingerprint(), part.id);
         }
         gateway.broke_off_at(admitted.fingerprint(), part.id);
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -114,9 +114,9 @@
     /// Takes one repeat of it out of the budget; false if none is left.
     async fn take_repeat(&self, gateway: &Gateway) -> bool {
         let service = &self.service.name;
-        gateway.until_recorded(service).await;
-        let standing = gateway.repeats_standing(service);
-        let allowed = gateway.take_repeat(service);
+        gateway.wait_for_retry_record(service).await;
+        let standing = gateway.retry_budget_state(service);
+        let allowed = gateway.acquire_retry(service);
         self.trail.step(Step::Repeat {
             allowed,
             standing,
@@ -177,7 +177,7 @@
     fn admit(&self, received: Received) -> Result<Admitted, Box<Denied>> {
         let Received { mut head, body, at } = received;
         let gateway = &self.gateway;
-        if !gateway.takes_requests() {
+        if !gateway.accepts_requests() {
             let incoming = gateway.platform.dialect.incoming(&mut head);
             return Err(Denied::new(incoming.unwrap_or_default(), Refusal::Leaving));
         }
@@ -231,7 +231,7 @@
         let gateway = &self.gateway;
         let catalogue = gateway.catalogue.borrow();
         // A catalogue that may be outdated must neither honour a key nor deny a route.
-        let Some(catalogue) = catalogue.as_ref().filter(|_| gateway.fresh()) else {
+        let Some(catalogue) = catalogue.as_ref().filter(|_| gateway.is_catalogue_fresh()) else {
             return Err(Refusal::Stale);
         };
         let Some(route) = catalogue.route(asked_host(head), head.uri.path()) else {
@@ -257,7 +257,7 @@
     }
 
     fn leaving(&self) -> bool {
-        self.gateway.leaving()
+        self.gateway.is_shutting_down()
     }
 
     async fn handle(&self, received: Received, out: &mut Responder<'_>) -> io::Result<()> {
@@ -301,15 +301,15 @@
 
 impl<'a> OpenRequest<'a> {
     fn new(gateway: &'a Gateway) -> Self {
-        gateway.asked.set(true);
-        gateway.open.set(gateway.open.get() + 1);
+        gateway.request_received.set(true);
+        gateway.open_requests.set(gateway.open_requests.get() + 1);
         Self(gateway)
     }
 }
 
 impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -94,7 +94,7 @@
         None => connect(gateway, target, limit).await?,
     };
     // The last check before bytes leave: the key may have lapsed while the request waited.
-    if !gateway.fresh() {
+    if !gateway.is_catalogue_fresh() {
         return Err(Failed::NotSent("the catalogue may be outdated".to_owned()));
     }
     // The same for what other hosts have found out meanwhile.
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -380,7 +380,7 @@
         if begun.connection.reusable() {
             let addr = watch.chain.first_stage().addr;
             self.gateway
-                .keep(addr, begun.connection, &self.admitted.service);
+                .pool_connection(addr, begun.connection, &self.admitted.service);
         }
         Ok(RunEnd::Complete(status))
     }
@@ -401,7 +401,7 @@
         let now = self.gateway.now();
         let full = self.gateway.loads.borrow().is_full(&planned.chain, now);
         let room = planned.expected_fill <= 1.0 && !full;
-        room && self.gateway.may_repeat(name)
+        room && self.gateway.may_retry(name)
     }
 
     async fn pass_on(
--- a/crates/gateway/src/forward/trail.rs
+++ b/crates/gateway/src/forward/trail.rs
@@ -175,7 +175,7 @@
         at: Instant,
         route: &Route,
     ) -> Self {
-        let written = gateway.lines.take();
+        let written = gateway.log_budget.take();
         Self {
             gateway: gateway.clone(),
             id: id.to_owned(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -49,11 +49,11 @@
 
 /// How long requests are still taken after the signal to stop: the balancer asks once a second and
 /// believes the second answer.
-pub const STILL_TAKING: Duration = Duration::from_millis(2900);
+pub const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(2900);
 
 /// How long a repeat waits at most until it is written down that it may be made: a write takes some
 /// 10 ms, and a stream may pause for 200 ms.
-const RECORDED_WITHIN: Duration = Duration::from_millis(60);
+const MAX_RETRY_RECORD_WAIT: Duration = Duration::from_millis(60);
 
 /// The platform that a host runs on.
 pub struct Platform {
@@ -75,9 +75,9 @@
 }
 
 /// The chains of one service, found for one state of the directory.
-struct FoundChains {
+struct CachedChains {
     generation: u64,
-    until: Option<Duration>,
+    expires_at: Option<Duration>,
     chains: Rc<Vec<Chain>>,
 }
 
@@ -99,11 +99,11 @@
     /// Entries that name no endpoint to use, by the name that they stand under.
     ignored: RefCell<FxHashMap<Rc<str>, Ignored>>,
     /// The place in the store's history up to which the list of endpoints is known.
-    pub list_mark: Cell<Mark>,
+    pub list_revision: Cell<Mark>,
     /// The newest catalogue known.
     pub catalogue: RefCell<Option<Rc<Catalogue>>>,
     /// The document that it was read from.
-    pub document: RefCell<Bytes>,
+    pub catalogue_document: RefCell<Bytes>,
     /// For how long it may be acted on.
     pub freshness: Cell<Freshness>,
     /// The endpoints; empty until the list was read.
@@ -120,10 +120,10 @@
     pub metrics: Metrics,
     /// This host's part of the bounds that all hosts keep together.
     pub bounds: Bounds,
-    found: RefCell<FxHashMap<Rc<str>, FoundChains>>,
+    chain_cache: RefCell<FxHashMap<Rc<str>, CachedChains>>,
     epoch: Instant,
     /// When this host was asked to stop.
-    leaving_since: Cell<Option<Instant>>,
+    shutdown_started_at: Cell<Option<Instant>>,
     closing: watch::Sender<bool>,
     reading: watch::Sender<bool>,
     /// How this host's own reads of the store have ended.
@@ -133,17 +133,17 @@
     /// The other hosts.
     pub peers: Peers,
     /// Whether any request has come.
-    pub asked: Cell<bool>,
+    pub request_received: Cell<bool>,
     /// Requests that are being answered.
-    pub open: Cell<u32>,
+    pub open_requests: Cell<u32>,
     /// How many requests may be logged whole.
-    pub lines: LineBudget,
+    pub log_budget: LineBudget,
     /// Asks the parts of chains that stand still.
     pub prober: Prober,
     /// Requests under which endpoints have ended.
     pub quarantine: RefCell<Quarantine>,
     /// Looks whether endpoints have ended over which runs broke off.
-    pub looks: Looks,
+    pub termination_checks: Looks,
     /// The limits that endpoints name.
     pub limits: RefCell<EndpointLimits>,
 }
@@ -152,7 +152,7 @@
     /// A host that knows nothing yet.
     pub fn new(settings: Settings, platform: Platform, codec: ServiceConfig) -> Rc<Self> {
         let freshness = Freshness::new(settings.key_revocation);
-        let lines = LineBudget::new(settings.logged_per_s);
+        let log_budget = LineBudget::new(settings.logged_per_s);
         let bounds = Bounds::new(settings.retries);
         let quarantine = Quarantine::new(settings.request_hold);
         let outage = StoreOutage::new(settings.endpoint_heartbeat);
@@ -164,9 +164,9 @@
             list_as_of: Cell::default(),
             doubted: RefCell::default(),
             ignored: RefCell::default(),
-            list_mark: Cell::new(0),
+            list_revision: Cell::new(0),
             catalogue: RefCell::default(),
-            document: RefCell::default(),
+            catalogue_document: RefCell::default(),
             freshness: Cell::new(freshness),
             directory: RefCell::default(),
             endpoints_known: Cell::new(false),
@@ -175,20 +175,20 @@
             idle: Idle::default(),
             metrics: Metrics::default(),
             bounds,
-            found: RefCell::default(),
+            chain_cache: RefCell::default(),
             epoch: Instant::now(),
-            leaving_since: Cell::new(None),
+            shutdown_started_at: Cell::new(None),
             closing: watch::Sender::new(false),
             reading: watch::Sender::new(true),
             access: watch::Sender::default(),
             outage: RefCell::new(outage),
             peers: Peers::default(),
-            asked: Cell::new(false),
-            open: Cell::new(0),
-            lines,
+            request_received: Cell::new(false),
+            open_requests: Cell::new(0),
+            log_budget,
             prober: Prober::default(),
             quarantine: RefCell::new(quarantine),
-            looks: Looks::default(),
+            termination_checks: Looks::default(),
             limits: RefCell::default(),
         })
     }
@@ -199,12 +199,12 @@
     }
 
     /// Whether the catalogue may be acted on.
-    pub fn fresh(&self) -> bool {
+    pub fn is_catalogue_fresh(&self) -> bool {
         self.freshness.get().is_fresh(self.now())
     }
 
     /// A read sent at `sent_at` has shown that the catalogue is the newest.
-    pub fn proven(&self, sent_at: Duration) {
+    pub fn record_proof(&self, sent_at: Duration) {
         let mut freshness = self.freshness.get();
         freshness.record_proof(sent_at);
         self.freshness.set(freshness);
@@ -221,7 +221,7 @@
     }
 
     /// Brings the gauges up to date.
-    pub fn observe(&self) {
+    pub fn update_gauges(&self) {
         let metrics = &self.metrics;
         let now = self.now();
         let states = self.directory.borrow().counts(now);
@@ -238,12 +238,12 @@
         metrics.hosts.set(i64::from(self.hosts.get()));
         let divisor = self.bounds.divisor(now);
         metrics.share_hosts.set(i64::from(divisor.unwrap_or(0)));
-        metrics.open.set(i64::from(self.open.get()));
+        metrics.open.set(i64::from(self.open_requests.get()));
         metrics
             .limited_endpoints
             .set(self.limits.borrow().count() as i64);
-        let held = self.quarantine.borrow().quarantined_count(now);
-        metrics.held_requests.set(held as i64);
+        let quarantined = self.quarantine.borrow().quarantined_count(now);
+        metrics.held_requests.set(quarantined as i64);
         // Never proven is as old as can be.
         let seconds = |age: Option<Duration>| age.map_or(f64::INFINITY, |a| a.as_secs_f64());
         metrics.proof_age_seconds.set(seconds(self.proof_age()));
@@ -253,29 +253,29 @@
 
     /// Whether this host takes new connections.
     pub fn ready(&self) -> bool {
-        let knows = self.catalogue.borrow().is_some() && self.endpoints_known.get();
-        knows && self.fresh() && !self.leaving()
+        let loaded = self.catalogue.borrow().is_some() && self.endpoints_known.get();
+        loaded && self.is_catalogue_fresh() && !self.is_shutting_down()
     }
 
     /// Whether this host is to stop.
-    pub fn leaving(&self) -> bool {
-        self.leaving_since.get().is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_started_at.get().is_some()
     }
 
     /// Whether this host still takes requests: for a while after it was asked to stop it does, as
     /// the balancer has not noticed yet; what comes later could not be finished.
-    pub fn takes_requests(&self) -> bool {
-        let asked = self.leaving_since.get();
-        asked.is_none_or(|asked| asked.elapsed() < STILL_TAKING)
+    pub fn accepts_requests(&self) -> bool {
+        let started_at = self.shutdown_started_at.get();
+        started_at.is_none_or(|started_at| started_at.elapsed() < SHUTDOWN_ACCEPT_PERIOD)
     }
 
     /// This host is to stop: no new connections, and connections end with their next answer.
-    pub fn leave(&self) {
-        self.leaving_since.set(Some(Instant::now()));
+    pub fn begin_shutdown(&self) {
+        self.shutdown_started_at.set(Some(Instant::now()));
     }
 
     /// Idle connections are closed from now on.
-    pub fn close_idle(&self) {
+    pub fn close_idle_connections(&self) {
         self.closing.send_replace(true);
     }
 
@@ -285,28 +285,28 @@
     }
 
     /// Takes a catalogue over unless a newer one is known.
-    pub fn adopt(&self, new: ReadCatalogue) {
+    pub fn adopt_catalogue(&self, new: ReadCatalogue) {
         let mut known = self.catalogue.borrow_mut();
         let version = new.catalogue.version;
         if known.as_ref().is_none_or(|old| old.version < version) {
             log::info!(target: "catalogue", version = version; "Catalogue is in force.");
             *known = Some(new.catalogue);
-            *self.document.borrow_mut() = new.document;
+            *self.catalogue_document.borrow_mut() = new.document;
         }
     }
 
     /// How many hosts do what this one does, at least; `None` until that is known. What all of them
     /// together should keep to is divided by this: a host that has just started is not alone.
     pub fn counted_hosts(&self) -> Option<u32> {
-        let claimed = self.bounds.hosts()?;
-        Some(claimed.max(self.hosts.get()))
+        let claimed_hosts = self.bounds.hosts()?;
+        Some(claimed_hosts.max(self.hosts.get()))
     }
 
     /// Keeps an idle connection to an endpoint of a service, so that all hosts together keep at most
     /// half of what the endpoint accepts.
-    pub fn keep(&self, addr: SocketAddr, connection: Connection, service: &Service) {
-        let most = share::host_portion(service.max_connections / 2, self.counted_hosts());
-        self.idle.put(addr, connection, most as usize);
+    pub fn pool_connection(&self, addr: SocketAddr, connection: Connection, service: &Service) {
+        let max_idle = share::host_portion(service.max_connections / 2, self.counted_hosts());
+        self.idle.put(addr, connection, max_idle as usize);
     }
 
     /// A request for a service came in.
@@ -315,22 +315,22 @@
     }
 
     /// Takes one repeat of a request out of the budget, and counts it; false if none is left.
-    pub fn take_repeat(&self, service: &Rc<str>) -> bool {
-        let taken = self.bounds.take_repeat(service, self.now());
+    pub fn acquire_retry(&self, service: &Rc<str>) -> bool {
+        let acquired = self.bounds.take_repeat(service, self.now());
         let metrics = &self.metrics;
-        match taken {
+        match acquired {
             true => metrics.repeats.inc(),
             false => metrics.repeats_refused.inc(),
         }
-        taken
+        acquired
     }
 
     /// Waits until a repeat may be taken, if it has to be written down first.
-    pub async fn until_recorded(&self, service: &Rc<str>) {
-        let until = Instant::now() + RECORDED_WITHIN;
-        let mut waiting = None;
-        while self.repeats_standing(service).needs_record() && self.bounds.writes_row() {
-            waiting.get_or_insert_with(|| self.bounds.wait(service));
+    pub async fn wait_for_retry_record(&self, service: &Rc<str>) {
+        let until = Instant::now() + MAX_RETRY_RECORD_WAIT;
+        let mut waiter = None;
+        while self.retry_budget_state(service).needs_record() && self.bounds.writes_row() {
+            waiter.get_or_insert_with(|| self.bounds.wait(service));
             let mut written = self.bounds.write_row();
             if time::timeout_at(until, written.changed()).await.is_err() {
                 return;
@@ -339,14 +339,14 @@
     }
 
     /// How this host's part of a service's budget of repeats stands.
-    pub fn repeats_standing(&self, service: &Rc<str>) -> BudgetState {
+    pub fn retry_budget_state(&self, service: &Rc<str>) -> BudgetState {
         self.bounds.standing(service, self.now())
     }
 
     /// Whether a repeat of a request is left in the budget.
-    pub fn may_repeat(&self, service: &Rc<str>) -> bool {
-        let standing = self.repeats_standing(service);
-        standing.retry_left() || (standing.needs_record() && self.bounds.writes_row())
+    pub fn may_retry(&self, service: &Rc<str>) -> bool {
+        let budget = self.retry_budget_state(service);
+        budget.retry_left() || (budget.needs_record() && self.bounds.writes_row())
     }
 
     /// Takes the hosts that are alive, this one included.
@@ -364,24 +364,24 @@
     pub fn chains(&self, service: &Rc<str>, engine: &Engine) -> Rc<Vec<Chain>> {
         let now = self.now();
         let directory = self.directory.borrow();
-        let mut found = self.found.borrow_mut();
-        if let Some(found) = found.get(service) {
-            let returned = found.until.is_some_and(|t| t <= now);
-            if found.generation == directory.generation() && !returned {
-                return found.chains.clone();
+        let mut cache = self.chain_cache.borrow_mut();
+        if let Some(cached) = cache.get(service) {
+            let expired = cached.expires_at.is_some_and(|t| t <= now);
+            if cached.generation == directory.generation() && !expired {
+                return cached.chains.clone();
             }
         }
         let usable = directory
             .iter()
             .filter(|e| e.service == *service && directory.usable(&e.id, now));
-        let paced = usable.map(|e| (&**e, directory.slowdown_factor(&e.id, now)));
-        let chains = Rc::new(chains::find(engine, paced));
-        let entry = FoundChains {
+        let with_slowdown = usable.map(|e| (&**e, directory.slowdown_factor(&e.id, now)));
+        let chains = Rc::new(chains::find(engine, with_slowdown));
+        let entry = CachedChains {
             generation: directory.generation(),
-            until: directory.next_expiry(now),
+            expires_at: directory.next_expiry(now),
             chains: chains.clone(),
         };
-        found.insert(service.clone(), entry);
+        cache.insert(service.clone(), entry);
         chains
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -14,7 +14,7 @@
 use crate::{
     control,
     forward::Forwarder,
-    gateway::{Gateway, STILL_TAKING},
+    gateway::{Gateway, SHUTDOWN_ACCEPT_PERIOD},
     http::callers::{self, Handler, Received, Responder},
     peers,
 };
@@ -77,18 +77,18 @@
 
 /// Stops taking work, and waits until what was taken has ended or the time is up.
 async fn drain(gateway: &Gateway) {
-    log::info!(target: "host", open = gateway.open.get(); "Host stops.");
+    log::info!(target: "host", open = gateway.open_requests.get(); "Host stops.");
     let asked = Instant::now();
     let until = asked + gateway.settings.grace.saturating_sub(END_MARGIN);
-    gateway.leave();
-    time::sleep_until((asked + STILL_TAKING).min(until)).await;
-    gateway.close_idle();
-    while gateway.open.get() > 0 && Instant::now() < until {
+    gateway.begin_shutdown();
+    time::sleep_until((asked + SHUTDOWN_ACCEPT_PERIOD).min(until)).await;
+    gateway.close_idle_connections();
+    while gateway.open_requests.get() > 0 && Instant::now() < until {
         time::sleep(DRAIN_TICK).await;
     }
     // What was written last is still on its way to the callers.
     time::sleep(DRAIN_TICK).await;
-    log::info!(target: "host", cut = gateway.open.get(); "Host has stopped.");
+    log::info!(target: "host", cut = gateway.open_requests.get(); "Host has stopped.");
 }
 
 fn listen(addr: std::net::SocketAddr) -> anyhow::Result<TcpListener> {
@@ -143,7 +143,7 @@
                 false => (StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
             },
             "/metrics" => {
-                gateway.observe();
+                gateway.update_gauges();
                 (StatusCode::OK, gateway.metrics.text().into())
             }
             _ => (StatusCode::NOT_FOUND, Bytes::new()),
--- a/crates/gateway/src/peers/documents.rs
+++ b/crates/gateway/src/peers/documents.rs
@@ -48,7 +48,7 @@
         if let Some((_, document)) = compressed.as_ref().filter(|(of, _)| *of == version) {
             return document.clone();
         }
-        let document = compress(&gateway.document.borrow());
+        let document = compress(&gateway.catalogue_document.borrow());
         *compressed = Some((version, document.clone()));
         document
     }
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -264,7 +264,7 @@
             (None, Some(_)) => {
                 gateway.metrics.lists_not_told.inc();
                 if self.list_told {
-                    log::info!(target: "peers", host = &*host.host, known_to = gateway.list_mark.get(); "The list of endpoints is not told.");
+                    log::info!(target: "peers", host = &*host.host, known_to = gateway.list_revision.get(); "The list of endpoints is not told.");
                 }
             }
             (_, None) => {}
@@ -285,7 +285,7 @@
         // The other host answered after this one asked, so that its proof is at least as new.
         let proven_at = age.and_then(|age| sent_at.checked_sub(age));
         if let Some(at) = proven_at.filter(|_| gateway.catalogue.borrow().is_some()) {
-            gateway.proven(at);
+            gateway.record_proof(at);
         }
         if let Some(list) = news.list {
             take_list(gateway, list);
@@ -342,7 +342,7 @@
             list_known_to: gateway
                 .endpoints_known
                 .get()
-                .then(|| gateway.list_mark.get()),
+                .then(|| gateway.list_revision.get()),
             fleet: gateway.peers.fleet_hash.get(),
             read_age_us: self.read_age_us(),
             loads: to_wire(loads),
@@ -427,18 +427,18 @@
 fn adopt(gateway: &Gateway, told: Vec<u8>) -> Result<(), PlatformError> {
     let malformed = |e: std::io::Error| PlatformError::Malformed(e.to_string());
     let document = documents::unpack(told).map_err(malformed)?;
-    gateway.adopt(gateway.platform.store.decode(document)?);
+    gateway.adopt_catalogue(gateway.platform.store.decode(document)?);
     Ok(())
 }
 
 /// Takes what another host told of its list, unless more of the store's history is known.
 pub fn take_list(gateway: &Rc<Gateway>, list: ListNews) {
     // The other host's list may be older than what this one knew before it asked that host.
-    if list.store_mark < gateway.list_mark.get() {
-        log::info!(target: "peers", told = list.store_mark, known = gateway.list_mark.get(); "An older list is not taken.");
+    if list.store_mark < gateway.list_revision.get() {
+        log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list is not taken.");
         return;
     }
-    gateway.list_mark.set(list.store_mark);
+    gateway.list_revision.set(list.store_mark);
     let gone: Vec<Rc<str>> = if list.whole {
         let directory = gateway.directory.borrow();
         let doubted = list.doubted.iter().filter_map(|id| directory.get(id));
@@ -466,7 +466,7 @@
     gateway
         .directory
         .borrow_mut()
-        .record_revision(gateway.list_mark.get());
+        .record_revision(gateway.list_revision.get());
 }
 
 /// Whether one of some endpoints is another start of the one with an id, or listens at its address, and that
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -159,7 +159,7 @@
         return CatalogueNews::None;
     }
     if !offer.unpacks {
-        return CatalogueNews::Told(version, gateway.document.borrow().clone());
+        return CatalogueNews::Told(version, gateway.catalogue_document.borrow().clone());
     }
     let documents = &gateway.peers.documents;
     match documents.tell(gateway, version, gateway.now()) {
@@ -217,7 +217,7 @@
             origin,
             version: changes.version,
         },
-        store_mark: gateway.list_mark.get(),
+        store_mark: gateway.list_revision.get(),
         whole: changes.complete,
         changed: certain.map(|e| listed(e)).collect(),
         doubted: doubted.keys().map(ToString::to_string).collect(),
