--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -4,7 +4,7 @@
 
 use super::{Backoff, StoreCall};
 use crate::{
-    gateway::{Gateway, On},
+    gateway::{Gateway, StoreRead},
     ports::{CatalogueNews, Mark},
     settings::Settings,
 };
@@ -30,12 +30,12 @@
     loop {
         if !gateway.reads_store() {
             mark = None;
-            gateway.until_reading().await;
+            gateway.wait_until_reading().await;
         }
         let sent_at = gateway.now();
         // While the store is away this is the one call that shows that it is back, so that it does
         // not wait for news.
-        let wait = match gateway.store_away() {
+        let wait = match gateway.store_unavailable() {
             true => Duration::ZERO,
             false => wait,
         };
@@ -46,7 +46,7 @@
         match read {
             Ok(news) => {
                 backoff.succeeded(&gateway);
-                gateway.heard(On::Catalogue, gateway.now());
+                gateway.record_store_answer(StoreRead::Catalogue, gateway.now());
                 mark = Some(take(&gateway, news, sent_at, mark));
             }
             Err(PlatformError::HistoryGone) => {
@@ -61,7 +61,7 @@
                 // The next turn to try may come before the pause is over.
                 tokio::select! {
                     () = backoff.failed(&gateway) => {}
-                    () = gateway.until_told() => {}
+                    () = gateway.wait_until_not_reading() => {}
                 }
             }
         }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -7,7 +7,7 @@
 
 use super::{Backoff, StoreCall, WholeRead};
 use crate::{
-    gateway::{Gateway, On},
+    gateway::{Gateway, StoreRead},
     ports::{EndpointNews, Mark},
 };
 
@@ -41,7 +41,7 @@
         if !follower.gateway.reads_store() {
             follower.mark = None;
         }
-        follower.gateway.until_store_answers().await;
+        follower.gateway.wait_until_store_readable().await;
         let began = time::Instant::now();
         match follower.read().await {
             Ok(()) => backoff.succeeded(&follower.gateway),
@@ -64,7 +64,7 @@
         self.whole.ended(&read);
         match read {
             Ok(news) => {
-                self.gateway.list_known(sent_at);
+                self.gateway.record_list_as_of(sent_at);
                 self.take(news);
                 Ok(())
             }
@@ -73,7 +73,7 @@
                 Ok(())
             }
             Err(e) => {
-                self.gateway.store_troubled();
+                self.gateway.record_store_failure();
                 Err(e)
             }
         }
@@ -82,7 +82,7 @@
     fn take(&mut self, news: EndpointNews) {
         let now = self.gateway.now();
         self.mark = Some(news.mark);
-        self.gateway.heard(On::List, now);
+        self.gateway.record_store_answer(StoreRead::List, now);
         let known = self.gateway.list_revision.get();
         self.gateway.list_revision.set(known.max(news.mark));
         let mut gone = self.named(&news.removed);
@@ -95,7 +95,10 @@
             self.gateway.endpoints_known.set(true);
         }
         for endpoint in news.changed {
-            self.gateway.doubted.borrow_mut().remove(&endpoint.id);
+            self.gateway
+                .lapsed_endpoints
+                .borrow_mut()
+                .remove(&endpoint.id);
             self.gateway.list_endpoint(endpoint);
         }
         // Entries lapse while the store is away, whether or not a read of the list has met that. When it was
@@ -105,10 +108,10 @@
         for id in gone {
             match until {
                 Some(until) => {
-                    let mut doubted = self.gateway.doubted.borrow_mut();
+                    let mut doubted = self.gateway.lapsed_endpoints.borrow_mut();
                     doubted.entry(id).or_insert(until);
                 }
-                None => self.gateway.forget_endpoint(&id),
+                None => self.gateway.remove_endpoint(&id),
             }
         }
         self.gateway
@@ -127,9 +130,9 @@
     /// Forgets endpoints whose entries have not come back in time.
     fn drop_doubted(&self) {
         let now = self.gateway.now();
-        let mut doubted = self.gateway.doubted.borrow_mut();
+        let mut doubted = self.gateway.lapsed_endpoints.borrow_mut();
         for (id, _) in doubted.extract_if(|_, until| *until <= now) {
-            self.gateway.forget_endpoint(&id);
+            self.gateway.remove_endpoint(&id);
         }
     }
 }
--- a/crates/gateway/src/control/held_requests.rs
+++ b/crates/gateway/src/control/held_requests.rs
@@ -32,7 +32,7 @@
             .held_requests
             .iter()
             .filter_map(|held| read(host, held, clock));
-        gateway.found_holds(kept.collect(), *host == gateway.settings.host);
+        gateway.restore_quarantines(kept.collect(), *host == gateway.settings.host);
     }
 }
 
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -200,7 +200,7 @@
     /// become due meanwhile is spread when it is back, as it is due on all hosts.
     fn see_store(&mut self) {
         let gateway = &self.gateway;
-        let away = gateway.store_away();
+        let away = gateway.store_unavailable();
         match (self.away, away) {
             (false, true) => gateway.bounds.write_failed(),
             (true, false) => {
@@ -250,7 +250,7 @@
         ) else {
             return Ok(());
         };
-        let (mark, holds) = gateway.holds_to_keep();
+        let (mark, holds) = gateway.quarantines_to_persist();
         let row = HostRow {
             host: myself(gateway),
             claim: Some(draft.claim()),
--- a/crates/gateway/src/control/kept_limits.rs
+++ b/crates/gateway/src/control/kept_limits.rs
@@ -45,7 +45,7 @@
         match RequestRate::try_from(*per_s) {
             Ok(rate) if age < BELIEVED => {
                 let as_of = gateway.now().saturating_sub(age);
-                gateway.told_limit(&Rc::from(endpoint.as_str()), Some(rate), as_of);
+                gateway.merge_limit_report(&Rc::from(endpoint.as_str()), Some(rate), as_of);
             }
             Ok(_) => {}
             Err(e) => {
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -143,10 +143,10 @@
         match (self, outcome) {
             (Self::Write | Self::Lease, _) => {}
             (_, Outcome::Answered | Outcome::Unusable) => {
-                gateway.note_access(|access| access.answered(sent_at));
+                gateway.record_store_access(|access| access.answered(sent_at));
             }
             (_, Outcome::Refused | Outcome::Failed) => {
-                gateway.note_access(|access| access.failed(now));
+                gateway.record_store_access(|access| access.failed(now));
             }
         }
     }
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -176,7 +176,7 @@
     /// and the new one is asked by its own id.
     fn started_again(&self, endpoint: &Endpoint, report: Option<&EngineReport>) -> bool {
         if let Some(report) = report {
-            self.gateway.reported(&endpoint.id, report);
+            self.gateway.apply_engine_report(&endpoint.id, report);
         }
         self.gateway.directory.borrow().get(&endpoint.id).is_none()
     }
@@ -187,7 +187,7 @@
     ) -> Vec<(&'a Rc<Endpoint>, Option<EngineReport>)> {
         let gateway = &self.gateway;
         let report = async |e: &Endpoint| {
-            if !gateway.take_permits(&[&e.id]) {
+            if !gateway.try_acquire_permits(&[&e.id]) {
                 return None;
             }
             let report = gateway.platform.engines.report(e.addr);
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -160,14 +160,15 @@
     /// store for others do, and who holds the lease.
     fn may_ask(&self, now: Duration) -> bool {
         let first = self.read_at.is_none();
-        first || self.gateway.asks_store() || self.lease.is_own() || self.lease.held(now)
+        first || self.gateway.reads_available_store() || self.lease.is_own() || self.lease.held(now)
     }
 
     /// Whether the rows are to be read although the lease does not ask for it: by the hosts that
     /// read for others.
     fn rows_due(&self, now: Duration) -> bool {
         let due = |at: Duration| at + ROWS_LOOK <= now;
-        self.read_at.is_none() || (self.gateway.asks_store() && self.read_at.is_some_and(due))
+        self.read_at.is_none()
+            || (self.gateway.reads_available_store() && self.read_at.is_some_and(due))
     }
 
     async fn read(&mut self) -> Result<(), PlatformError> {
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -166,7 +166,7 @@
         () = until_over(gateway, &endpoint.id) => Err(target.given_up("the endpoint has ended")),
     };
     if result.is_ok() {
-        gateway.survived(admitted.fingerprint());
+        gateway.record_answer(admitted.fingerprint());
     }
     let mut directory = gateway.directory.borrow_mut();
     match &result {
--- a/crates/gateway/src/forward/ended.rs
+++ b/crates/gateway/src/forward/ended.rs
@@ -68,7 +68,7 @@
         .iter()
         .find(|r| gateway.directory.borrow().has_ended(r.id))
     {
-        return gateway.ended_under(admitted.fingerprint(), over.id);
+        return gateway.record_termination(admitted.fingerprint(), over.id);
     }
     for (place, part) in ran.iter().enumerate() {
         // A later part that has ended has the first one break off after a while; it is lost by then.
@@ -84,8 +84,8 @@
                 .look(gateway, part.id, part.addr)
                 .await
         {
-            return gateway.ended_under(admitted.fingerprint(), part.id);
+            return gateway.record_termination(admitted.fingerprint(), part.id);
         }
-        gateway.broke_off_at(admitted.fingerprint(), part.id);
+        gateway.record_broken_run(admitted.fingerprint(), part.id);
     }
 }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -107,7 +107,7 @@
 
     /// Why it is not sent, if endpoints have ended under it, at whichever host.
     fn held(&self, gateway: &Gateway) -> Option<Refusal> {
-        let left = gateway.request_held(|| self.fingerprint())?;
+        let left = gateway.quarantined_for(|| self.fingerprint())?;
         Some(Refusal::EndsEndpoints(left))
     }
 
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -114,7 +114,7 @@
         return;
     }
     if let Reply::Report(report) = reply {
-        gateway.reported(&part.id, &report);
+        gateway.apply_engine_report(&part.id, &report);
         let now = gateway.now();
         prober.schedule.borrow_mut().record_answer(&part.id, now);
         let mut directory = gateway.directory.borrow_mut();
@@ -172,7 +172,7 @@
 
 /// What an endpoint answers to one call.
 async fn ask(gateway: &Gateway, id: &Rc<str>, addr: SocketAddr) -> Reply {
-    if !gateway.take_permits(&[id]) {
+    if !gateway.try_acquire_permits(&[id]) {
         return Reply::Withheld;
     }
     let report = gateway.platform.engines.report(addr);
@@ -214,7 +214,7 @@
             Reply::Silent | Reply::Withheld => None,
         };
         if let Some(report) = &report {
-            gateway.reported(&part.id, report);
+            gateway.apply_engine_report(&part.id, report);
         }
         pause = LONGEST_BACK.min(pause * 2).max(BACK);
         let now = gateway.now();
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -104,7 +104,7 @@
     if let Some(id) = target.left(&gateway.directory.borrow()) {
         return Err(Failed::NotSent(format!("{id} has left")));
     }
-    if !gateway.take_permits(target.parts) {
+    if !gateway.try_acquire_permits(target.parts) {
         return Err(Failed::NotSent(LIMIT_REACHED.to_owned()));
     }
     target.leaves.set(true);
@@ -156,7 +156,7 @@
     if facts.attempt.is_some() && facts.attempt != admitted.incoming.attempt {
         return Err(Failed::MayHaveRun("the answer is another's".to_owned()));
     }
-    gateway.note_limit(target.id, facts);
+    gateway.record_stated_limit(target.id, facts);
     if facts.not_run || facts.misdirected {
         let at = facts.fault_at.unwrap_or(target.addr);
         note_refusal(gateway, at, facts.misdirected, after);
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -301,7 +301,7 @@
         }
         let end = self.relay(&mut watch, &on, begun, sent_at, out).await?;
         if let RunEnd::Complete(_) = end {
-            gateway.survived(self.admitted.fingerprint());
+            gateway.record_answer(self.admitted.fingerprint());
             let mut directory = gateway.directory.borrow_mut();
             chain
                 .stages
--- a/crates/gateway/src/forward/trail.rs
+++ b/crates/gateway/src/forward/trail.rs
@@ -214,7 +214,7 @@
             send: self.sends.get(),
             expected,
             fill: (fill * 100.0) as u64,
-            store_age: self.gateway.heard_age().unwrap_or_default(),
+            store_age: self.gateway.store_answer_age().unwrap_or_default(),
             list_age: self.gateway.list_age(),
             after_event,
         });
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -36,7 +36,7 @@
     time::{self, Instant},
 };
 
-use self::listing::Ignored;
+use self::listing::IgnoredEntry;
 use crate::{
     bounds::Bounds,
     forward::{LineBudget, Looks, Prober},
@@ -67,7 +67,7 @@
 
 /// What the store is read for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum On {
+pub enum StoreRead {
     /// The catalogue.
     Catalogue,
     /// The list of endpoints.
@@ -90,14 +90,14 @@
     /// The codec's settings.
     pub codec: ServiceConfig,
     /// When the store last answered on the catalogue, and on the list of endpoints.
-    heard_at: Cell<[Option<Duration>; 2]>,
+    store_answered_at: Cell<[Option<Duration>; 2]>,
     /// As of when the list of endpoints that this host acts on is the newest, at least.
     list_as_of: Cell<Option<Duration>>,
     /// Endpoints whose entries lapsed while the store was in trouble, and until when they may come
     /// back.
-    pub doubted: RefCell<FxHashMap<Rc<str>, Duration>>,
+    pub lapsed_endpoints: RefCell<FxHashMap<Rc<str>, Duration>>,
     /// Entries that name no endpoint to use, by the name that they stand under.
-    ignored: RefCell<FxHashMap<Rc<str>, Ignored>>,
+    ignored_entries: RefCell<FxHashMap<Rc<str>, IgnoredEntry>>,
     /// The place in the store's history up to which the list of endpoints is known.
     pub list_revision: Cell<Mark>,
     /// The newest catalogue known.
@@ -125,9 +125,9 @@
     /// When this host was asked to stop.
     shutdown_started_at: Cell<Option<Instant>>,
     closing: watch::Sender<bool>,
-    reading: watch::Sender<bool>,
+    reads_store: watch::Sender<bool>,
     /// How this host's own reads of the store have ended.
-    access: watch::Sender<StoreAccess>,
+    store_access: watch::Sender<StoreAccess>,
     /// The last trouble with the store in which entries can have lapsed.
     pub outage: RefCell<StoreOutage>,
     /// The other hosts.
@@ -160,10 +160,10 @@
             settings,
             platform,
             codec,
-            heard_at: Cell::default(),
+            store_answered_at: Cell::default(),
             list_as_of: Cell::default(),
-            doubted: RefCell::default(),
-            ignored: RefCell::default(),
+            lapsed_endpoints: RefCell::default(),
+            ignored_entries: RefCell::default(),
             list_revision: Cell::new(0),
             catalogue: RefCell::default(),
             catalogue_document: RefCell::default(),
@@ -179,8 +179,8 @@
             epoch: Instant::now(),
             shutdown_started_at: Cell::new(None),
             closing: watch::Sender::new(false),
-            reading: watch::Sender::new(true),
-            access: watch::Sender::default(),
+            reads_store: watch::Sender::new(true),
+            store_access: watch::Sender::default(),
             outage: RefCell::new(outage),
             peers: Peers::default(),
             request_received: Cell::new(false),
@@ -247,7 +247,9 @@
         // Never proven is as old as can be.
         let seconds = |age: Option<Duration>| age.map_or(f64::INFINITY, |a| a.as_secs_f64());
         metrics.proof_age_seconds.set(seconds(self.proof_age()));
-        metrics.store_silence_seconds.set(seconds(self.heard_age()));
+        metrics
+            .store_silence_seconds
+            .set(seconds(self.store_answer_age()));
         metrics.list_age_seconds.set(seconds(self.list_age()));
     }
 
--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -9,7 +9,7 @@
 
 impl Gateway {
     /// Takes what an endpoint's answer says of its limit.
-    pub fn note_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
+    pub fn record_stated_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
         let stated = match facts.limit {
             StatedLimit::Rate(rate) => Some(rate),
             // What the endpoint did not make itself shows nothing.
@@ -28,7 +28,12 @@
     }
 
     /// Takes what another host told of an endpoint's limit, unless the endpoint is known not to be listed.
-    pub(crate) fn told_limit(&self, id: &Rc<str>, rate: Option<RequestRate>, as_of: Duration) {
+    pub(crate) fn merge_limit_report(
+        &self,
+        id: &Rc<str>,
+        rate: Option<RequestRate>,
+        as_of: Duration,
+    ) {
         if self.endpoints_known.get() && self.directory.borrow().get(id).is_none() {
             return;
         }
@@ -63,19 +68,19 @@
     }
 
     /// Takes a permit of each of some endpoints that names a limit; false, and none is taken, if one has none left.
-    pub fn take_permits(&self, ids: &[&Rc<str>]) -> bool {
+    pub fn try_acquire_permits(&self, ids: &[&Rc<str>]) -> bool {
         let mut limits = self.limits.borrow_mut();
         if limits.is_empty() {
             return true;
         }
         let limited = ids.iter().any(|id| limits.rate(id).is_some());
-        let taken = limits.try_acquire(ids, self.limit_shares(), self.now());
-        match (limited, taken) {
+        let acquired = limits.try_acquire(ids, self.limit_shares(), self.now());
+        match (limited, acquired) {
             (true, true) => self.metrics.limited_sends.inc(),
             (_, false) => self.metrics.permits_refused.inc(),
             (false, true) => {}
         }
-        taken
+        acquired
     }
 }
 
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -14,11 +14,11 @@
 };
 
 /// How long an entry that can't be used is remembered after it was read, so that it is told once.
-const IGNORED: Duration = Duration::from_secs(600);
+const IGNORED_ENTRY_TTL: Duration = Duration::from_secs(600);
 
 /// An entry that names no endpoint to use.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Ignored {
+pub(super) struct IgnoredEntry {
     version: u64,
     fault: EntryFault,
     /// When it was last read.
@@ -47,7 +47,7 @@
                 });
                 return;
             }
-            PutOutcome::Replaced(ended) => ended.iter().for_each(|e| self.ended(e, &id)),
+            PutOutcome::Replaced(ended) => ended.iter().for_each(|e| self.remove_replaced(e, &id)),
             PutOutcome::Listed | PutOutcome::Relisted => {}
         }
         let Some(listed) = directory.get(&id) else {
@@ -62,9 +62,9 @@
 
     /// An endpoint has ended, as another start has taken its place: what ran there is lost, and what is
     /// open to it.
-    fn ended(&self, endpoint: &Endpoint, by: &str) {
+    fn remove_replaced(&self, endpoint: &Endpoint, by: &str) {
         log::info!(target: "fleet", endpoint = &*endpoint.id, by = by; "Endpoint has ended: another start is in its place.");
-        self.endpoint_over(&endpoint.id);
+        self.confirm_termination(&endpoint.id);
         self.loads.borrow_mut().forget(&endpoint.id);
         self.limits.borrow_mut().remove(&endpoint.id);
         self.idle.drop_all(endpoint.addr);
@@ -74,7 +74,7 @@
 
     /// An engine has told when it started: if that is later than its entry says, the entry's start is
     /// over, and the engine is what it reports.
-    pub fn reported(self: &Rc<Self>, id: &str, report: &EngineReport) {
+    pub fn apply_engine_report(self: &Rc<Self>, id: &str, report: &EngineReport) {
         let known = self.directory.borrow().get(id).cloned();
         let Some(known) = known.filter(|e| e.started_at.is_some() && report.born > e.started_at)
         else {
@@ -94,13 +94,13 @@
     pub fn ignore_entry(&self, entry: UnusableEntry) {
         let listed = self.directory.borrow().by_name(&entry.name).cloned();
         if let Some(endpoint) = &listed {
-            self.forget_endpoint(&endpoint.id);
+            self.remove_endpoint(&endpoint.id);
         }
         let UnusableEntry { version, fault, .. } = entry;
         let read_at = self.now();
-        let mut ignored = self.ignored.borrow_mut();
-        ignored.retain(|_, known| known.read_at + IGNORED > read_at);
-        let read = Ignored {
+        let mut ignored = self.ignored_entries.borrow_mut();
+        ignored.retain(|_, known| known.read_at + IGNORED_ENTRY_TTL > read_at);
+        let read = IgnoredEntry {
             version,
             fault,
             read_at,
@@ -125,7 +125,7 @@
     }
 
     /// Forgets an endpoint that is gone.
-    pub fn forget_endpoint(&self, id: &str) {
+    pub fn remove_endpoint(&self, id: &str) {
         if self.directory.borrow_mut().remove(id).is_some() {
             log::info!(target: "fleet", endpoint = id; "Endpoint is gone.");
             self.loads.borrow_mut().forget(id);
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -36,7 +36,7 @@
     let readiness = listen(settings.readiness)?;
     let metrics = listen(settings.metrics)?;
     let peers = listen(settings.peers)?;
-    gateway.set_reading(false);
+    gateway.set_reads_store(false);
     actix_rt::spawn(control::catalogue::follow(gateway.clone()));
     actix_rt::spawn(control::endpoints::follow(gateway.clone()));
     actix_rt::spawn(control::roster::keep(gateway.clone(), incarnation()));
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -25,7 +25,7 @@
 };
 use crate::{
     control::{catalogue, host_row},
-    gateway::{Gateway, On},
+    gateway::{Gateway, StoreRead},
 };
 
 /// How often news are asked for: changes are in force on all hosts within a few of these.
@@ -75,7 +75,7 @@
         let began = time::Instant::now();
         follower.gateway.expire_limits();
         follower.round().await;
-        let period = match follower.gateway.heard_age() {
+        let period = match follower.gateway.store_answer_age() {
             None => FIRST_PERIOD,
             Some(_) => PERIOD,
         };
@@ -94,7 +94,7 @@
         let near = gateway.settings.data_centre.clone();
         self.beginning = self.begin(&near, &me).await;
         if self.beginning == Beginning::Hasty {
-            gateway.set_reading(true);
+            gateway.set_reads_store(true);
             return;
         }
         let first = self.ask_first(&near, &me).await;
@@ -115,9 +115,9 @@
     async fn begin(&mut self, near: &str, me: &str) -> Beginning {
         let gateway = self.gateway.clone();
         let starts_again = gateway.bounds.found_age().is_some();
-        let has_news = gateway.heard_age().is_some();
+        let has_news = gateway.store_answer_age().is_some();
         match self.beginning {
-            _ if has_news || !starts_again || gateway.store_away() => Beginning::Usual,
+            _ if has_news || !starts_again || gateway.store_unavailable() => Beginning::Usual,
             Beginning::Unasked => {
                 let first = gateway.peers.first(near, Some(me), gateway.now());
                 match first {
@@ -152,9 +152,9 @@
     fn take_role(&self, told: Option<StoreReport>) {
         let gateway = &self.gateway;
         let now = gateway.now();
-        let role = store_access::role(told, gateway.goes_on_reading());
+        let role = store_access::role(told, gateway.keeps_reading_store());
         match (role, told) {
-            (Role::Follower, _) => gateway.note_access(|access| access.answered(now)),
+            (Role::Follower, _) => gateway.record_store_access(|access| access.answered(now)),
             // A host that tries for the others asks for one thing only, too.
             (
                 Role::Reader,
@@ -162,7 +162,7 @@
                     probe_slot: true, ..
                 }),
             ) => {
-                gateway.note_access(|access| access.slot_granted(now));
+                gateway.record_store_access(|access| access.slot_granted(now));
             }
             (
                 Role::Waiting,
@@ -170,13 +170,13 @@
                     unavailable: true, ..
                 }),
             ) => {
-                gateway.note_access(|access| access.suspected(now));
+                gateway.record_store_access(|access| access.suspected(now));
             }
             (Role::Waiting | Role::Reader, _) => {}
         }
-        gateway.set_reading(role == Role::Reader);
+        gateway.set_reads_store(role == Role::Reader);
         // Its last news may still be fresh while it has others look for more.
-        if gateway.hears() && !gateway.reads_in_vain() {
+        if gateway.has_fresh_store_data() && !gateway.store_reads_fail() {
             gateway.peers.no_turns();
         }
     }
@@ -198,7 +198,7 @@
     /// this one, which all others ask.
     async fn ask_reader(&mut self, near: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
-        if gateway.reads_well() {
+        if gateway.reads_fresh_store_data() {
             return None;
         }
         let silent = catalogue::longest_silence(&gateway.settings);
@@ -236,9 +236,9 @@
         };
         let heard_at = heard.and_then(|age| sent_at.checked_sub(age));
         if let Some(at) = heard_at {
-            gateway.heard(On::Catalogue, at);
+            gateway.record_store_answer(StoreRead::Catalogue, at);
             if told.has_list {
-                gateway.heard(On::List, at);
+                gateway.record_store_answer(StoreRead::List, at);
             }
         }
         self.note_list(host, &news, heard_at);
@@ -260,7 +260,7 @@
     fn note_list(&mut self, host: &FleetHost, news: &News, heard_at: Option<Duration>) {
         let gateway = &self.gateway;
         match (&news.list, heard_at) {
-            (Some(_), Some(at)) => gateway.list_known(at),
+            (Some(_), Some(at)) => gateway.record_list_as_of(at),
             (None, Some(_)) => {
                 gateway.metrics.lists_not_told.inc();
                 if self.list_told {
@@ -360,7 +360,9 @@
     /// How long ago the store last answered this host itself, if it reads the store.
     fn read_age_us(&self) -> Option<u64> {
         let gateway = &self.gateway;
-        let age = gateway.heard_age().filter(|_| gateway.reads_well())?;
+        let age = gateway
+            .store_answer_age()
+            .filter(|_| gateway.reads_fresh_store_data())?;
         Some(age.as_micros() as u64)
     }
 
@@ -456,11 +458,11 @@
     let (replaced, gone): (Vec<_>, Vec<_>) = gone
         .into_iter()
         .partition(|id| is_replaced(gateway, id, &changed));
-    gone.iter().for_each(|id| gateway.forget_endpoint(id));
+    gone.iter().for_each(|id| gateway.remove_endpoint(id));
     for endpoint in changed {
         gateway.list_endpoint(endpoint);
     }
-    replaced.iter().for_each(|id| gateway.forget_endpoint(id));
+    replaced.iter().for_each(|id| gateway.remove_endpoint(id));
     gateway.endpoints_known.set(true);
     gateway.peers.list.set(list.mark);
     gateway
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -51,7 +51,7 @@
     for limit in told {
         let LimitReport { id, rate, age, .. } = from_wire(limit);
         let as_of = asked_at.saturating_sub(age);
-        gateway.told_limit(&id, rate, as_of);
+        gateway.merge_limit_report(&id, rate, as_of);
     }
 }
 
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -95,7 +95,7 @@
     peers.hear(told);
     suspects::take(gateway, &offer.suspects);
     let limits = limits::answer(gateway, &offer.from, &offer.limits);
-    let waits = gateway.reads_in_vain();
+    let waits = gateway.store_reads_fail();
     if waits && same && read_age.is_some() {
         // It may have an answer from the store that this host lacks.
         peers.hurry();
@@ -119,12 +119,12 @@
     let age = gateway.freshness.get().proof_age(now).filter(|_| !follows);
     News {
         proof_age_us: age.map(|a| a.as_micros() as u64),
-        heard_age_us: gateway.heard_age().map(|a| a.as_micros() as u64),
+        heard_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
         reader: match gateway.reads_store() {
             true => None,
             false => peers.reader.borrow().clone(),
         },
-        away: waits || gateway.store_away(),
+        away: waits || gateway.store_unavailable(),
         turn,
         catalogue,
         list: offer
@@ -207,7 +207,7 @@
     if changes.complete && changes.changed.len() > MOST_TOLD_WHOLE {
         return None;
     }
-    let doubted = gateway.doubted.borrow();
+    let doubted = gateway.lapsed_endpoints.borrow();
     let certain = changes
         .changed
         .iter()
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -79,7 +79,7 @@
 /// Takes what another host told.
 pub(super) fn take(gateway: &Gateway, suspects: &[Suspect]) {
     if !suspects.is_empty() {
-        gateway.told_suspects(suspects.iter().map(from_wire).collect());
+        gateway.merge_suspect_reports(suspects.iter().map(from_wire).collect());
     }
 }
 
