--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -36,13 +36,13 @@
     /// The store has answered. After trouble the other hosts may have it back as well.
     fn succeeded(&mut self, gateway: &Gateway) {
         if self.failures > 0 {
-            gateway.peers.forgive();
+            gateway.peers.clear_skipped();
         }
         self.failures = 0;
     }
 
     async fn failed(&mut self, gateway: &Gateway) {
-        let longest = match gateway.peers.reads_for_others(&gateway.settings) {
+        let longest = match gateway.peers.is_polled_host(&gateway.settings) {
             true => LONGEST_PAUSE,
             false => LONGEST_PAUSE_OF_OTHERS,
         };
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -188,7 +188,7 @@
     fn note_others(&mut self, now: Duration) {
         let gateway = &self.gateway;
         let new = gateway.bounds.row() == Some(0);
-        let one_before = gateway.peers.one_before(&gateway.settings, now);
+        let one_before = gateway.peers.has_host_to_poll(&gateway.settings, now);
         match self.newcomer {
             Newcomer::Blind if new && !one_before => self.newcomer = Newcomer::Alone,
             _ => self.settle(),
@@ -198,7 +198,7 @@
     /// The others are known, as far as they can be.
     fn settle(&mut self) {
         self.newcomer = Newcomer::Settled;
-        self.gateway.peers.set_known();
+        self.gateway.peers.set_fleet_known();
     }
 
     /// Whether a host that was alone reads the rows once more.
--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -51,7 +51,7 @@
     /// The shares of limits that this host holds.
     pub(crate) fn limit_shares(&self) -> PooledShares {
         PooledShares {
-            polling_hosts: self.peers.asked_by(&self.settings, self.now()),
+            polling_hosts: self.peers.polling_hosts(&self.settings, self.now()),
             hosts: self.counted_hosts(),
         }
     }
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -22,7 +22,7 @@
         }
         if !was_fresh && self.reads_fresh_store_data() {
             // The hosts that wait hear of it at once, and not with the next call.
-            self.peers.hurry();
+            self.peers.poll_now();
         }
     }
 
@@ -57,7 +57,7 @@
         let recovered = changed && !after.unavailable() && self.has_fresh_store_data();
         let stops_reading = self.reads_store() && before.keeps_reading() && !after.keeps_reading();
         if recovered || stops_reading {
-            self.peers.hurry();
+            self.peers.poll_now();
         }
         if changed {
             if after.unavailable() {
--- a/crates/gateway/src/gateway/suspects.rs
+++ b/crates/gateway/src/gateway/suspects.rs
@@ -32,7 +32,7 @@
             let for_s = period.remaining().as_secs();
             log::warn!(target: "forward", request:% = request, for_s = for_s, times = period.count; "A request is held: endpoints end under it.");
             // Each moment counts: other hosts may be about to send it.
-            self.peers.hurry();
+            self.peers.poll_now();
         }
     }
 
--- a/crates/gateway/src/peers/documents.rs
+++ b/crates/gateway/src/peers/documents.rs
@@ -15,37 +15,38 @@
 use crate::gateway::Gateway;
 
 /// The part of the link that documents may take: the rest is left to requests.
-const LINK_PART: f64 = 0.5;
+const MAX_LINK_FRACTION: f64 = 0.5;
 /// The largest document that is unpacked.
-const MOST_UNPACKED: u64 = 64 * 1024 * 1024;
+const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
 /// How the compressed format begins, which no document does.
-const GZIP: [u8; 2] = [0x1f, 0x8b];
+const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
 
 /// Gives out the document.
 #[derive(Default)]
-pub(super) struct Documents {
+pub(super) struct CatalogueDocuments {
     /// The last document that was compressed, and the version of its catalogue.
     compressed: RefCell<Option<(u64, Bytes)>>,
     /// Bytes that may be told now; made when the first document is.
-    room: RefCell<Option<TokenBucket>>,
+    byte_budget: RefCell<Option<TokenBucket>>,
 }
 
-impl Documents {
+impl CatalogueDocuments {
     /// The document of the catalogue of this version, if the link has room for it now.
-    pub(super) fn tell(&self, gateway: &Gateway, version: u64, now: Duration) -> Option<Bytes> {
+    pub(super) fn acquire(&self, gateway: &Gateway, version: u64, now: Duration) -> Option<Bytes> {
         let document = self.compressed(gateway, version);
-        let mut room = self.room.borrow_mut();
-        let room = room.get_or_insert_with(|| {
-            let per_s = gateway.settings.link_bytes_per_s * LINK_PART;
-            TokenBucket::new(per_s, per_s * follow::CALL.as_secs_f64())
+        let mut byte_budget = self.byte_budget.borrow_mut();
+        let byte_budget = byte_budget.get_or_insert_with(|| {
+            let per_s = gateway.settings.link_bytes_per_s * MAX_LINK_FRACTION;
+            TokenBucket::new(per_s, per_s * follow::CALL_TIMEOUT.as_secs_f64())
         });
-        room.try_acquire(document.len() as f64, now)
+        byte_budget
+            .try_acquire(document.len() as f64, now)
             .then_some(document)
     }
 
     fn compressed(&self, gateway: &Gateway, version: u64) -> Bytes {
         let mut compressed = self.compressed.borrow_mut();
-        if let Some((_, document)) = compressed.as_ref().filter(|(of, _)| *of == version) {
+        if let Some((_, document)) = compressed.as_ref().filter(|(v, _)| *v == version) {
             return document.clone();
         }
         let document = compress(&gateway.catalogue_document.borrow());
@@ -56,9 +57,9 @@
 
 fn compress(document: &Bytes) -> Bytes {
     let mut encoder = read::GzEncoder::new(&document[..], Compression::fast());
-    let mut packed = Vec::new();
-    match encoder.read_to_end(&mut packed) {
-        Ok(_) => packed.into(),
+    let mut compressed = Vec::new();
+    match encoder.read_to_end(&mut compressed) {
+        Ok(_) => compressed.into(),
         // Reading from memory does not fail; should it, the document can be told as it is.
         Err(e) => {
             log::warn!(target: "peers", why:% = e; "The catalogue was not compressed.");
@@ -68,12 +69,12 @@
 }
 
 /// A document as a host told it, which may have been an older program that does not compress.
-pub(super) fn unpack(told: Vec<u8>) -> Result<Bytes, std::io::Error> {
-    if !told.starts_with(&GZIP) {
-        return Ok(told.into());
+pub(super) fn unpack(received: Vec<u8>) -> Result<Bytes, std::io::Error> {
+    if !received.starts_with(&GZIP_MAGIC) {
+        return Ok(received.into());
     }
     let mut document = Vec::new();
-    let mut decoder = read::GzDecoder::new(&told[..]).take(MOST_UNPACKED);
+    let mut decoder = read::GzDecoder::new(&received[..]).take(MAX_UNPACKED_BYTES);
     decoder.read_to_end(&mut document)?;
     Ok(document.into())
 }
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -18,8 +18,8 @@
 use tokio::time;
 
 use super::{
-    FIRST_HOSTS, Heard, avoided_from_wire, avoided_to_wire, documents, from_wire, limits,
-    serve::own_data_centre,
+    MAX_POLLED_HOSTS, PeerReport, avoided_from_wire, avoided_to_wire, documents, from_wire, limits,
+    serve::own_data_centre_loads,
     suspects::{self, PeerSyncs},
     to_wire,
 };
@@ -29,36 +29,36 @@
 };
 
 /// How often news are asked for: changes are in force on all hosts within a few of these.
-pub const PERIOD: Duration = Duration::from_millis(250);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// The same while neither this host nor the one that it asks has any news yet, as all have just started.
-const FIRST_PERIOD: Duration = Duration::from_millis(50);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a call may take: hosts are a fraction of a millisecond away, but may be busy.
-pub(super) const CALL: Duration = Duration::from_millis(350);
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long a host that starts again waits to hear whether the first host of its data centre has fresh
 /// news: what callers have open ended with the process before, and they come back at once. If all hosts
 /// have started again, the first is busy with the calls of all others, which it can't answer yet.
-const HASTY_CALL: Duration = Duration::from_millis(40);
+const RESTART_CALL_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// How a host comes by its first news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Beginning {
+enum Startup {
     /// Nobody was asked yet.
-    Unasked,
+    NotPolled,
     /// It starts again and nobody nearby had news at once: it reads the store.
-    Hasty,
+    ReadsStore,
     /// As at any other time.
-    Usual,
+    Complete,
 }
 
 struct Follower {
     gateway: Rc<Gateway>,
     clients: HashMap<SocketAddr, ExchangeClient>,
-    suspects: PeerSyncs,
+    suspect_syncs: PeerSyncs,
     /// The host that was asked last.
-    asked: Option<String>,
+    polled_host: Option<String>,
     /// It told what it knows of the list of endpoints.
-    list_told: bool,
-    beginning: Beginning,
+    list_received: bool,
+    startup: Startup,
 }
 
 /// Asks for news for as long as the process lives.
@@ -66,94 +66,94 @@
     let mut follower = Follower {
         gateway,
         clients: HashMap::new(),
-        suspects: PeerSyncs::default(),
-        asked: None,
-        list_told: true,
-        beginning: Beginning::Unasked,
+        suspect_syncs: PeerSyncs::default(),
+        polled_host: None,
+        list_received: true,
+        startup: Startup::NotPolled,
     };
     loop {
-        let began = time::Instant::now();
+        let started_at = time::Instant::now();
         follower.gateway.expire_limits();
-        follower.round().await;
-        let period = match follower.gateway.store_answer_age() {
-            None => FIRST_PERIOD,
-            Some(_) => PERIOD,
+        follower.poll().await;
+        let interval = match follower.gateway.store_answer_age() {
+            None => STARTUP_POLL_INTERVAL,
+            Some(_) => POLL_INTERVAL,
         };
-        let hurry = follower.gateway.peers.hurry.notified();
-        let _ = time::timeout_at(began + period, hurry).await;
+        let poll_requested = follower.gateway.peers.poll_requested.notified();
+        let _ = time::timeout_at(started_at + interval, poll_requested).await;
     }
 }
 
 impl Follower {
-    async fn round(&mut self) {
+    async fn poll(&mut self) {
         let gateway = self.gateway.clone();
-        if !gateway.peers.known.get() {
+        if !gateway.peers.fleet_known.get() {
             return;
         }
         let me = gateway.settings.host.clone();
         let near = gateway.settings.data_centre.clone();
-        self.beginning = self.begin(&near, &me).await;
-        if self.beginning == Beginning::Hasty {
+        self.startup = self.next_startup(&near, &me).await;
+        if self.startup == Startup::ReadsStore {
             gateway.set_reads_store(true);
             return;
         }
-        let first = self.ask_first(&near, &me).await;
-        let told = match first {
-            Some(told) => Some(told),
-            None => self.ask_reader(&near).await,
+        let first = self.poll_first(&near, &me).await;
+        let report = match first {
+            Some(report) => Some(report),
+            None => self.poll_reader(&near).await,
         };
-        if told.is_none() {
-            self.asked = None;
+        if report.is_none() {
+            self.polled_host = None;
         }
-        self.take_role(told);
+        self.apply_role(report);
         if first.is_none() {
             self.exchange_loads(&near).await;
         }
     }
 
     /// How this host comes by its first news.
-    async fn begin(&mut self, near: &str, me: &str) -> Beginning {
+    async fn next_startup(&mut self, near: &str, me: &str) -> Startup {
         let gateway = self.gateway.clone();
-        let starts_again = gateway.bounds.found_age().is_some();
-        let has_news = gateway.store_answer_age().is_some();
-        match self.beginning {
-            _ if has_news || !starts_again || gateway.store_unavailable() => Beginning::Usual,
-            Beginning::Unasked => {
-                let first = gateway.peers.first(near, Some(me), gateway.now());
+        let restarted = gateway.bounds.found_age().is_some();
+        let has_data = gateway.store_answer_age().is_some();
+        match self.startup {
+            _ if has_data || !restarted || gateway.store_unavailable() => Startup::Complete,
+            Startup::NotPolled => {
+                let first = gateway.peers.first_available(near, Some(me), gateway.now());
                 match first {
-                    Some(host) if !self.has_news(&host).await => Beginning::Hasty,
-                    _ => Beginning::Usual,
+                    Some(host) if !self.has_fresh_data(&host).await => Startup::ReadsStore,
+                    _ => Startup::Complete,
                 }
             }
-            beginning => beginning,
+            startup => startup,
         }
     }
 
     /// Whether a host says at once that it has fresh news.
-    async fn has_news(&mut self, host: &FleetHost) -> bool {
+    async fn has_fresh_data(&mut self, host: &FleetHost) -> bool {
         let offer = self.offer(&LoadMap::default(), false);
         let sent_at = self.gateway.now();
-        let asked = time::timeout(HASTY_CALL, self.exchange(host.addr, offer)).await;
-        let news = asked.ok().flatten();
+        let answer = time::timeout(RESTART_CALL_TIMEOUT, self.exchange(host.addr, offer)).await;
+        let news = answer.ok().flatten();
         news.is_some_and(|news| {
-            limits::take(&self.gateway, &news.limits, sent_at);
-            self.fresh(&news)
+            limits::merge(&self.gateway, &news.limits, sent_at);
+            self.is_fresh(&news)
         })
     }
 
     /// Whether news are of a store that was heard of lately.
-    fn fresh(&self, news: &News) -> bool {
-        let silent = catalogue::longest_silence(&self.gateway.settings);
-        let heard = news.heard_age_us.map(Duration::from_micros);
-        heard.is_some_and(|age| age <= silent)
+    fn is_fresh(&self, news: &News) -> bool {
+        let max_silence = catalogue::longest_silence(&self.gateway.settings);
+        let answer_age = news.heard_age_us.map(Duration::from_micros);
+        answer_age.is_some_and(|age| age <= max_silence)
     }
 
     /// Reads the store or not, by what the other hosts told of it.
-    fn take_role(&self, told: Option<StoreReport>) {
+    fn apply_role(&self, report: Option<StoreReport>) {
         let gateway = &self.gateway;
         let now = gateway.now();
-        let role = store_access::role(told, gateway.keeps_reading_store());
-        match (role, told) {
+        let role = store_access::role(report, gateway.keeps_reading_store());
+        match (role, report) {
             (Role::Follower, _) => gateway.record_store_access(|access| access.answered(now)),
             // A host that tries for the others asks for one thing only, too.
             (
@@ -177,16 +177,18 @@
         gateway.set_reads_store(role == Role::Reader);
         // Its last news may still be fresh while it has others look for more.
         if gateway.has_fresh_store_data() && !gateway.store_reads_fail() {
-            gateway.peers.no_turns();
+            gateway.peers.reset_probe_slots();
         }
     }
 
     /// Asks the first hosts of this data centre until one answers.
-    async fn ask_first(&mut self, near: &str, me: &str) -> Option<StoreReport> {
+    async fn poll_first(&mut self, near: &str, me: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
-        for _ in 0..FIRST_HOSTS {
-            let host = gateway.peers.first(near, Some(me), gateway.now())?;
-            let news = self.ask_near(&host).await;
+        for _ in 0..MAX_POLLED_HOSTS {
+            let host = gateway
+                .peers
+                .first_available(near, Some(me), gateway.now())?;
+            let news = self.poll_host(&host).await;
             if news.is_some() {
                 return news;
             }
@@ -196,52 +198,52 @@
 
     /// Asks another host of this data centre that reads the store, while the store does not answer
     /// this one, which all others ask.
-    async fn ask_reader(&mut self, near: &str) -> Option<StoreReport> {
+    async fn poll_reader(&mut self, near: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         if gateway.reads_fresh_store_data() {
             return None;
         }
-        let silent = catalogue::longest_silence(&gateway.settings);
-        let since = gateway.now().saturating_sub(silent);
-        let host = gateway.peers.reader_near(near, since)?;
-        self.ask_near(&host).await.filter(|told| told.fresh)
+        let max_silence = catalogue::longest_silence(&gateway.settings);
+        let since = gateway.now().saturating_sub(max_silence);
+        let host = gateway.peers.find_reader(near, since)?;
+        self.poll_host(&host).await.filter(|report| report.fresh)
     }
 
     /// Asks a host of this data centre; `None` if it does not answer.
-    async fn ask_near(&mut self, host: &FleetHost) -> Option<StoreReport> {
+    async fn poll_host(&mut self, host: &FleetHost) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         let peers = &gateway.peers;
-        if self.asked.as_ref() != Some(&host.host) {
+        if self.polled_host.as_ref() != Some(&host.host) {
             log::info!(target: "peers", host = &*host.host; "News are asked of another host.");
-            self.asked = Some(host.host.clone());
+            self.polled_host = Some(host.host.clone());
         }
         let loads = gateway.loads.borrow().own().clone();
         let mut offer = self.offer(&loads, true);
-        let lends = host.host < gateway.settings.host;
+        let borrows = host.host < gateway.settings.host;
         let sent_at = gateway.now();
-        offer.limits = limits::offer(&gateway, lends);
+        offer.limits = limits::offer(&gateway, borrows);
         let news = self.call(host, offer).await?;
-        if lends {
-            limits::take_permits(&gateway, &news.limits, sent_at);
+        if borrows {
+            limits::add_borrowed_permits(&gateway, &news.limits, sent_at);
         }
-        peers.works(&host.host);
-        let age = news.proof_age_us.map(Duration::from_micros);
-        let heard = news.heard_age_us.map(Duration::from_micros);
-        let told = StoreReport {
-            fresh: self.fresh(&news),
+        peers.record_success(&host.host);
+        let proof_age = news.proof_age_us.map(Duration::from_micros);
+        let answer_age = news.heard_age_us.map(Duration::from_micros);
+        let report = StoreReport {
+            fresh: self.is_fresh(&news),
             from_this_host: news.reader.as_ref() == Some(&gateway.settings.host),
             unavailable: news.away,
             probe_slot: news.turn,
             has_list: news.list.is_some(),
         };
-        let heard_at = heard.and_then(|age| sent_at.checked_sub(age));
-        if let Some(at) = heard_at {
+        let store_answered_at = answer_age.and_then(|age| sent_at.checked_sub(age));
+        if let Some(at) = store_answered_at {
             gateway.record_store_answer(StoreRead::Catalogue, at);
-            if told.has_list {
+            if report.has_list {
                 gateway.record_store_answer(StoreRead::List, at);
             }
         }
-        self.note_list(host, &news, heard_at);
+        self.record_list_report(host, &news, store_answered_at);
         let reader = news.reader.clone().unwrap_or_else(|| host.host.clone());
         *peers.reader.borrow_mut() = Some(reader);
         // A host that comes later knows less of the loads: the first is told them by all the others.
@@ -252,43 +254,48 @@
                 .borrow_mut()
                 .apply_update(loads, gateway.now());
         }
-        self.take(news, sent_at, age);
-        Some(told)
+        self.apply_update(news, sent_at, proof_age);
+        Some(report)
     }
 
     /// Notes whether the other host has told what it knows of the list, and how old that is.
-    fn note_list(&mut self, host: &FleetHost, news: &News, heard_at: Option<Duration>) {
+    fn record_list_report(
+        &mut self,
+        host: &FleetHost,
+        news: &News,
+        store_answered_at: Option<Duration>,
+    ) {
         let gateway = &self.gateway;
-        match (&news.list, heard_at) {
+        match (&news.list, store_answered_at) {
             (Some(_), Some(at)) => gateway.record_list_as_of(at),
             (None, Some(_)) => {
                 gateway.metrics.lists_not_told.inc();
-                if self.list_told {
+                if self.list_received {
                     log::info!(target: "peers", host = &*host.host, known_to = gateway.list_revision.get(); "The list of endpoints is not told.");
                 }
             }
             (_, None) => {}
         }
-        self.list_told = news.list.is_some();
+        self.list_received = news.list.is_some();
     }
 
-    fn take(&mut self, news: News, sent_at: Duration, age: Option<Duration>) {
+    fn apply_update(&mut self, news: News, sent_at: Duration, proof_age: Option<Duration>) {
         let gateway = &self.gateway;
         let peers = &gateway.peers;
         let now = gateway.now();
         if let Some((_, document)) = news.catalogue
-            && let Err(e) = adopt(gateway, document)
+            && let Err(e) = adopt_document(gateway, document)
         {
             log::warn!(target: "peers", why:% = e; "A catalogue from a host can't be used.");
             return;
         }
         // The other host answered after this one asked, so that its proof is at least as new.
-        let proven_at = age.and_then(|age| sent_at.checked_sub(age));
+        let proven_at = proof_age.and_then(|age| sent_at.checked_sub(age));
         if let Some(at) = proven_at.filter(|_| gateway.catalogue.borrow().is_some()) {
             gateway.record_proof(at);
         }
         if let Some(list) = news.list {
-            take_list(gateway, list);
+            apply_list(gateway, list);
         }
         if let Some(fleet) = news.fleet {
             gateway.set_fleet(fleet);
@@ -299,8 +306,11 @@
         if news.lease.is_some() {
             peers.set_lease(news.lease);
         }
-        let told = avoided_from_wire(&news.avoided);
-        gateway.directory.borrow_mut().apply_peer_avoided(told, now);
+        let avoided = avoided_from_wire(&news.avoided);
+        gateway
+            .directory
+            .borrow_mut()
+            .apply_peer_avoided(avoided, now);
     }
 
     /// Exchanges loads with the reading hosts of the other data centres.
@@ -308,24 +318,24 @@
         let gateway = self.gateway.clone();
         let peers = &gateway.peers;
         for centre in peers.other_data_centres(near) {
-            let Some(host) = peers.first(&centre, None, gateway.now()) else {
+            let Some(host) = peers.first_available(&centre, None, gateway.now()) else {
                 continue;
             };
-            let mut offer = self.offer(&own_data_centre(&gateway), false);
+            let mut offer = self.offer(&own_data_centre_loads(&gateway), false);
             offer.limits = limits::offer(&gateway, false);
             if let Some(news) = self.call(&host, offer).await {
-                let told = Heard {
+                let report = PeerReport {
                     from: host.clone(),
                     loads: from_wire(&news.loads),
                     avoided: Vec::new(),
                     read_at: None,
-                    at: gateway.now(),
+                    received_at: gateway.now(),
                 };
-                peers.hear(told);
+                peers.record_report(report);
             }
         }
         let now = gateway.now();
-        let others = peers.sum(now, |_, _| true);
+        let others = peers.sum_loads(now, |_, _| true);
         gateway.loads.borrow_mut().apply_update(others, now);
     }
 
@@ -338,7 +348,7 @@
                 true => gateway.catalogue_version(),
                 false => u64::MAX,
             },
-            list: near.then(|| gateway.peers.list.get()),
+            list: near.then(|| gateway.peers.list_position.get()),
             list_known_to: gateway
                 .endpoints_known
                 .get()
@@ -368,23 +378,24 @@
 
     /// Calls a host; one that does not answer is passed over for a while.
     async fn call(&mut self, host: &FleetHost, mut offer: Offer) -> Option<News> {
-        let mut offered = self.suspects.offer(host.addr, &self.gateway);
-        offer.suspects_known = offered.known;
-        offer.suspects = std::mem::take(&mut offered.suspects);
+        let mut suspect_offer = self.suspect_syncs.offer(host.addr, &self.gateway);
+        offer.suspects_known = suspect_offer.known;
+        offer.suspects = std::mem::take(&mut suspect_offer.suspects);
         let sent_at = self.gateway.now();
-        let called = time::timeout(CALL, self.exchange(host.addr, offer)).await;
-        if let Ok(Some(mut news)) = called {
-            limits::take(&self.gateway, &news.limits, sent_at);
-            let told = std::mem::take(&mut news.suspects.changed);
+        let result = time::timeout(CALL_TIMEOUT, self.exchange(host.addr, offer)).await;
+        if let Ok(Some(mut news)) = result {
+            limits::merge(&self.gateway, &news.limits, sent_at);
+            let suspects = std::mem::take(&mut news.suspects.changed);
             let mark = news.suspects.mark;
-            self.suspects.answered(host.addr, &offered, mark);
-            suspects::take(&self.gateway, &told);
+            self.suspect_syncs
+                .record_response(host.addr, &suspect_offer, mark);
+            suspects::merge(&self.gateway, &suspects);
             return Some(news);
         }
-        self.suspects.failed(host.addr);
+        self.suspect_syncs.record_failure(host.addr);
         log::info!(target: "peers", host = &*host.host; "A host does not answer.");
         self.clients.remove(&host.addr);
-        self.gateway.peers.pass_over(&host.host, self.gateway.now());
+        self.gateway.peers.skip(&host.host, self.gateway.now());
         None
     }
 
@@ -398,7 +409,7 @@
             }
         };
         let mut cx = context::current();
-        cx.deadline = std::time::Instant::now() + CALL;
+        cx.deadline = std::time::Instant::now() + CALL_TIMEOUT;
         match client.exchange(cx, offer).await {
             Ok(news) => Some(news),
             Err(e) => {
@@ -426,15 +437,15 @@
 }
 
 /// Takes a catalogue over as another host told it.
-fn adopt(gateway: &Gateway, told: Vec<u8>) -> Result<(), PlatformError> {
+fn adopt_document(gateway: &Gateway, received: Vec<u8>) -> Result<(), PlatformError> {
     let malformed = |e: std::io::Error| PlatformError::Malformed(e.to_string());
-    let document = documents::unpack(told).map_err(malformed)?;
+    let document = documents::unpack(received).map_err(malformed)?;
     gateway.adopt_catalogue(gateway.platform.store.decode(document)?);
     Ok(())
 }
 
 /// Takes what another host told of its list, unless more of the store's history is known.
-pub fn take_list(gateway: &Rc<Gateway>, list: ListNews) {
+pub fn apply_list(gateway: &Rc<Gateway>, list: ListNews) {
     // The other host's list may be older than what this one knew before it asked that host.
     if list.store_mark < gateway.list_revision.get() {
         log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list is not taken.");
@@ -452,7 +463,7 @@
             .map(|id| Rc::from(id.as_str()))
             .collect()
     };
-    let changed: Vec<Endpoint> = list.changed.into_iter().map(endpoint).collect();
+    let changed: Vec<Endpoint> = list.changed.into_iter().map(to_endpoint).collect();
     // That a start has ended, as another one is in its place, is found when that is listed: what it replaces must
     // still be known then.
     let (replaced, gone): (Vec<_>, Vec<_>) = gone
@@ -464,7 +475,7 @@
     }
     replaced.iter().for_each(|id| gateway.remove_endpoint(id));
     gateway.endpoints_known.set(true);
-    gateway.peers.list.set(list.mark);
+    gateway.peers.list_position.set(list.mark);
     gateway
         .directory
         .borrow_mut()
@@ -478,14 +489,14 @@
     let Some(gone) = directory.get(id) else {
         return false;
     };
-    let back = by.iter().any(|e| e.id == gone.id);
-    !back
+    let relisted = by.iter().any(|e| e.id == gone.id);
+    !relisted
         && by
             .iter()
             .any(|e| e.name == gone.name || e.addr == gone.addr)
 }
 
-fn endpoint(listed: Listed) -> Endpoint {
+fn to_endpoint(listed: Listed) -> Endpoint {
     let started_at = listed.born_ms.map(StartTime);
     Endpoint {
         id: incarnations::id(&listed.name, started_at),
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -8,68 +8,72 @@
 use crate::gateway::Gateway;
 
 /// What this host tells a host that it asks; of one nearby that comes before it, it wants permits.
-pub(super) fn offer(gateway: &Gateway, lends: bool) -> Vec<EndpointLimit> {
+pub(super) fn offer(gateway: &Gateway, borrows: bool) -> Vec<EndpointLimit> {
     let mut limits = gateway.limits.borrow_mut();
-    if limits.is_empty() && !lends {
+    if limits.is_empty() && !borrows {
         return Vec::new();
     }
     let now = gateway.now();
-    let accounts = match lends {
+    let reports = match borrows {
         true => limits.request_permits(now),
         false => limits.reports(now),
     };
-    accounts.iter().map(|a| to_wire(a, lends)).collect()
+    reports.iter().map(|r| to_wire(r, borrows)).collect()
 }
 
 /// Takes what a host that asks tells, and gives it what this one knows and the permits that it is lent.
 pub(super) fn answer(
     gateway: &Gateway,
     from: &FleetHost,
-    told: &[EndpointLimit],
+    received: &[EndpointLimit],
 ) -> Vec<EndpointLimit> {
     let now = gateway.now();
-    take(gateway, told, now);
+    merge(gateway, received, now);
     let settings = &gateway.settings;
-    let lends = from.data_centre == *settings.data_centre && from.host > settings.host;
+    let borrows = from.data_centre == *settings.data_centre && from.host > settings.host;
     let shares = gateway.limit_shares();
     let mut limits = gateway.limits.borrow_mut();
     let mut known: Vec<EndpointLimit> = limits
         .reports(now)
         .iter()
-        .map(|a| to_wire(a, false))
+        .map(|r| to_wire(r, false))
         .collect();
-    for limit in known.iter_mut().filter(|_| lends) {
-        let asked = told.iter().find(|t| t.endpoint == limit.endpoint);
-        let asked = asked.map(from_wire);
-        limit.permits = asked.map_or(0, |asked| limits.lend(&asked, shares, now));
+    for limit in known.iter_mut().filter(|_| borrows) {
+        let request = received.iter().find(|t| t.endpoint == limit.endpoint);
+        let request = request.map(from_wire);
+        limit.permits = request.map_or(0, |request| limits.lend(&request, shares, now));
     }
     known
 }
 
 /// Takes what a host tells that was asked at `asked_at`.
-pub(super) fn take(gateway: &Gateway, told: &[EndpointLimit], asked_at: Duration) {
-    for limit in told {
+pub(super) fn merge(gateway: &Gateway, received: &[EndpointLimit], polled_at: Duration) {
+    for limit in received {
         let LimitReport { id, rate, age, .. } = from_wire(limit);
-        let as_of = asked_at.saturating_sub(age);
+        let as_of = polled_at.saturating_sub(age);
         gateway.merge_limit_report(&id, rate, as_of);
     }
 }
 
 /// Takes the permits that a host has lent that was asked at `asked_at`.
-pub(super) fn take_permits(gateway: &Gateway, told: &[EndpointLimit], asked_at: Duration) {
+pub(super) fn add_borrowed_permits(
+    gateway: &Gateway,
+    received: &[EndpointLimit],
+    polled_at: Duration,
+) {
     let mut limits = gateway.limits.borrow_mut();
-    for limit in told {
-        limits.add_borrowed(&limit.endpoint, limit.permits, asked_at);
+    for limit in received {
+        limits.add_borrowed(&limit.endpoint, limit.permits, polled_at);
     }
 }
 
-fn to_wire(account: &LimitReport, wants: bool) -> EndpointLimit {
+fn to_wire(report: &LimitReport, borrows: bool) -> EndpointLimit {
     EndpointLimit {
-        endpoint: account.id.to_string(),
-        per_s: account.rate.map(RequestRate::per_s),
-        age_us: account.age.as_micros() as u64,
-        permits: if wants { account.wanted } else { 0 },
-        returned: if wants { account.returned } else { 0 },
+        endpoint: report.id.to_string(),
+        per_s: report.rate.map(RequestRate::per_s),
+        age_us: report.age.as_micros() as u64,
+        permits: if borrows { report.wanted } else { 0 },
+        returned: if borrows { report.returned } else { 0 },
     }
 }
 
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -31,27 +31,27 @@
 use rustc_hash::{FxHashMap, FxHasher};
 use tokio::sync::Notify;
 
-use self::documents::Documents;
+use self::documents::CatalogueDocuments;
 use crate::settings::Settings;
 
 /// How long what another host told of its loads is counted.
-const LOADS_AGE: Duration = Duration::from_millis(1500);
+const PEER_REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// Hosts of a data centre that are asked by others, one after the other.
-pub const FIRST_HOSTS: usize = 2;
+pub const MAX_POLLED_HOSTS: usize = 2;
 
 /// How long a host that failed is passed over the first time.
-const PASSED_OVER: Duration = Duration::from_secs(2);
+const FIRST_SKIP: Duration = Duration::from_secs(2);
 
 /// What another host told of its loads.
-struct Heard {
+struct PeerReport {
     from: FleetHost,
     loads: LoadMap,
     /// What it avoided then.
     avoided: Vec<AvoidedEndpoint>,
     /// When the store last answered it, if it reads the store itself.
     read_at: Option<Duration>,
-    at: Duration,
+    received_at: Duration,
 }
 
 /// What is known of the other hosts.
@@ -61,11 +61,11 @@
     fleet: RefCell<Vec<FleetHost>>,
     fleet_hash: Cell<u64>,
     /// Hosts that could not be used: until when they are passed over, and how often in a row.
-    passed_over: RefCell<FxHashMap<String, (Duration, u32)>>,
+    skipped: RefCell<FxHashMap<String, (Duration, u32)>>,
     /// Hosts of this data centre, and the reading hosts of others, by name.
-    heard: RefCell<FxHashMap<String, Heard>>,
+    reports: RefCell<FxHashMap<String, PeerReport>>,
     /// Up to where the list of the host that this one asks is known.
-    list: Cell<ListMark>,
+    list_position: Cell<ListMark>,
     /// The row of the lease as it was last read or told.
     lease: RefCell<Option<LeaseRow>>,
     /// This incarnation of this host.
@@ -73,13 +73,13 @@
     /// The host whose reading of the store this one is told.
     reader: RefCell<Option<String>>,
     /// Hands out turns to try a store that does not answer.
-    turns: RefCell<ProbeSlots>,
+    probe_slots: RefCell<ProbeSlots>,
     /// Gives out the catalogue's document.
-    documents: Documents,
+    documents: CatalogueDocuments,
     /// News that the other hosts wait for.
-    hurry: Notify,
+    poll_requested: Notify,
     /// Whether the other hosts are known, as far as they can be: this host has just started if not.
-    known: Cell<bool>,
+    fleet_known: Cell<bool>,
 }
 
 impl Peers {
@@ -127,137 +127,148 @@
 
     /// The first host of a data centre that is not passed over, of those before `me` in rank if
     /// that is given; `None` if there is none.
-    fn first(&self, data_centre: &str, me: Option<&str>, now: Duration) -> Option<FleetHost> {
-        let passed_over = self.passed_over.borrow();
+    fn first_available(
+        &self,
+        data_centre: &str,
+        me: Option<&str>,
+        now: Duration,
+    ) -> Option<FleetHost> {
+        let skipped = self.skipped.borrow();
         let fleet = self.fleet.borrow();
         let mut ranked = fleet
             .iter()
             .filter(|h| h.data_centre == data_centre && me.is_none_or(|me| *h.host < *me));
-        let works = |h: &&FleetHost| passed_over.get(&h.host).is_none_or(|(t, _)| *t <= now);
-        ranked.find(works).cloned()
+        let available = |h: &&FleetHost| skipped.get(&h.host).is_none_or(|(t, _)| *t <= now);
+        ranked.find(available).cloned()
     }
 
     /// The data centres of the fleet but one.
-    fn other_data_centres(&self, but: &str) -> Vec<String> {
+    fn other_data_centres(&self, own: &str) -> Vec<String> {
         let fleet = self.fleet.borrow();
         let mut others: Vec<String> = fleet.iter().map(|h| h.data_centre.clone()).collect();
-        others.retain(|d| d != but);
+        others.retain(|d| d != own);
         others.sort();
         others.dedup();
         others
     }
 
     /// A host could not be used: it is passed over for a while, longer each time.
-    fn pass_over(&self, host: &str, now: Duration) {
-        let mut passed_over = self.passed_over.borrow_mut();
-        let (until, times) = passed_over.entry(host.to_owned()).or_default();
-        let pause = PASSED_OVER * 2u32.saturating_pow((*times).min(3));
-        *until = now + pause;
+    fn skip(&self, host: &str, now: Duration) {
+        let mut skipped = self.skipped.borrow_mut();
+        let (until, times) = skipped.entry(host.to_owned()).or_default();
+        let duration = FIRST_SKIP * 2u32.saturating_pow((*times).min(3));
+        *until = now + duration;
         *times += 1;
     }
 
     /// Whether this host is among the first of its data centre, which others ask.
-    pub fn reads_for_others(&self, settings: &Settings) -> bool {
+    pub fn is_polled_host(&self, settings: &Settings) -> bool {
         let fleet = self.fleet.borrow();
         let near = fleet
             .iter()
             .filter(|h| *h.data_centre == *settings.data_centre);
         let before = near.filter(|h| h.host < settings.host).count();
-        before < FIRST_HOSTS
+        before < MAX_POLLED_HOSTS
     }
 
     /// The store has answered after trouble: hosts that were passed over may be asked again.
-    pub fn forgive(&self) {
-        self.passed_over.borrow_mut().clear();
+    pub fn clear_skipped(&self) {
+        self.skipped.borrow_mut().clear();
     }
 
     /// A host had fresh news.
-    fn works(&self, host: &str) {
-        self.passed_over.borrow_mut().remove(host);
+    fn record_success(&self, host: &str) {
+        self.skipped.borrow_mut().remove(host);
     }
 
     /// The other hosts are known, as far as they can be.
-    pub fn set_known(&self) {
-        if !self.known.replace(true) {
-            self.hurry();
+    pub fn set_fleet_known(&self) {
+        if !self.fleet_known.replace(true) {
+            self.poll_now();
         }
     }
 
     /// Whether another host of this data centre can be asked before this one reads the store.
-    pub fn one_before(&self, settings: &Settings, now: Duration) -> bool {
+    pub fn has_host_to_poll(&self, settings: &Settings, now: Duration) -> bool {
         let before = Some(settings.host.as_str());
-        self.first(&settings.data_centre, before, now).is_some()
+        self.first_available(&settings.data_centre, before, now)
+            .is_some()
     }
 
     /// The next call is made at once.
-    pub fn hurry(&self) {
-        self.hurry.notify_one();
+    pub fn poll_now(&self) {
+        self.poll_requested.notify_one();
     }
 
     /// Another host told of its loads, or of those of its data centre.
-    fn hear(&self, told: Heard) {
-        let mut heard = self.heard.borrow_mut();
-        heard.retain(|_, h| h.at + LOADS_AGE > told.at);
-        heard.insert(told.from.host.clone(), told);
+    fn record_report(&self, report: PeerReport) {
+        let mut reports = self.reports.borrow_mut();
+        reports.retain(|_, r| r.received_at + PEER_REPORT_TTL > report.received_at);
+        reports.insert(report.from.host.clone(), report);
     }
 
     /// How many hosts of this data centre that come later have lately asked this one.
-    pub fn asked_by(&self, settings: &Settings, now: Duration) -> u32 {
-        let heard = self.heard.borrow();
-        let asked = heard.values().filter(|h| {
-            let near = h.from.data_centre == *settings.data_centre;
-            near && h.from.host > settings.host && h.at + endpoint_limits::POOLED_SHARE_TTL > now
+    pub fn polling_hosts(&self, settings: &Settings, now: Duration) -> u32 {
+        let reports = self.reports.borrow();
+        let polling = reports.values().filter(|r| {
+            let near = r.from.data_centre == *settings.data_centre;
+            near && r.from.host > settings.host
+                && r.received_at + endpoint_limits::POOLED_SHARE_TTL > now
         });
-        asked.count() as u32
+        polling.count() as u32
     }
 
     /// Whether a host that asks is to try the store now, which does not answer this one.
-    fn turn(&self, host: &str, data_centre: &str, now: Duration) -> bool {
-        let heard = self.heard.borrow();
-        let near = heard
+    fn grant_probe_slot(&self, host: &str, data_centre: &str, now: Duration) -> bool {
+        let reports = self.reports.borrow();
+        let near = reports
             .iter()
-            .filter(|(_, h)| h.from.data_centre == data_centre);
+            .filter(|(_, r)| r.from.data_centre == data_centre);
         let others = near.map(|(name, _)| &**name);
-        self.turns.borrow_mut().grant(host, others, now)
+        self.probe_slots.borrow_mut().grant(host, others, now)
     }
 
     /// The store is heard of again.
-    fn no_turns(&self) {
-        self.turns.borrow_mut().reset();
+    fn reset_probe_slots(&self) {
+        self.probe_slots.borrow_mut().reset();
     }
 
     /// A host of a data centre that has told that it reads the store, and when last, at the latest
     /// `since`. It may have started after this host last read who there is: without the store this one learns
     /// of it by that alone.
-    fn reader_near(&self, data_centre: &str, since: Duration) -> Option<FleetHost> {
-        let heard = self.heard.borrow();
-        let near = heard.values().filter(|h| h.from.data_centre == data_centre);
-        let lately = near.filter_map(|h| Some((h.read_at.filter(|at| *at >= since)?, h)));
-        let newest = lately.max_by_key(|(at, _)| *at);
-        newest.map(|(_, h)| h.from.clone())
+    fn find_reader(&self, data_centre: &str, since: Duration) -> Option<FleetHost> {
+        let reports = self.reports.borrow();
+        let near = reports
+            .values()
+            .filter(|r| r.from.data_centre == data_centre);
+        let recent = near.filter_map(|r| Some((r.read_at.filter(|at| *at >= since)?, r)));
+        let newest = recent.max_by_key(|(at, _)| *at);
+        newest.map(|(_, r)| r.from.clone())
     }
 
     /// The sum of what was heard from hosts that `of` accepts, by name and data centre.
-    fn sum(&self, now: Duration, of: impl Fn(&str, &str) -> bool) -> LoadMap {
+    fn sum_loads(&self, now: Duration, includes: impl Fn(&str, &str) -> bool) -> LoadMap {
         let mut sum = LoadMap::default();
-        for (host, heard) in self.heard.borrow().iter() {
-            if heard.at + LOADS_AGE > now && of(host, &heard.from.data_centre) {
-                add(&mut sum, &heard.loads);
+        for (host, report) in self.reports.borrow().iter() {
+            if report.received_at + PEER_REPORT_TTL > now
+                && includes(host, &report.from.data_centre)
+            {
+                add(&mut sum, &report.loads);
             }
         }
         sum
     }
 
     /// What the hosts that told this one avoid, but for `host`, and for how long still.
-    fn avoided_but(&self, host: &str, now: Duration) -> Vec<AvoidedEndpoint> {
-        let heard = self.heard.borrow();
-        let others = heard.iter().filter(|(h, _)| **h != *host);
-        let avoided = others.flat_map(|(_, h)| h.avoided.iter().map(|a| (h.at, a)));
-        let left = avoided.map(|(at, a)| AvoidedEndpoint {
+    fn avoided_except(&self, host: &str, now: Duration) -> Vec<AvoidedEndpoint> {
+        let reports = self.reports.borrow();
+        let others = reports.iter().filter(|(name, _)| **name != *host);
+        let avoided = others.flat_map(|(_, r)| r.avoided.iter().map(|a| (r.received_at, a)));
+        let remaining = avoided.map(|(at, a)| AvoidedEndpoint {
             id: a.id.clone(),
             remaining: (at + a.remaining).saturating_sub(now),
         });
-        left.filter(|a| !a.remaining.is_zero()).collect()
+        remaining.filter(|a| !a.remaining.is_zero()).collect()
     }
 }
 
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -23,12 +23,14 @@
     task::JoinSet,
 };
 
-use super::{Heard, add, avoided_from_wire, avoided_to_wire, from_wire, limits, suspects, to_wire};
+use super::{
+    PeerReport, add, avoided_from_wire, avoided_to_wire, from_wire, limits, suspects, to_wire,
+};
 use crate::gateway::Gateway;
 
 /// The most endpoints of a list that is told whole: 15 KB, which a link of 20 Mbit/s takes to 60 hosts in
 /// 0.4 s by arithmetic. Hosts read longer ones from the store, each by its own link.
-const MOST_TOLD_WHOLE: usize = 100;
+const MAX_FULL_LIST_ENDPOINTS: usize = 100;
 
 /// Serves the other hosts for as long as the process lives. Connections end with it.
 pub async fn serve(listener: TcpListener, gateway: Rc<Gateway>) {
@@ -44,7 +46,7 @@
             }
             Err(e) => {
                 log::warn!(target: "peers", why:% = e; "A connection was not accepted.");
-                tokio::time::sleep(super::follow::PERIOD).await;
+                tokio::time::sleep(super::follow::POLL_INTERVAL).await;
             }
         }
     }
@@ -57,9 +59,9 @@
     let mut codec = LengthDelimitedCodec::builder();
     let framed = codec.max_frame_length(MAX_FRAME).new_framed(io);
     let transport = tarpc::serde_transport::new(framed, Bincode::default());
-    let answers = Answers { gateway };
+    let server = ExchangeServer { gateway };
     let channel = BaseChannel::with_defaults(transport);
-    let mut requests = std::pin::pin!(channel.execute(answers.serve()));
+    let mut requests = std::pin::pin!(channel.execute(server.serve()));
     // Answers need no waiting: one after the other is as good as side by side.
     while let Some(request) = requests.next().await {
         request.await;
@@ -67,11 +69,11 @@
 }
 
 #[derive(Clone)]
-struct Answers {
+struct ExchangeServer {
     gateway: Rc<Gateway>,
 }
 
-impl Exchange for Answers {
+impl Exchange for ExchangeServer {
     async fn exchange(self, _: context::Context, offer: Offer) -> News {
         answer(&self.gateway, &offer)
     }
@@ -82,41 +84,47 @@
     let now = gateway.now();
     let peers = &gateway.peers;
     let near = &*gateway.settings.data_centre;
-    let same = offer.from.data_centre == near;
+    let same_data_centre = offer.from.data_centre == near;
     let from = &*offer.from.host;
     let read_age = offer.read_age_us.map(Duration::from_micros);
-    let told = Heard {
+    let report = PeerReport {
         from: offer.from.clone(),
         loads: from_wire(&offer.loads),
         avoided: avoided_from_wire(&offer.avoided),
         read_at: read_age.and_then(|age| now.checked_sub(age)),
-        at: now,
+        received_at: now,
     };
-    peers.hear(told);
-    suspects::take(gateway, &offer.suspects);
+    peers.record_report(report);
+    suspects::merge(gateway, &offer.suspects);
     let limits = limits::answer(gateway, &offer.from, &offer.limits);
-    let waits = gateway.store_reads_fail();
-    if waits && same && read_age.is_some() {
+    let store_fails = gateway.store_reads_fail();
+    if store_fails && same_data_centre && read_age.is_some() {
         // It may have an answer from the store that this host lacks.
-        peers.hurry();
+        peers.poll_now();
     }
-    let turn = waits && same && read_age.is_none() && peers.turn(from, near, now);
-    if turn {
+    let probe_slot = store_fails
+        && same_data_centre
+        && read_age.is_none()
+        && peers.grant_probe_slot(from, near, now);
+    if probe_slot {
         log::info!(target: "peers", host = from; "A host is to try the store.");
     }
-    let told = peers.avoided_but(&gateway.settings.host, now);
-    gateway.directory.borrow_mut().apply_peer_avoided(told, now);
-    let loads = match same {
-        true => loads_but(gateway, from),
-        false => own_data_centre(gateway),
+    let avoided = peers.avoided_except(&gateway.settings.host, now);
+    gateway
+        .directory
+        .borrow_mut()
+        .apply_peer_avoided(avoided, now);
+    let loads = match same_data_centre {
+        true => loads_except(gateway, from),
+        false => own_data_centre_loads(gateway),
     };
-    let (catalogue, follows) = match catalogue_news(gateway, offer) {
-        CatalogueNews::None => (None, false),
-        CatalogueNews::Told(version, document) => (Some((version, document.to_vec())), false),
-        CatalogueNews::Follows => (None, true),
+    let (catalogue, deferred) = match catalogue_update(gateway, offer) {
+        CatalogueUpdate::Current => (None, false),
+        CatalogueUpdate::Document(version, document) => (Some((version, document.to_vec())), false),
+        CatalogueUpdate::Deferred => (None, true),
     };
     // What proves this host's catalogue says nothing of the older one that the other host keeps meanwhile.
-    let age = gateway.freshness.get().proof_age(now).filter(|_| !follows);
+    let age = gateway.freshness.get().proof_age(now).filter(|_| !deferred);
     News {
         proof_age_us: age.map(|a| a.as_micros() as u64),
         heard_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
@@ -124,76 +132,76 @@
             true => None,
             false => peers.reader.borrow().clone(),
         },
-        away: waits || gateway.store_unavailable(),
-        turn,
+        away: store_fails || gateway.store_unavailable(),
+        turn: probe_slot,
         catalogue,
         list: offer
             .list
-            .and_then(|mark| list_news(gateway, mark, offer.list_known_to)),
+            .and_then(|mark| list_update(gateway, mark, offer.list_known_to)),
         fleet: (offer.fleet != peers.fleet_hash.get()).then(|| peers.fleet()),
         lease: peers.lease(),
         claims: gateway.bounds.to_tell(now),
         loads: to_wire(&loads),
-        avoided: match same {
-            true => avoided_to_wire(&avoided_but(gateway, from)),
+        avoided: match same_data_centre {
+            true => avoided_to_wire(&avoided_except(gateway, from)),
             false => Vec::new(),
         },
         limits,
-        suspects: suspects::news(gateway, offer.suspects_known),
+        suspects: suspects::update(gateway, offer.suspects_known),
     }
 }
 
 /// What a host is told of the catalogue.
-enum CatalogueNews {
+enum CatalogueUpdate {
     /// It knows the newest.
-    None,
+    Current,
     /// This version.
-    Told(u64, Bytes),
+    Document(u64, Bytes),
     /// There is a newer one, which other hosts are being told now.
-    Follows,
+    Deferred,
 }
 
-fn catalogue_news(gateway: &Gateway, offer: &Offer) -> CatalogueNews {
+fn catalogue_update(gateway: &Gateway, offer: &Offer) -> CatalogueUpdate {
     let version = gateway.catalogue_version();
     if version <= offer.catalogue {
-        return CatalogueNews::None;
+        return CatalogueUpdate::Current;
     }
     if !offer.unpacks {
-        return CatalogueNews::Told(version, gateway.catalogue_document.borrow().clone());
+        return CatalogueUpdate::Document(version, gateway.catalogue_document.borrow().clone());
     }
     let documents = &gateway.peers.documents;
-    match documents.tell(gateway, version, gateway.now()) {
-        Some(document) => CatalogueNews::Told(version, document),
-        None => CatalogueNews::Follows,
+    match documents.acquire(gateway, version, gateway.now()) {
+        Some(document) => CatalogueUpdate::Document(version, document),
+        None => CatalogueUpdate::Deferred,
     }
 }
 
 /// What the hosts of this data centre but one avoid by what they saw themselves.
-fn avoided_but(gateway: &Gateway, host: &str) -> Vec<AvoidedEndpoint> {
+fn avoided_except(gateway: &Gateway, host: &str) -> Vec<AvoidedEndpoint> {
     let now = gateway.now();
     let mut all = gateway.directory.borrow().avoided(now);
-    all.extend(gateway.peers.avoided_but(host, now));
+    all.extend(gateway.peers.avoided_except(host, now));
     all
 }
 
 /// The loads of all hosts but one of this data centre.
-fn loads_but(gateway: &Gateway, host: &str) -> LoadMap {
-    let mut sum = gateway.peers.sum(gateway.now(), |h, _| h != host);
+fn loads_except(gateway: &Gateway, host: &str) -> LoadMap {
+    let mut sum = gateway.peers.sum_loads(gateway.now(), |h, _| h != host);
     add(&mut sum, gateway.loads.borrow().own());
     sum
 }
 
 /// The loads of the hosts of this data centre.
-pub(super) fn own_data_centre(gateway: &Gateway) -> LoadMap {
+pub(super) fn own_data_centre_loads(gateway: &Gateway) -> LoadMap {
     let near = &*gateway.settings.data_centre;
-    let mut sum = gateway.peers.sum(gateway.now(), |_, d| d == near);
+    let mut sum = gateway.peers.sum_loads(gateway.now(), |_, d| d == near);
     add(&mut sum, gateway.loads.borrow().own());
     sum
 }
 
 /// What a host lacks of the list that knows it up to a mark of this host's or of another one's, and up to
 /// a place in the store's history if it has read the list itself. A long list is not told whole.
-fn list_news(gateway: &Gateway, mark: ListMark, known_to: Option<u64>) -> Option<ListNews> {
+fn list_update(gateway: &Gateway, mark: ListMark, known_to: Option<u64>) -> Option<ListNews> {
     if !gateway.endpoints_known.get() {
         return None;
     }
@@ -204,11 +212,11 @@
         false => known_to.and_then(|at| directory.version_at_revision(at)),
     };
     let changes = directory.changes_since(known);
-    if changes.complete && changes.changed.len() > MOST_TOLD_WHOLE {
+    if changes.complete && changes.changed.len() > MAX_FULL_LIST_ENDPOINTS {
         return None;
     }
     let doubted = gateway.lapsed_endpoints.borrow();
-    let certain = changes
+    let listed = changes
         .changed
         .iter()
         .filter(|e| !doubted.contains_key(&e.id));
@@ -219,13 +227,13 @@
         },
         store_mark: gateway.list_revision.get(),
         whole: changes.complete,
-        changed: certain.map(|e| listed(e)).collect(),
+        changed: listed.map(|e| to_listed(e)).collect(),
         doubted: doubted.keys().map(ToString::to_string).collect(),
         removed: changes.removed.iter().map(ToString::to_string).collect(),
     })
 }
 
-fn listed(endpoint: &Endpoint) -> Listed {
+fn to_listed(endpoint: &Endpoint) -> Listed {
     Listed {
         name: endpoint.name.to_string(),
         born_ms: endpoint.started_at.map(|b| b.0),
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -21,7 +21,7 @@
 pub(super) struct PeerSyncs(HashMap<SocketAddr, DeltaSync>);
 
 /// What goes with a call to a host.
-pub(super) struct Offered {
+pub(super) struct SuspectOffer {
     /// Up to where this host knows the other's.
     pub(super) known: ListMark,
     /// What the other one was not told yet.
@@ -32,12 +32,12 @@
 
 impl PeerSyncs {
     /// What goes with a call to a host.
-    pub(super) fn offer(&self, addr: SocketAddr, gateway: &Gateway) -> Offered {
+    pub(super) fn offer(&self, addr: SocketAddr, gateway: &Gateway) -> SuspectOffer {
         let sync = self.0.get(&addr).copied().unwrap_or_default();
         let Cursor { origin, version } = sync.received();
         let quarantine = gateway.quarantine.borrow();
         let changed = quarantine.changes_since(sync.acknowledged(), gateway.now());
-        Offered {
+        SuspectOffer {
             known: ListMark { origin, version },
             suspects: changed.iter().map(to_wire).collect(),
             version: quarantine.version(),
@@ -45,13 +45,18 @@
     }
 
     /// The call was answered, with all that the other host knows up to a mark of its own.
-    pub(super) fn answered(&mut self, addr: SocketAddr, offered: &Offered, mark: ListMark) {
+    pub(super) fn record_response(
+        &mut self,
+        addr: SocketAddr,
+        offer: &SuspectOffer,
+        mark: ListMark,
+    ) {
         let sync = self.0.entry(addr).or_default();
-        sync.record_response(offered.version, cursor(mark));
+        sync.record_response(offer.version, cursor(mark));
     }
 
     /// The call was not answered.
-    pub(super) fn failed(&mut self, addr: SocketAddr) {
+    pub(super) fn record_failure(&mut self, addr: SocketAddr) {
         self.0.entry(addr).or_default().reset();
     }
 }
@@ -62,7 +67,7 @@
 }
 
 /// What a host lacks that knows this one's suspects up to a mark.
-pub(super) fn news(gateway: &Gateway, known: ListMark) -> SuspectNews {
+pub(super) fn update(gateway: &Gateway, known: ListMark) -> SuspectNews {
     let origin = gateway.peers.list_origin(&gateway.settings.host);
     let since = cursor(known).known_version(origin);
     let quarantine = gateway.quarantine.borrow();
@@ -77,44 +82,44 @@
 }
 
 /// Takes what another host told.
-pub(super) fn take(gateway: &Gateway, suspects: &[Suspect]) {
+pub(super) fn merge(gateway: &Gateway, suspects: &[Suspect]) {
     if !suspects.is_empty() {
         gateway.merge_suspect_reports(suspects.iter().map(from_wire).collect());
     }
 }
 
-fn to_wire(told: &SuspectReport) -> Suspect {
-    let end = |end: &Termination| EndpointEnd {
-        endpoint: end.endpoint.to_string(),
-        age_ms: millis(end.age),
+fn to_wire(report: &SuspectReport) -> Suspect {
+    let termination = |t: &Termination| EndpointEnd {
+        endpoint: t.endpoint.to_string(),
+        age_ms: millis(t.age),
     };
-    let hold = |hold: QuarantinePeriod| RequestHold {
-        times: hold.count,
-        age_ms: millis(hold.age),
-        lasts_ms: millis(hold.duration),
+    let period = |p: QuarantinePeriod| RequestHold {
+        times: p.count,
+        age_ms: millis(p.age),
+        lasts_ms: millis(p.duration),
     };
     Suspect {
-        request: told.request.bytes(),
-        ends: told.terminations.iter().map(end).collect(),
-        survived_ms: told.answer_age.map(millis),
-        hold: told.period.map(hold),
+        request: report.request.bytes(),
+        ends: report.terminations.iter().map(termination).collect(),
+        survived_ms: report.answer_age.map(millis),
+        hold: report.period.map(period),
     }
 }
 
 fn from_wire(suspect: &Suspect) -> SuspectReport {
-    let end = |end: &EndpointEnd| Termination {
-        endpoint: end.endpoint.as_str().into(),
-        age: Duration::from_millis(end.age_ms),
+    let termination = |t: &EndpointEnd| Termination {
+        endpoint: t.endpoint.as_str().into(),
+        age: Duration::from_millis(t.age_ms),
     };
-    let hold = |hold: RequestHold| QuarantinePeriod {
-        count: hold.times,
-        age: Duration::from_millis(hold.age_ms),
-        duration: Duration::from_millis(hold.lasts_ms),
+    let period = |p: RequestHold| QuarantinePeriod {
+        count: p.times,
+        age: Duration::from_millis(p.age_ms),
+        duration: Duration::from_millis(p.lasts_ms),
     };
     SuspectReport {
         request: Fingerprint::from(suspect.request),
-        terminations: suspect.ends.iter().map(end).collect(),
+        terminations: suspect.ends.iter().map(termination).collect(),
         answer_age: suspect.survived_ms.map(Duration::from_millis),
-        period: suspect.hold.map(hold),
+        period: suspect.hold.map(period),
     }
 }
