--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,6 +1,6 @@
-//! What an entry host knows, shared by its tasks.
+//! The state of an entry host, shared by its tasks.
 //!
-//! All tasks run on one thread, so that nothing here needs a lock; no borrow is held over a wait.
+//! All tasks run on one thread, so the state needs no locks; no borrow is held across an await.
 
 mod limits;
 mod listing;
@@ -47,25 +47,25 @@
     settings::Settings,
 };
 
-/// How long requests are still taken after the signal to stop: the balancer asks once a second and
-/// believes the second answer.
+/// How long requests are still accepted after the signal to stop: the load balancer polls readiness
+/// once a second and acts on the second answer.
 pub const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(2900);
 
-/// How long a repeat waits at most until it is written down that it may be made: a write takes some
-/// 10 ms, and a stream may pause for 200 ms.
+/// Maximum time for which a retry waits until the permission for it is recorded in the store: a
+/// write takes about 10 ms, and a stream may pause for 200 ms.
 const MAX_RETRY_RECORD_WAIT: Duration = Duration::from_millis(60);
 
 /// The platform that a host runs on.
 pub struct Platform {
-    /// How requests are marked.
+    /// The platform's message formats.
     pub dialect: Rc<dyn Dialect>,
-    /// The store.
+    /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Orders to engines.
+    /// Sends orders to engines.
     pub engines: Rc<dyn Engines>,
 }
 
-/// What the store is read for.
+/// What a read of the store returns. Each kind of read has its own age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreRead {
     /// The catalogue.
@@ -74,82 +74,83 @@
     List,
 }
 
-/// The chains of one service, found for one state of the directory.
+/// The chains of one service in one state of the directory.
 struct CachedChains {
     generation: u64,
     expires_at: Option<Duration>,
     chains: Rc<Vec<Chain>>,
 }
 
-/// What an entry host knows.
+/// The state of an entry host.
 pub struct Gateway {
-    /// Its settings.
+    /// This host's settings.
     pub settings: Settings,
-    /// The platform.
+    /// The platform that this host runs on.
     pub platform: Platform,
-    /// The codec's settings.
+    /// Settings of the HTTP codec.
     pub codec: ServiceConfig,
-    /// When the store last answered on the catalogue, and on the list of endpoints.
+    /// When the store last answered a read of each kind, indexed by [`StoreRead`]; the read may
+    /// have been made by this host or by the host that it polls.
     store_answered_at: Cell<[Option<Duration>; 2]>,
-    /// As of when the list of endpoints that this host acts on is the newest, at least.
+    /// Time at which the list of endpoints that this host uses was last known to be current.
     list_as_of: Cell<Option<Duration>>,
-    /// Endpoints whose entries lapsed while the store was in trouble, and until when they may come
-    /// back.
+    /// Ids of endpoints whose entries lapsed during an outage of the store, with the time until
+    /// which the entries may be written again.
     pub lapsed_endpoints: RefCell<FxHashMap<Rc<str>, Duration>>,
-    /// Entries that name no endpoint to use, by the name that they stand under.
+    /// Entries that describe no usable endpoint, by entry name.
     ignored_entries: RefCell<FxHashMap<Rc<str>, IgnoredEntry>>,
-    /// The place in the store's history up to which the list of endpoints is known.
+    /// The store revision up to which the list of endpoints is known.
     pub list_revision: Cell<Mark>,
-    /// The newest catalogue known.
+    /// The newest known catalogue.
     pub catalogue: RefCell<Option<Rc<Catalogue>>>,
-    /// The document that it was read from.
+    /// The document that the catalogue was decoded from.
     pub catalogue_document: RefCell<Bytes>,
-    /// For how long it may be acted on.
+    /// Until when the catalogue may be used.
     pub freshness: Cell<Freshness>,
-    /// The endpoints; empty until the list was read.
+    /// The endpoints; empty until the list has been received.
     pub directory: RefCell<Directory>,
-    /// Whether the list of endpoints was read.
+    /// Whether the list of endpoints has been received.
     pub endpoints_known: Cell<bool>,
-    /// Loads of chains.
+    /// Loads of the endpoints.
     pub loads: RefCell<Loads>,
-    /// Hosts that are alive, this one included.
+    /// Number of live hosts, including this one.
     pub hosts: Cell<u32>,
     /// Idle connections to endpoints.
     pub idle: Idle,
-    /// Counters.
+    /// The metrics of this host.
     pub metrics: Metrics,
-    /// This host's part of the bounds that all hosts keep together.
+    /// This host's share of the bounds that apply to all hosts together.
     pub bounds: Bounds,
     chain_cache: RefCell<FxHashMap<Rc<str>, CachedChains>>,
     epoch: Instant,
-    /// When this host was asked to stop.
+    /// When this host began to shut down.
     shutdown_started_at: Cell<Option<Instant>>,
     closing: watch::Sender<bool>,
     reads_store: watch::Sender<bool>,
-    /// How this host's own reads of the store have ended.
+    /// Results of this host's own reads of the store.
     store_access: watch::Sender<StoreAccess>,
-    /// The last trouble with the store in which entries can have lapsed.
+    /// The last outage of the store in which entries of endpoints can have lapsed.
     pub outage: RefCell<StoreOutage>,
-    /// The other hosts.
+    /// What is known of the other hosts.
     pub peers: Peers,
-    /// Whether any request has come.
+    /// Whether any request has been received.
     pub request_received: Cell<bool>,
-    /// Requests that are being answered.
+    /// Number of requests that are in progress.
     pub open_requests: Cell<u32>,
-    /// How many requests may be logged whole.
+    /// Limits how many requests are logged in full.
     pub log_budget: LineBudget,
-    /// Asks the parts of chains that stand still.
+    /// Probes the stages of stalled chains.
     pub prober: Prober,
-    /// Requests under which endpoints have ended.
+    /// Requests while running which endpoints have terminated.
     pub quarantine: RefCell<Quarantine>,
-    /// Looks whether endpoints have ended over which runs broke off.
+    /// Checks whether endpoints have terminated at which runs broke off.
     pub termination_checks: Looks,
-    /// The limits that endpoints name.
+    /// The limits that endpoints state.
     pub limits: RefCell<EndpointLimits>,
 }
 
 impl Gateway {
-    /// A host that knows nothing yet.
+    /// Creates a host that knows neither the catalogue nor any endpoint or other host.
     pub fn new(settings: Settings, platform: Platform, codec: ServiceConfig) -> Rc<Self> {
         let freshness = Freshness::new(settings.key_revocation);
         let log_budget = LineBudget::new(settings.logged_per_s);
@@ -193,34 +194,34 @@
         })
     }
 
-    /// The monotonic time since the start.
+    /// The monotonic time since this host was created.
     pub fn now(&self) -> Duration {
         self.epoch.elapsed()
     }
 
-    /// Whether the catalogue may be acted on.
+    /// Whether the catalogue is fresh enough to be used.
     pub fn is_catalogue_fresh(&self) -> bool {
         self.freshness.get().is_fresh(self.now())
     }
 
-    /// A read sent at `sent_at` has shown that the catalogue is the newest.
+    /// Records that a read sent at `sent_at` has shown that the known catalogue is the newest.
     pub fn record_proof(&self, sent_at: Duration) {
         let mut freshness = self.freshness.get();
         freshness.record_proof(sent_at);
         self.freshness.set(freshness);
     }
 
-    /// The version of the newest catalogue known; 0 if none is.
+    /// The version of the newest known catalogue; 0 if none is known.
     pub fn catalogue_version(&self) -> u64 {
         self.catalogue.borrow().as_ref().map_or(0, |c| c.version)
     }
 
-    /// How old the proof is that the catalogue is the newest.
+    /// Age of the freshness proof of the catalogue; `None` if there was none yet.
     pub fn proof_age(&self) -> Option<Duration> {
         self.freshness.get().proof_age(self.now())
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges among the metrics.
     pub fn update_gauges(&self) {
         let metrics = &self.metrics;
         let now = self.now();
@@ -244,7 +245,7 @@
             .set(self.limits.borrow().count() as i64);
         let quarantined = self.quarantine.borrow().quarantined_count(now);
         metrics.held_requests.set(quarantined as i64);
-        // Never proven is as old as can be.
+        // An age that is not known yet is exported as infinite.
         let seconds = |age: Option<Duration>| age.map_or(f64::INFINITY, |a| a.as_secs_f64());
         metrics.proof_age_seconds.set(seconds(self.proof_age()));
         metrics
@@ -253,40 +254,42 @@
         metrics.list_age_seconds.set(seconds(self.list_age()));
     }
 
-    /// Whether this host takes new connections.
+    /// Whether this host is ready for new connections.
     pub fn ready(&self) -> bool {
         let loaded = self.catalogue.borrow().is_some() && self.endpoints_known.get();
         loaded && self.is_catalogue_fresh() && !self.is_shutting_down()
     }
 
-    /// Whether this host is to stop.
+    /// Whether this host is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_started_at.get().is_some()
     }
 
-    /// Whether this host still takes requests: for a while after it was asked to stop it does, as
-    /// the balancer has not noticed yet; what comes later could not be finished.
+    /// Whether this host still accepts requests. While it shuts down it does so for
+    /// [`SHUTDOWN_ACCEPT_PERIOD`], because the load balancer has not noticed yet. A request that
+    /// arrives later could not be completed.
     pub fn accepts_requests(&self) -> bool {
         let started_at = self.shutdown_started_at.get();
         started_at.is_none_or(|started_at| started_at.elapsed() < SHUTDOWN_ACCEPT_PERIOD)
     }
 
-    /// This host is to stop: no new connections, and connections end with their next answer.
+    /// Begins the shutdown: this host is no longer ready for new connections, and each open
+    /// connection ends with its next answer.
     pub fn begin_shutdown(&self) {
         self.shutdown_started_at.set(Some(Instant::now()));
     }
 
-    /// Idle connections are closed from now on.
+    /// Closes idle inbound connections from now on.
     pub fn close_idle_connections(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Tells when idle connections are to be closed.
+    /// Returns a receiver of whether idle inbound connections are to be closed.
     pub fn closing(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 
-    /// Takes a catalogue over unless a newer one is known.
+    /// Adopts a catalogue unless a newer one, or this one, is known.
     pub fn adopt_catalogue(&self, new: ReadCatalogue) {
         let mut known = self.catalogue.borrow_mut();
         let version = new.catalogue.version;
@@ -297,26 +300,28 @@
         }
     }
 
-    /// How many hosts do what this one does, at least; `None` until that is known. What all of them
-    /// together should keep to is divided by this: a host that has just started is not alone.
+    /// Lower bound on the number of hosts that share bounds, including this one; `None` until it is
+    /// known. Bounds that apply to all hosts together are divided by it, so a host that has just
+    /// started doesn't count itself as the only one.
     pub fn counted_hosts(&self) -> Option<u32> {
         let claimed_hosts = self.bounds.hosts()?;
         Some(claimed_hosts.max(self.hosts.get()))
     }
 
-    /// Keeps an idle connection to an endpoint of a service, so that all hosts together keep at most
-    /// half of what the endpoint accepts.
+    /// Adds an idle connection to the pool of an endpoint of a service. All hosts together keep at
+    /// most half of the connections that the endpoint accepts.
     pub fn pool_connection(&self, addr: SocketAddr, connection: Connection, service: &Service) {
         let max_idle = share::host_portion(service.max_connections / 2, self.counted_hosts());
         self.idle.put(addr, connection, max_idle as usize);
     }
 
-    /// A request for a service came in.
+    /// Counts a request for a service.
     pub fn count_request(&self, service: &Rc<str>) {
         self.bounds.count_request(service, self.now());
     }
 
-    /// Takes one repeat of a request out of the budget, and counts it; false if none is left.
+    /// Acquires one retry of a request from the service's retry budget, and counts the result in
+    /// the metrics; false if none is left.
     pub fn acquire_retry(&self, service: &Rc<str>) -> bool {
         let acquired = self.bounds.take_repeat(service, self.now());
         let metrics = &self.metrics;
@@ -327,7 +332,9 @@
         acquired
     }
 
-    /// Waits until a repeat may be taken, if it has to be written down first.
+    /// Waits until a retry can be acquired, if the permission for it must be recorded in the store
+    /// first. Returns after `MAX_RETRY_RECORD_WAIT` at the latest, or once the record can't be
+    /// written.
     pub async fn wait_for_retry_record(&self, service: &Rc<str>) {
         let until = Instant::now() + MAX_RETRY_RECORD_WAIT;
         let mut waiter = None;
@@ -340,18 +347,18 @@
         }
     }
 
-    /// How this host's part of a service's budget of repeats stands.
+    /// The state of this host's share of a service's retry budget.
     pub fn retry_budget_state(&self, service: &Rc<str>) -> BudgetState {
         self.bounds.standing(service, self.now())
     }
 
-    /// Whether a repeat of a request is left in the budget.
+    /// Whether the service's retry budget allows a retry, at once or after a record is written.
     pub fn may_retry(&self, service: &Rc<str>) -> bool {
         let budget = self.retry_budget_state(service);
         budget.retry_left() || (budget.needs_record() && self.bounds.writes_row())
     }
 
-    /// Takes the hosts that are alive, this one included.
+    /// Replaces the list of live hosts, which includes this one.
     pub fn set_fleet(&self, fleet: Vec<FleetHost>) {
         let hosts = fleet.len() as u32;
         self.peers.set_fleet(fleet);
@@ -362,7 +369,8 @@
         self.loads.borrow_mut().hosts = hosts;
     }
 
-    /// The chains of a service's endpoints, found anew if the endpoints have changed.
+    /// The chains of a service's usable endpoints. They are cached until the directory changes or
+    /// an endpoint stops being avoided or stops counting as slow.
     pub fn chains(&self, service: &Rc<str>, engine: &Engine) -> Rc<Vec<Chain>> {
         let now = self.now();
         let directory = self.directory.borrow();
