--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that endpoints name for all hosts together, as this host knows and keeps to them.
+//! The limits that endpoints state for all hosts together, as this host knows and enforces them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,11 +8,12 @@
 use crate::ports::{AnswerFacts, StatedLimit};
 
 impl Gateway {
-    /// Takes what an endpoint's answer says of its limit.
+    /// Records what an endpoint's answer states about its limit.
     pub fn record_stated_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
         let stated = match facts.limit {
             StatedLimit::Rate(rate) => Some(rate),
-            // What the endpoint did not make itself shows nothing.
+            // An answer without a seal may not be the endpoint's own, so it doesn't show that the
+            // endpoint states no limit.
             StatedLimit::None if facts.sealed => None,
             StatedLimit::None => return,
             StatedLimit::Unreadable => {
@@ -27,7 +28,8 @@
         log_change(id, change, "an answer");
     }
 
-    /// Takes what another host told of an endpoint's limit, unless the endpoint is known not to be listed.
+    /// Merges another host's report of an endpoint's limit, as of `as_of`. The report is ignored if
+    /// the list of endpoints is known and lacks the endpoint.
     pub(crate) fn merge_limit_report(
         &self,
         id: &Rc<str>,
@@ -41,14 +43,14 @@
         log_change(id, change, "another host");
     }
 
-    /// Forgets limits that are over.
+    /// Removes limits that no longer apply and no longer need to be reported.
     pub(crate) fn expire_limits(&self) {
         let directory = self.directory.borrow();
         let listed = |id: &str| directory.get(id).is_some();
         self.limits.borrow_mut().expire(listed, self.now());
     }
 
-    /// The shares of limits that this host holds.
+    /// The shares of the limits that this host's pools hold.
     pub(crate) fn limit_shares(&self) -> PooledShares {
         PooledShares {
             polling_hosts: self.peers.polling_hosts(&self.settings, self.now()),
@@ -56,7 +58,8 @@
         }
     }
 
-    /// The endpoints of a service of whose limits this host has no permit now, for a request that wants one.
+    /// Returns the endpoints of a service that have a limit and for which this host has no permit
+    /// now. Counts a wanted permit for each of them.
     pub fn without_permit(&self, service: &str) -> Vec<Rc<str>> {
         let mut limits = self.limits.borrow_mut();
         if limits.is_empty() {
@@ -67,7 +70,8 @@
         limits.without_permit(serves, self.limit_shares(), self.now())
     }
 
-    /// Takes a permit of each of some endpoints that names a limit; false, and none is taken, if one has none left.
+    /// Acquires a permit from each of the given endpoints that has a limit. If one of them has no
+    /// permit left, acquires none and returns false.
     pub fn try_acquire_permits(&self, ids: &[&Rc<str>]) -> bool {
         let mut limits = self.limits.borrow_mut();
         if limits.is_empty() {
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -1,4 +1,4 @@
-//! How what is heard of endpoints becomes what is known of them.
+//! Applies entries, engine reports and removals of endpoints to this host's state.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,20 +13,21 @@
     ports::{EngineReport, EntryFault, UnusableEntry},
 };
 
-/// How long an entry that can't be used is remembered after it was read, so that it is told once.
+/// How long an ignored entry is remembered after it was last read, so that it is logged and counted
+/// only once.
 const IGNORED_ENTRY_TTL: Duration = Duration::from_secs(600);
 
-/// An entry that names no endpoint to use.
+/// An entry that describes no usable endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct IgnoredEntry {
     version: u64,
     fault: EntryFault,
-    /// When it was last read.
+    /// When the entry was last read.
     read_at: Duration,
 }
 
 impl Gateway {
-    /// Takes an endpoint's entry.
+    /// Applies an endpoint's entry to the directory.
     pub fn list_endpoint(self: &Rc<Self>, endpoint: Endpoint) {
         let (id, name) = (endpoint.id.clone(), endpoint.name.clone());
         let mut directory = self.directory.borrow_mut();
@@ -43,7 +44,8 @@
                     name,
                     version: 0,
                     fault: EntryFault::Start,
-                    why: "the start is missing that the endpoint always says".to_owned(),
+                    why: "the entry lacks the start time that the endpoint always reports"
+                        .to_owned(),
                 });
                 return;
             }
@@ -60,8 +62,8 @@
         }
     }
 
-    /// An endpoint has ended, as another start has taken its place: what ran there is lost, and what is
-    /// open to it.
+    /// Removes the state of an endpoint that has ended, because the incarnation with id `by` has
+    /// replaced it. Its runs and its connections are lost.
     fn remove_replaced(&self, endpoint: &Endpoint, by: &str) {
         log::info!(target: "fleet", endpoint = &*endpoint.id, by = by; "Endpoint has ended: another start is in its place.");
         self.confirm_termination(&endpoint.id);
@@ -72,8 +74,9 @@
         self.metrics.endpoint_restarts.inc();
     }
 
-    /// An engine has told when it started: if that is later than its entry says, the entry's start is
-    /// over, and the engine is what it reports.
+    /// Applies the report of an engine about itself. If the reported start time is later than that
+    /// of the known entry, the known incarnation has ended, and the endpoint is listed as it is
+    /// reported.
     pub fn apply_engine_report(self: &Rc<Self>, id: &str, report: &EngineReport) {
         let known = self.directory.borrow().get(id).cloned();
         let Some(known) = known.filter(|e| e.started_at.is_some() && report.born > e.started_at)
@@ -89,8 +92,8 @@
         });
     }
 
-    /// An entry names no endpoint to use: what was listed under its name is not used any more. What is
-    /// under way there goes on.
+    /// Ignores an entry that describes no usable endpoint, and removes the endpoint that was listed
+    /// under the same name. Requests that run there go on.
     pub fn ignore_entry(&self, entry: UnusableEntry) {
         let listed = self.directory.borrow().by_name(&entry.name).cloned();
         if let Some(endpoint) = &listed {
@@ -124,7 +127,7 @@
         );
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Removes an endpoint that is gone, and its load.
     pub fn remove_endpoint(&self, id: &str) {
         if self.directory.borrow_mut().remove(id).is_some() {
             log::info!(target: "fleet", endpoint = id; "Endpoint is gone.");
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -1,4 +1,5 @@
-//! What this host reads of the store, what it is told of it, and how old that is.
+//! This host's knowledge of the store: whether it reads the store itself, whether the store
+//! answers, and the age of what was read or received from another host.
 
 use std::time::Duration;
 
@@ -8,7 +9,8 @@
 use crate::control::catalogue;
 
 impl Gateway {
-    /// The store has answered on something, this host or the one that it asks.
+    /// Records that the store answered a read at `at`. The read was made by this host or by the
+    /// host that it polls.
     pub fn record_store_answer(&self, read: StoreRead, at: Duration) {
         let was_fresh = self.has_fresh_store_data();
         let mut answered_at = self.store_answered_at.get();
@@ -21,30 +23,32 @@
                 .record_list_update(at, before, self.now());
         }
         if !was_fresh && self.reads_fresh_store_data() {
-            // The hosts that wait hear of it at once, and not with the next call.
+            // Other hosts wait for fresh data: the next poll is made at once so that they learn of
+            // it.
             self.peers.poll_now();
         }
     }
 
-    /// Whether the news of the store are fresh, this host's own or those of the one that it asks.
+    /// Whether the data from the store is fresh, read by this host or by the host that it polls.
     pub fn has_fresh_store_data(&self) -> bool {
         let max_silence = catalogue::longest_silence(&self.settings);
         self.store_answer_age()
             .is_some_and(|age| age <= max_silence)
     }
 
-    /// Whether this host reads the store itself and has fresh news of it.
+    /// Whether this host reads the store itself and has fresh data from it.
     pub fn reads_fresh_store_data(&self) -> bool {
         self.reads_available_store() && self.has_fresh_store_data()
     }
 
-    /// Whether this host reads the store itself and has no answer any more.
+    /// Whether this host reads the store itself and no longer gets answers.
     pub fn store_reads_fail(&self) -> bool {
         let stale = self.store_answer_age().is_some() && !self.has_fresh_store_data();
         self.reads_store() && (self.store_unavailable() || stale)
     }
 
-    /// Notes how a call to the store has ended, or what another host tells of it.
+    /// Records the result of a call to the store, or what another host has reported about the
+    /// store.
     pub fn record_store_access(&self, record: impl FnOnce(&mut StoreAccess)) {
         let before = *self.store_access.borrow();
         let changed = self.store_access.send_if_modified(|access| {
@@ -52,8 +56,10 @@
             access.unavailable() != before.unavailable()
         });
         let after = *self.store_access.borrow();
-        // Before the next host tries, this one tells whoever has others try that it has the store back; and before
-        // it tries once more itself, it hears whether it is to leave that to others.
+        // In two cases the next poll is made at once. If the store answers again, the host that
+        // grants probe slots must learn it before it grants the next slot. If this host no longer
+        // keeps reading, it must learn whether to leave probes to other hosts before it probes
+        // again.
         let recovered = changed && !after.unavailable() && self.has_fresh_store_data();
         let stops_reading = self.reads_store() && before.keeps_reading() && !after.keeps_reading();
         if recovered || stops_reading {
@@ -67,59 +73,62 @@
         }
     }
 
-    /// Whether the store counts as away: only what shows that it is back is asked for then.
+    /// Whether the store counts as unavailable. Then only those calls are made that show whether it
+    /// answers again.
     pub fn store_unavailable(&self) -> bool {
         self.store_access.borrow().unavailable()
     }
 
-    /// The store is in trouble, as far as this host knows.
+    /// Records that the store has failed, as far as this host knows.
     pub fn record_store_failure(&self) {
         self.outage.borrow_mut().record_failure(self.now());
     }
 
-    /// Whether this host reads the store itself and the store does not count as away for it.
+    /// Whether this host reads the store itself and the store counts as available to it.
     pub fn reads_available_store(&self) -> bool {
         self.reads_store() && !self.store_unavailable()
     }
 
-    /// Whether this host reads the store itself and is to go on, whatever another one tells.
+    /// Whether this host reads the store itself and keeps doing so, whatever other hosts report.
     pub fn keeps_reading_store(&self) -> bool {
         self.reads_store() && self.store_access.borrow().keeps_reading()
     }
 
-    /// Waits until this host reads the store itself and the store answers it.
+    /// Waits until this host reads the store itself and the store is available to it.
     pub async fn wait_until_store_readable(&self) {
         while !self.reads_available_store() {
             self.wait_until_reading().await;
             let mut access = self.store_access.subscribe();
-            // The sender lives as long as this does.
+            // Can't fail: the sender is a field of `self`.
             let _ = access.wait_for(|access| !access.unavailable()).await;
         }
     }
 
-    /// The list of endpoints was read, or told by another host, as the store had it at that time.
+    /// Records that the list of endpoints was read, or received from another host, in its state at
+    /// `as_of`.
     pub fn record_list_as_of(&self, as_of: Duration) {
         let before = self.list_as_of.get();
         self.list_as_of.set(before.max(Some(as_of)));
     }
 
-    /// How old the list of endpoints is that this host acts on, at most.
+    /// Upper bound on the age of the list of endpoints that this host uses; `None` if it has none.
     pub fn list_age(&self) -> Option<Duration> {
         Some(self.now().saturating_sub(self.list_as_of.get()?))
     }
 
-    /// How long ago the store last answered, on whichever is longer ago.
+    /// Time since the store last answered, for the kind of read for which that is longer ago;
+    /// `None` until reads of both kinds were answered.
     pub fn store_answer_age(&self) -> Option<Duration> {
         let [catalogue, list] = self.store_answered_at.get();
         Some(self.now().saturating_sub(catalogue?.min(list?)))
     }
 
-    /// Whether this host reads the store itself; else another host tells it.
+    /// Whether this host reads the store itself. If not, another host reports to it.
     pub fn reads_store(&self) -> bool {
         *self.reads_store.borrow()
     }
 
-    /// Says whether this host reads the store itself.
+    /// Sets whether this host reads the store itself.
     pub fn set_reads_store(&self, reads_store: bool) {
         let changed = self
             .reads_store
@@ -132,14 +141,14 @@
     /// Waits until this host reads the store itself.
     pub async fn wait_until_reading(&self) {
         let mut reads_store = self.reads_store.subscribe();
-        // The sender lives as long as this does.
+        // Can't fail: the sender is a field of `self`.
         let _ = reads_store.wait_for(|r| *r).await;
     }
 
-    /// Waits until this host does not read the store itself.
+    /// Waits until this host doesn't read the store itself.
     pub async fn wait_until_not_reading(&self) {
         let mut reads_store = self.reads_store.subscribe();
-        // The sender lives as long as this does.
+        // Can't fail: the sender is a field of `self`.
         let _ = reads_store.wait_for(|r| !*r).await;
     }
 }
--- a/crates/gateway/src/gateway/suspects.rs
+++ b/crates/gateway/src/gateway/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end, as this host knows them.
+//! Requests that are suspected of terminating endpoints, as this host knows them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,8 +10,8 @@
 use super::Gateway;
 
 impl Gateway {
-    /// For how long still a request is not sent, as endpoints have ended under it; `None` if it may be.
-    /// It is named only where any request is suspected at all.
+    /// How much longer a request is quarantined, because endpoints have terminated while they ran
+    /// it; `None` if it may be sent. The fingerprint is computed only if any request is suspected.
     pub fn quarantined_for(&self, request: impl FnOnce() -> Fingerprint) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         match quarantine.is_empty() {
@@ -20,7 +20,8 @@
         }
     }
 
-    /// A start of an endpoint has ended while it ran a request of this host's.
+    /// Records that an incarnation of an endpoint has terminated while it ran a request of this
+    /// host.
     pub fn record_termination(&self, request: Fingerprint, endpoint: &Rc<str>) {
         self.metrics.ended_under.inc();
         log::info!(target: "forward", request:% = request, endpoint = &**endpoint; "An endpoint has ended under a request.");
@@ -31,18 +32,20 @@
         if let Some(period) = period {
             let for_s = period.remaining().as_secs();
             log::warn!(target: "forward", request:% = request, for_s = for_s, times = period.count; "A request is held: endpoints end under it.");
-            // Each moment counts: other hosts may be about to send it.
+            // Other hosts may be about to send the request, so the next poll is made at once.
             self.peers.poll_now();
         }
     }
 
-    /// A run of a request of this host's broke off at an endpoint that may have ended.
+    /// Records that a run of a request of this host broke off at an endpoint that may have
+    /// terminated.
     pub fn record_broken_run(&self, request: Fingerprint, endpoint: &Rc<str>) {
         let mut quarantine = self.quarantine.borrow_mut();
         quarantine.note_broken_run(request, endpoint, self.now());
     }
 
-    /// A start of an endpoint is known to have ended: so it has under what broke off there.
+    /// Records that an incarnation of an endpoint has terminated: requests whose runs recently
+    /// broke off there count as running at the time.
     pub(super) fn confirm_termination(&self, endpoint: &Rc<str>) {
         let requests = self
             .quarantine
@@ -53,7 +56,7 @@
         }
     }
 
-    /// An endpoint has answered a request of this host's.
+    /// Records that an endpoint has answered a request of this host.
     pub fn record_answer(&self, request: Fingerprint) {
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.note_answer(&request, self.now()) {
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Another host has told what it knows.
+    /// Merges the reports of another host.
     pub fn merge_suspect_reports(&self, reports: Vec<SuspectReport>) {
         let quarantined = self
             .quarantine
@@ -70,12 +73,12 @@
         log_quarantined(&quarantined);
     }
 
-    /// The holds that this host keeps in its row.
+    /// The quarantine records to store in this host's row, and their revision.
     pub fn quarantines_to_persist(&self) -> (PersistRevision, Vec<QuarantineRecord>) {
         self.quarantine.borrow().to_persist(self.now())
     }
 
-    /// The row of a host has holds, of this one if `own`.
+    /// Restores the quarantine records of a host's row; `own` is whether that is this host's row.
     pub fn restore_quarantines(&self, records: Vec<QuarantineRecord>, own: bool) {
         let quarantined = self
             .quarantine
