--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -141,9 +141,9 @@
     pub log_budget: LineBudget,
     /// Probes the stages of stalled chains.
     pub prober: Prober,
-    /// Requests while running which endpoints have terminated.
+    /// Requests that are suspected of terminating endpoints, and those quarantined for it.
     pub quarantine: RefCell<Quarantine>,
-    /// Checks whether endpoints have terminated at which runs broke off.
+    /// Checks whether an endpoint at which a run broke off has terminated.
     pub termination_checks: Looks,
     /// The limits that endpoints state.
     pub limits: RefCell<EndpointLimits>,
