--- a/crates/gateway/src/peers/documents.rs
+++ b/crates/gateway/src/peers/documents.rs
@@ -1,9 +1,9 @@
-//! The catalogue's document as other hosts are told it: compressed, and to no more of them at once than
-//! this host's link carries.
+//! The catalogue's document as it is sent to other hosts: compressed, and at a rate that this
+//! host's link can carry.
 //!
-//! All hosts of a data centre ask for a new document within one period. Without a bound on what is under
-//! way at once none of these calls would end in time, and nothing else that hosts tell would come through
-//! either.
+//! All hosts of a data centre request a new document within one poll interval. If all of them were
+//! sent the document at once, none of the calls would end in time, and nothing else that hosts
+//! report to each other would arrive either.
 
 use std::{cell::RefCell, io::Read, time::Duration};
 
@@ -14,24 +14,25 @@
 use super::follow;
 use crate::gateway::Gateway;
 
-/// The part of the link that documents may take: the rest is left to requests.
+/// Maximum fraction of the link's bandwidth that documents use; the rest is left to requests.
 const MAX_LINK_FRACTION: f64 = 0.5;
-/// The largest document that is unpacked.
+/// Maximum size of an uncompressed document in bytes.
 const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
-/// How the compressed format begins, which no document does.
+/// The first bytes of compressed data. No uncompressed document begins with them.
 const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
 
-/// Gives out the document.
+/// Compresses documents and limits the rate at which they are sent.
 #[derive(Default)]
 pub(super) struct CatalogueDocuments {
-    /// The last document that was compressed, and the version of its catalogue.
+    /// The last compressed document and the version of its catalogue.
     compressed: RefCell<Option<(u64, Bytes)>>,
-    /// Bytes that may be told now; made when the first document is.
+    /// Bytes that may be sent now; created with the first document.
     byte_budget: RefCell<Option<TokenBucket>>,
 }
 
 impl CatalogueDocuments {
-    /// The document of the catalogue of this version, if the link has room for it now.
+    /// Returns the compressed document of the known catalogue, whose version is `version`, and
+    /// takes its size from the byte budget. `None` if the budget doesn't allow that now.
     pub(super) fn acquire(&self, gateway: &Gateway, version: u64, now: Duration) -> Option<Bytes> {
         let document = self.compressed(gateway, version);
         let mut byte_budget = self.byte_budget.borrow_mut();
@@ -60,7 +61,8 @@
     let mut compressed = Vec::new();
     match encoder.read_to_end(&mut compressed) {
         Ok(_) => compressed.into(),
-        // Reading from memory does not fail; should it, the document can be told as it is.
+        // Reading from memory doesn't fail. If it did, the document could still be sent
+        // uncompressed.
         Err(e) => {
             log::warn!(target: "peers", why:% = e; "The catalogue was not compressed.");
             document.clone()
@@ -68,7 +70,8 @@
     }
 }
 
-/// A document as a host told it, which may have been an older program that does not compress.
+/// Decompresses a document that another host has sent. A host that runs an older version of the
+/// program sends it uncompressed.
 pub(super) fn unpack(received: Vec<u8>) -> Result<Bytes, std::io::Error> {
     if !received.starts_with(&GZIP_MAGIC) {
         return Ok(received.into());
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -1,4 +1,4 @@
-//! Asks the other hosts for news.
+//! Polls the other hosts for updates.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -28,25 +28,27 @@
     gateway::{Gateway, StoreRead},
 };
 
-/// How often news are asked for: changes are in force on all hosts within a few of these.
+/// Interval between two polls. Changes are in force on all hosts within a few intervals.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while neither this host nor the one that it asks has any news yet, as all have just started.
+/// Interval between two polls while neither this host nor the polled host has any data yet, because
+/// all hosts have just started.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a call may take: hosts are a fraction of a millisecond away, but may be busy.
+/// Timeout of a call to another host: hosts are a fraction of a millisecond away, but may be busy.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(350);
-/// How long a host that starts again waits to hear whether the first host of its data centre has fresh
-/// news: what callers have open ended with the process before, and they come back at once. If all hosts
-/// have started again, the first is busy with the calls of all others, which it can't answer yet.
+/// Timeout of the call by which a restarted host finds out whether the first host of its data
+/// centre has fresh data. It is short because the callers' open requests ended with the previous
+/// process, and the callers send them again at once. If all hosts have restarted, the first host is
+/// busy with calls of all others that it can't answer yet.
 const RESTART_CALL_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// How a host comes by its first news.
+/// Progress of a host in obtaining its first data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Startup {
-    /// Nobody was asked yet.
+    /// No host was polled yet.
     NotPolled,
-    /// It starts again and nobody nearby had news at once: it reads the store.
+    /// This host was restarted and no host nearby had data at once: it reads the store.
     ReadsStore,
-    /// As at any other time.
+    /// The startup is over: this host polls as usual.
     Complete,
 }
 
@@ -54,14 +56,14 @@
     gateway: Rc<Gateway>,
     clients: HashMap<SocketAddr, ExchangeClient>,
     suspect_syncs: PeerSyncs,
-    /// The host that was asked last.
+    /// The host that was last polled.
     polled_host: Option<String>,
-    /// It told what it knows of the list of endpoints.
+    /// Whether the last answer included the polled host's list of endpoints.
     list_received: bool,
     startup: Startup,
 }
 
-/// Asks for news for as long as the process lives.
+/// Polls the other hosts for as long as the process runs.
 pub async fn follow(gateway: Rc<Gateway>) {
     let mut follower = Follower {
         gateway,
@@ -111,7 +113,8 @@
         }
     }
 
-    /// How this host comes by its first news.
+    /// Determines the progress of the startup. Polls the first host of this data centre if this
+    /// host was restarted and has polled none yet.
     async fn next_startup(&mut self, near: &str, me: &str) -> Startup {
         let gateway = self.gateway.clone();
         let restarted = gateway.bounds.found_age().is_some();
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Whether a host says at once that it has fresh news.
+    /// Whether a host answers within [`RESTART_CALL_TIMEOUT`] that it has fresh data.
     async fn has_fresh_data(&mut self, host: &FleetHost) -> bool {
         let offer = self.offer(&LoadMap::default(), false);
         let sent_at = self.gateway.now();
@@ -141,21 +144,22 @@
         })
     }
 
-    /// Whether news are of a store that was heard of lately.
+    /// Whether an answer shows that the answering host has recent data from the store.
     fn is_fresh(&self, news: &News) -> bool {
         let max_silence = catalogue::longest_silence(&self.gateway.settings);
         let answer_age = news.heard_age_us.map(Duration::from_micros);
         answer_age.is_some_and(|age| age <= max_silence)
     }
 
-    /// Reads the store or not, by what the other hosts told of it.
+    /// Starts or stops reading the store, according to the report of the other host.
     fn apply_role(&self, report: Option<StoreReport>) {
         let gateway = &self.gateway;
         let now = gateway.now();
         let role = store_access::role(report, gateway.keeps_reading_store());
         match (role, report) {
             (Role::Follower, _) => gateway.record_store_access(|access| access.answered(now)),
-            // A host that tries for the others asks for one thing only, too.
+            // Like all hosts to which the store is unavailable, a probing host makes only one kind
+            // of call.
             (
                 Role::Reader,
                 Some(StoreReport {
@@ -175,13 +179,13 @@
             (Role::Waiting | Role::Reader, _) => {}
         }
         gateway.set_reads_store(role == Role::Reader);
-        // Its last news may still be fresh while it has others look for more.
+        // This host's last data may still be fresh while it already grants probe slots.
         if gateway.has_fresh_store_data() && !gateway.store_reads_fail() {
             gateway.peers.reset_probe_slots();
         }
     }
 
-    /// Asks the first hosts of this data centre until one answers.
+    /// Polls the first hosts of this data centre until one answers.
     async fn poll_first(&mut self, near: &str, me: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         for _ in 0..MAX_POLLED_HOSTS {
@@ -196,8 +200,8 @@
         None
     }
 
-    /// Asks another host of this data centre that reads the store, while the store does not answer
-    /// this one, which all others ask.
+    /// Polls a host of this data centre that reads the store, while the store doesn't answer this
+    /// host, which all others poll.
     async fn poll_reader(&mut self, near: &str) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         if gateway.reads_fresh_store_data() {
@@ -209,7 +213,7 @@
         self.poll_host(&host).await.filter(|report| report.fresh)
     }
 
-    /// Asks a host of this data centre; `None` if it does not answer.
+    /// Polls a host of this data centre; `None` if it doesn't answer.
     async fn poll_host(&mut self, host: &FleetHost) -> Option<StoreReport> {
         let gateway = self.gateway.clone();
         let peers = &gateway.peers;
@@ -246,7 +250,8 @@
         self.record_list_report(host, &news, store_answered_at);
         let reader = news.reader.clone().unwrap_or_else(|| host.host.clone());
         *peers.reader.borrow_mut() = Some(reader);
-        // A host that comes later knows less of the loads: the first is told them by all the others.
+        // A host that ranks after this one knows less of the loads: all others report theirs to the
+        // first host.
         if host.host < gateway.settings.host {
             let loads = from_wire(&news.loads);
             gateway
@@ -258,7 +263,7 @@
         Some(report)
     }
 
-    /// Notes whether the other host has told what it knows of the list, and how old that is.
+    /// Records whether the other host has sent its list of endpoints, and the age of that list.
     fn record_list_report(
         &mut self,
         host: &FleetHost,
@@ -289,7 +294,8 @@
             log::warn!(target: "peers", why:% = e; "A catalogue from a host can't be used.");
             return;
         }
-        // The other host answered after this one asked, so that its proof is at least as new.
+        // The other host answered after this one had sent its call, so the proof is at least this
+        // recent.
         let proven_at = proof_age.and_then(|age| sent_at.checked_sub(age));
         if let Some(at) = proven_at.filter(|_| gateway.catalogue.borrow().is_some()) {
             gateway.record_proof(at);
@@ -343,7 +349,7 @@
         let gateway = &self.gateway;
         Offer {
             from: host_row::myself(gateway),
-            // Loads only are exchanged with other data centres.
+            // Data centres exchange neither catalogues nor lists nor avoided endpoints.
             catalogue: match near {
                 true => gateway.catalogue_version(),
                 false => u64::MAX,
@@ -367,7 +373,8 @@
         }
     }
 
-    /// How long ago the store last answered this host itself, if it reads the store.
+    /// Time since the store last answered this host itself, in microseconds; `None` if this host
+    /// doesn't read the store or has no fresh data from it.
     fn read_age_us(&self) -> Option<u64> {
         let gateway = &self.gateway;
         let age = gateway
@@ -376,7 +383,8 @@
         Some(age.as_micros() as u64)
     }
 
-    /// Calls a host; one that does not answer is passed over for a while.
+    /// Calls a host and merges the limits and suspects of its answer. A host that doesn't answer is
+    /// skipped for a while.
     async fn call(&mut self, host: &FleetHost, mut offer: Offer) -> Option<News> {
         let mut suspect_offer = self.suspect_syncs.offer(host.addr, &self.gateway);
         offer.suspects_known = suspect_offer.known;
@@ -436,7 +444,7 @@
     }
 }
 
-/// Takes a catalogue over as another host told it.
+/// Adopts a catalogue whose document another host has sent.
 fn adopt_document(gateway: &Gateway, received: Vec<u8>) -> Result<(), PlatformError> {
     let malformed = |e: std::io::Error| PlatformError::Malformed(e.to_string());
     let document = documents::unpack(received).map_err(malformed)?;
@@ -444,9 +452,10 @@
     Ok(())
 }
 
-/// Takes what another host told of its list, unless more of the store's history is known.
+/// Applies another host's list of endpoints, unless this host knows a later store revision of the
+/// list.
 pub fn apply_list(gateway: &Rc<Gateway>, list: ListNews) {
-    // The other host's list may be older than what this one knew before it asked that host.
+    // The other host's list may be older than what this host already knew when it sent its call.
     if list.store_mark < gateway.list_revision.get() {
         log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list is not taken.");
         return;
@@ -464,8 +473,8 @@
             .collect()
     };
     let changed: Vec<Endpoint> = list.changed.into_iter().map(to_endpoint).collect();
-    // That a start has ended, as another one is in its place, is found when that is listed: what it replaces must
-    // still be known then.
+    // An incarnation that was replaced is detected when its replacement is listed, so it must still
+    // be known then.
     let (replaced, gone): (Vec<_>, Vec<_>) = gone
         .into_iter()
         .partition(|id| is_replaced(gateway, id, &changed));
@@ -482,8 +491,8 @@
         .record_revision(gateway.list_revision.get());
 }
 
-/// Whether one of some endpoints is another start of the one with an id, or listens at its address, and that
-/// one is not back among them.
+/// Whether one of the endpoints `by` is another incarnation of the endpoint `id` or listens at its
+/// address, and `id` itself is not among them.
 fn is_replaced(gateway: &Gateway, id: &str, by: &[Endpoint]) -> bool {
     let directory = gateway.directory.borrow();
     let Some(gone) = directory.get(id) else {
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of the limits that endpoints name, and the permits that they lend.
+//! Exchange of limits that endpoints state, and of lent permits, between hosts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,7 +7,8 @@
 
 use crate::gateway::Gateway;
 
-/// What this host tells a host that it asks; of one nearby that comes before it, it wants permits.
+/// The limits that this host reports to a polled host. If `borrows`, that host is nearby and ranks
+/// before this one, and permits are requested from it.
 pub(super) fn offer(gateway: &Gateway, borrows: bool) -> Vec<EndpointLimit> {
     let mut limits = gateway.limits.borrow_mut();
     if limits.is_empty() && !borrows {
@@ -21,7 +22,8 @@
     reports.iter().map(|r| to_wire(r, borrows)).collect()
 }
 
-/// Takes what a host that asks tells, and gives it what this one knows and the permits that it is lent.
+/// Merges the limits that a polling host has reported. Returns the limits that this host knows,
+/// with the permits that it lends to the polling host.
 pub(super) fn answer(
     gateway: &Gateway,
     from: &FleetHost,
@@ -46,7 +48,7 @@
     known
 }
 
-/// Takes what a host tells that was asked at `asked_at`.
+/// Merges the limits that another host has reported in answer to a call sent at `polled_at`.
 pub(super) fn merge(gateway: &Gateway, received: &[EndpointLimit], polled_at: Duration) {
     for limit in received {
         let LimitReport { id, rate, age, .. } = from_wire(limit);
@@ -55,7 +57,7 @@
     }
 }
 
-/// Takes the permits that a host has lent that was asked at `asked_at`.
+/// Adds the permits that another host has lent in answer to a call sent at `polled_at`.
 pub(super) fn add_borrowed_permits(
     gateway: &Gateway,
     received: &[EndpointLimit],
@@ -77,7 +79,7 @@
     }
 }
 
-/// A rate that is none is left out, as if the endpoint named no limit: no host tells one.
+/// An invalid rate is read as no limit; no host sends one.
 fn from_wire(limit: &EndpointLimit) -> LimitReport {
     LimitReport {
         id: Rc::from(limit.endpoint.as_str()),
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,12 +1,15 @@
-//! The other entry hosts, so that one host of a data centre reads the store for all of it.
+//! Communication with the other entry hosts, so that one host of a data centre reads the store on
+//! behalf of all of them.
 //!
-//! The hosts of a data centre are ranked by name. Each takes the first that can be reached as the one
-//! to ask; the one that finds itself first reads the store. Nobody is elected: if a host can't be
-//! reached, those who asked it go on to the next, and then to the store. If the first has no answer
-//! from the store, it has the others try in turn ([`dragonflyrill_fleet::store_access`]), and asks
-//! the one that has an answer. The first hosts exchange the loads of their data centres.
+//! The hosts of a data centre are ranked by name. Each host polls the first one that it can reach;
+//! the host that finds no reachable host before it reads the store. There is no election: if a host
+//! can't be reached, those that polled it poll the next one, and after [`MAX_POLLED_HOSTS`] they
+//! read the store. If the first host gets no answer from the store, it grants probe slots to the
+//! others in turn ([`dragonflyrill_fleet::store_access`]) and polls a host that got an answer. The
+//! first hosts of the data centres exchange the loads of their data centres.
 //!
-//! [`Peers`] is what is known of the others; [`serve`] answers them and [`follow`] asks them.
+//! [`Peers`] is what this host knows of the others; [`serve`] answers them and [`follow`] polls
+//! them.
 
 mod documents;
 pub mod follow;
@@ -34,51 +37,55 @@
 use self::documents::CatalogueDocuments;
 use crate::settings::Settings;
 
-/// How long what another host told of its loads is counted.
+/// How long the loads that another host has reported are used.
 const PEER_REPORT_TTL: Duration = Duration::from_millis(1500);
 
-/// Hosts of a data centre that are asked by others, one after the other.
+/// Maximum number of hosts of a data centre that a host polls, one after the other until one
+/// answers.
 pub const MAX_POLLED_HOSTS: usize = 2;
 
-/// How long a host that failed is passed over the first time.
+/// How long a host that has failed is skipped after its first failure.
 const FIRST_SKIP: Duration = Duration::from_secs(2);
 
-/// What another host told of its loads.
+/// What another host has reported with a call or an answer.
 struct PeerReport {
     from: FleetHost,
     loads: LoadMap,
-    /// What it avoided then.
+    /// Endpoints that the reporting host avoids, with the remaining time at `received_at`.
     avoided: Vec<AvoidedEndpoint>,
-    /// When the store last answered it, if it reads the store itself.
+    /// When the store last answered the reporting host, if that host reads the store itself.
     read_at: Option<Duration>,
     received_at: Duration,
 }
 
-/// What is known of the other hosts.
+/// What this host knows of the other hosts.
 #[derive(Default)]
 pub struct Peers {
-    /// All hosts that are alive, this one included, in order.
+    /// All live hosts, including this one, sorted.
     fleet: RefCell<Vec<FleetHost>>,
     fleet_hash: Cell<u64>,
-    /// Hosts that could not be used: until when they are passed over, and how often in a row.
+    /// Hosts that could not be used: the time until which each is skipped, and its number of
+    /// consecutive failures.
     skipped: RefCell<FxHashMap<String, (Duration, u32)>>,
-    /// Hosts of this data centre, and the reading hosts of others, by name.
+    /// The last reports of the hosts of this data centre and of the reading hosts of others, by
+    /// host name.
     reports: RefCell<FxHashMap<String, PeerReport>>,
-    /// Up to where the list of the host that this one asks is known.
+    /// Position up to which the polled host's list of endpoints is known.
     list_position: Cell<ListMark>,
-    /// The row of the lease as it was last read or told.
+    /// The row of the lease, as last read or received.
     lease: RefCell<Option<LeaseRow>>,
-    /// This incarnation of this host.
+    /// The incarnation of this host.
     incarnation: Cell<u64>,
-    /// The host whose reading of the store this one is told.
+    /// The host whose reads of the store this one receives, directly or through the polled host.
     reader: RefCell<Option<String>>,
-    /// Hands out turns to try a store that does not answer.
+    /// Grants slots to probe a store that doesn't answer this host.
     probe_slots: RefCell<ProbeSlots>,
-    /// Gives out the catalogue's document.
+    /// The catalogue documents to send to other hosts.
     documents: CatalogueDocuments,
-    /// News that the other hosts wait for.
+    /// Notified when the next poll is to be made at once.
     poll_requested: Notify,
-    /// Whether the other hosts are known, as far as they can be: this host has just started if not.
+    /// Whether the other hosts are known as far as possible. If not, this host has only just
+    /// started.
     fleet_known: Cell<bool>,
 }
 
@@ -88,8 +95,8 @@
         self.incarnation.set(incarnation);
     }
 
-    /// Names this incarnation of this host's list. Incarnations alone don't: hosts that start at the
-    /// same moment have the same one.
+    /// Identifies the lists of this incarnation of this host. The incarnation alone is not enough:
+    /// hosts that start at the same moment have the same one.
     pub fn list_origin(&self, host: &str) -> u64 {
         let mut hasher = FxHasher::default();
         (host, self.incarnation.get()).hash(&mut hasher);
@@ -101,12 +108,12 @@
         self.incarnation.get()
     }
 
-    /// The hosts that are alive.
+    /// The live hosts, including this one, sorted.
     pub fn fleet(&self) -> Vec<FleetHost> {
         self.fleet.borrow().clone()
     }
 
-    /// Takes the hosts that are alive.
+    /// Replaces the list of live hosts, which includes this one.
     pub fn set_fleet(&self, mut fleet: Vec<FleetHost>) {
         fleet.sort();
         let mut hasher = FxHasher::default();
@@ -115,18 +122,18 @@
         *self.fleet.borrow_mut() = fleet;
     }
 
-    /// The row of the lease.
+    /// The row of the lease, as last read or received.
     pub fn lease(&self) -> Option<LeaseRow> {
         self.lease.borrow().clone()
     }
 
-    /// Takes the row of the lease.
+    /// Sets the row of the lease.
     pub fn set_lease(&self, row: Option<LeaseRow>) {
         *self.lease.borrow_mut() = row;
     }
 
-    /// The first host of a data centre that is not passed over, of those before `me` in rank if
-    /// that is given; `None` if there is none.
+    /// The first host of a data centre that is not skipped. If `me` is given, only hosts that rank
+    /// before `me` are considered. `None` if there is none.
     fn first_available(
         &self,
         data_centre: &str,
@@ -142,7 +149,7 @@
         ranked.find(available).cloned()
     }
 
-    /// The data centres of the fleet but one.
+    /// The data centres of the fleet except `own`, sorted.
     fn other_data_centres(&self, own: &str) -> Vec<String> {
         let fleet = self.fleet.borrow();
         let mut others: Vec<String> = fleet.iter().map(|h| h.data_centre.clone()).collect();
@@ -152,7 +159,8 @@
         others
     }
 
-    /// A host could not be used: it is passed over for a while, longer each time.
+    /// Skips a host that could not be used, for a time that doubles with each consecutive failure
+    /// up to eight times the first.
     fn skip(&self, host: &str, now: Duration) {
         let mut skipped = self.skipped.borrow_mut();
         let (until, times) = skipped.entry(host.to_owned()).or_default();
@@ -161,7 +169,8 @@
         *times += 1;
     }
 
-    /// Whether this host is among the first of its data centre, which others ask.
+    /// Whether this host is among the first [`MAX_POLLED_HOSTS`] of its data centre, which others
+    /// poll.
     pub fn is_polled_host(&self, settings: &Settings) -> bool {
         let fleet = self.fleet.borrow();
         let near = fleet
@@ -171,43 +180,44 @@
         before < MAX_POLLED_HOSTS
     }
 
-    /// The store has answered after trouble: hosts that were passed over may be asked again.
+    /// Allows all skipped hosts to be polled again, because the store has answered after a failure.
     pub fn clear_skipped(&self) {
         self.skipped.borrow_mut().clear();
     }
 
-    /// A host had fresh news.
+    /// Records that a host has answered a poll, so it is no longer skipped.
     fn record_success(&self, host: &str) {
         self.skipped.borrow_mut().remove(host);
     }
 
-    /// The other hosts are known, as far as they can be.
+    /// Records that the other hosts are known as far as possible.
     pub fn set_fleet_known(&self) {
         if !self.fleet_known.replace(true) {
             self.poll_now();
         }
     }
 
-    /// Whether another host of this data centre can be asked before this one reads the store.
+    /// Whether there is another host of this data centre to poll before this host reads the store.
     pub fn has_host_to_poll(&self, settings: &Settings, now: Duration) -> bool {
         let before = Some(settings.host.as_str());
         self.first_available(&settings.data_centre, before, now)
             .is_some()
     }
 
-    /// The next call is made at once.
+    /// Makes the next poll at once.
     pub fn poll_now(&self) {
         self.poll_requested.notify_one();
     }
 
-    /// Another host told of its loads, or of those of its data centre.
+    /// Records another host's report of its own loads or of those of its data centre.
     fn record_report(&self, report: PeerReport) {
         let mut reports = self.reports.borrow_mut();
         reports.retain(|_, r| r.received_at + PEER_REPORT_TTL > report.received_at);
         reports.insert(report.from.host.clone(), report);
     }
 
-    /// How many hosts of this data centre that come later have lately asked this one.
+    /// Number of hosts of this data centre that rank after this one and have polled it within
+    /// [`endpoint_limits::POOLED_SHARE_TTL`].
     pub fn polling_hosts(&self, settings: &Settings, now: Duration) -> u32 {
         let reports = self.reports.borrow();
         let polling = reports.values().filter(|r| {
@@ -218,7 +228,8 @@
         polling.count() as u32
     }
 
-    /// Whether a host that asks is to try the store now, which does not answer this one.
+    /// Whether a polling host is granted a slot now to probe the store, which doesn't answer this
+    /// host.
     fn grant_probe_slot(&self, host: &str, data_centre: &str, now: Duration) -> bool {
         let reports = self.reports.borrow();
         let near = reports
@@ -228,14 +239,15 @@
         self.probe_slots.borrow_mut().grant(host, others, now)
     }
 
-    /// The store is heard of again.
+    /// Resets the schedule of probe slots, because the store answers again.
     fn reset_probe_slots(&self) {
         self.probe_slots.borrow_mut().reset();
     }
 
-    /// A host of a data centre that has told that it reads the store, and when last, at the latest
-    /// `since`. It may have started after this host last read who there is: without the store this one learns
-    /// of it by that alone.
+    /// Returns the host of a data centre that has reported the most recent answer of the store to
+    /// itself, if that is not older than `since`. The host may have started after this one last
+    /// read the fleet: while the store is unavailable, this host learns of it only by such a
+    /// report.
     fn find_reader(&self, data_centre: &str, since: Duration) -> Option<FleetHost> {
         let reports = self.reports.borrow();
         let near = reports
@@ -246,7 +258,7 @@
         newest.map(|(_, r)| r.from.clone())
     }
 
-    /// The sum of what was heard from hosts that `of` accepts, by name and data centre.
+    /// Sums the loads reported by the hosts that `includes` accepts by name and data centre.
     fn sum_loads(&self, now: Duration, includes: impl Fn(&str, &str) -> bool) -> LoadMap {
         let mut sum = LoadMap::default();
         for (host, report) in self.reports.borrow().iter() {
@@ -259,7 +271,7 @@
         sum
     }
 
-    /// What the hosts that told this one avoid, but for `host`, and for how long still.
+    /// The endpoints that the reporting hosts except `host` avoid, with the remaining time.
     fn avoided_except(&self, host: &str, now: Duration) -> Vec<AvoidedEndpoint> {
         let reports = self.reports.borrow();
         let others = reports.iter().filter(|(name, _)| **name != *host);
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! Answers the other hosts.
+//! Answers the polls of the other hosts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -28,11 +28,13 @@
 };
 use crate::gateway::Gateway;
 
-/// The most endpoints of a list that is told whole: 15 KB, which a link of 20 Mbit/s takes to 60 hosts in
-/// 0.4 s by arithmetic. Hosts read longer ones from the store, each by its own link.
+/// Maximum number of endpoints in a list that is sent in full. Such a list has 15 KB, and a link of
+/// 20 Mbit/s sends it to 60 hosts in 0.4 s. Hosts read longer lists from the store, each over its
+/// own link.
 const MAX_FULL_LIST_ENDPOINTS: usize = 100;
 
-/// Serves the other hosts for as long as the process lives. Connections end with it.
+/// Serves the other hosts for as long as the process runs. Dropping the future closes the
+/// connections.
 pub async fn serve(listener: TcpListener, gateway: Rc<Gateway>) {
     let mut connections = JoinSet::new();
     loop {
@@ -62,7 +64,7 @@
     let server = ExchangeServer { gateway };
     let channel = BaseChannel::with_defaults(transport);
     let mut requests = std::pin::pin!(channel.execute(server.serve()));
-    // Answers need no waiting: one after the other is as good as side by side.
+    // An answer never waits for anything, so answering concurrently would not be faster.
     while let Some(request) = requests.next().await {
         request.await;
     }
@@ -79,7 +81,7 @@
     }
 }
 
-/// Takes an offer and gives what the other host lacks.
+/// Applies what a polling host offers, and returns the updates that it lacks.
 pub fn answer(gateway: &Gateway, offer: &Offer) -> News {
     let now = gateway.now();
     let peers = &gateway.peers;
@@ -99,7 +101,7 @@
     let limits = limits::answer(gateway, &offer.from, &offer.limits);
     let store_fails = gateway.store_reads_fail();
     if store_fails && same_data_centre && read_age.is_some() {
-        // It may have an answer from the store that this host lacks.
+        // The polling host may have an answer from the store that this host lacks.
         peers.poll_now();
     }
     let probe_slot = store_fails
@@ -123,7 +125,8 @@
         CatalogueUpdate::Document(version, document) => (Some((version, document.to_vec())), false),
         CatalogueUpdate::Deferred => (None, true),
     };
-    // What proves this host's catalogue says nothing of the older one that the other host keeps meanwhile.
+    // The freshness proof of this host's catalogue doesn't apply to the older one that the polling
+    // host keeps until it gets the document.
     let age = gateway.freshness.get().proof_age(now).filter(|_| !deferred);
     News {
         proof_age_us: age.map(|a| a.as_micros() as u64),
@@ -151,13 +154,13 @@
     }
 }
 
-/// What a host is told of the catalogue.
+/// What a polling host is sent of the catalogue.
 enum CatalogueUpdate {
-    /// It knows the newest.
+    /// Nothing: the polling host knows the newest catalogue.
     Current,
-    /// This version.
+    /// The document of the newest catalogue, and its version.
     Document(u64, Bytes),
-    /// There is a newer one, which other hosts are being told now.
+    /// Nothing yet: there is a newer catalogue, but its document is being sent to other hosts now.
     Deferred,
 }
 
@@ -176,7 +179,7 @@
     }
 }
 
-/// What the hosts of this data centre but one avoid by what they saw themselves.
+/// The endpoints that the hosts of this data centre except `host` avoid because of their own calls.
 fn avoided_except(gateway: &Gateway, host: &str) -> Vec<AvoidedEndpoint> {
     let now = gateway.now();
     let mut all = gateway.directory.borrow().avoided(now);
@@ -184,14 +187,14 @@
     all
 }
 
-/// The loads of all hosts but one of this data centre.
+/// The loads caused by all hosts except `host`.
 fn loads_except(gateway: &Gateway, host: &str) -> LoadMap {
     let mut sum = gateway.peers.sum_loads(gateway.now(), |h, _| h != host);
     add(&mut sum, gateway.loads.borrow().own());
     sum
 }
 
-/// The loads of the hosts of this data centre.
+/// The loads caused by the hosts of this data centre.
 pub(super) fn own_data_centre_loads(gateway: &Gateway) -> LoadMap {
     let near = &*gateway.settings.data_centre;
     let mut sum = gateway.peers.sum_loads(gateway.now(), |_, d| d == near);
@@ -199,8 +202,10 @@
     sum
 }
 
-/// What a host lacks of the list that knows it up to a mark of this host's or of another one's, and up to
-/// a place in the store's history if it has read the list itself. A long list is not told whole.
+/// Returns the changes of the list of endpoints that a host lacks. The host knows the list up to
+/// `mark`, a position in the list of this host or of another one, and up to the store revision
+/// `known_to` if it has read the list itself. `None` if this host has no list, or if a long list
+/// would have to be sent in full.
 fn list_update(gateway: &Gateway, mark: ListMark, known_to: Option<u64>) -> Option<ListNews> {
     if !gateway.endpoints_known.get() {
         return None;
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests under which endpoints end, as hosts tell them to each other.
+//! Exchange of suspected requests between hosts: requests during whose runs endpoints have
+//! terminated.
 //!
-//! Each call says what has changed since the last one between the two hosts, in both directions; the first
-//! says all ([`delta_sync`](dragonflyrill_fleet::delta_sync)).
+//! Each call carries the changes since the last call between the two hosts, in both directions; the
+//! first call carries everything ([`delta_sync`](dragonflyrill_fleet::delta_sync)).
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -16,22 +17,23 @@
 
 use crate::gateway::Gateway;
 
-/// How far this host and those that it asks have told each other.
+/// How far this host and each host that it polls know each other's changes, by address.
 #[derive(Debug, Default)]
 pub(super) struct PeerSyncs(HashMap<SocketAddr, DeltaSync>);
 
-/// What goes with a call to a host.
+/// What this host sends of its suspects with a call.
 pub(super) struct SuspectOffer {
-    /// Up to where this host knows the other's.
+    /// Position up to which this host knows the other host's changes.
     pub(super) known: ListMark,
-    /// What the other one was not told yet.
+    /// The changes of this host that the other host doesn't know yet.
     pub(super) suspects: Vec<Suspect>,
-    /// Up to which version of this host's the other one knows with it.
+    /// The version of this host's suspects that the other host knows once it has received the
+    /// offer.
     version: u64,
 }
 
 impl PeerSyncs {
-    /// What goes with a call to a host.
+    /// Returns what to send with a call to the host at `addr`.
     pub(super) fn offer(&self, addr: SocketAddr, gateway: &Gateway) -> SuspectOffer {
         let sync = self.0.get(&addr).copied().unwrap_or_default();
         let Cursor { origin, version } = sync.received();
@@ -44,7 +46,7 @@
         }
     }
 
-    /// The call was answered, with all that the other host knows up to a mark of its own.
+    /// Records an answer to a call, which contained all of the other host's changes up to `mark`.
     pub(super) fn record_response(
         &mut self,
         addr: SocketAddr,
@@ -55,7 +57,7 @@
         sync.record_response(offer.version, cursor(mark));
     }
 
-    /// The call was not answered.
+    /// Records that a call was not answered.
     pub(super) fn record_failure(&mut self, addr: SocketAddr) {
         self.0.entry(addr).or_default().reset();
     }
@@ -66,7 +68,8 @@
     Cursor { origin, version }
 }
 
-/// What a host lacks that knows this one's suspects up to a mark.
+/// Returns the changes of this host's suspects after the position `known`, up to which a polling
+/// host knows them.
 pub(super) fn update(gateway: &Gateway, known: ListMark) -> SuspectNews {
     let origin = gateway.peers.list_origin(&gateway.settings.host);
     let since = cursor(known).known_version(origin);
@@ -81,7 +84,7 @@
     }
 }
 
-/// Takes what another host told.
+/// Merges the suspects that another host has reported.
 pub(super) fn merge(gateway: &Gateway, suspects: &[Suspect]) {
     if !suspects.is_empty() {
         gateway.merge_suspect_reports(suspects.iter().map(from_wire).collect());
