--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -57,7 +57,7 @@
 const STARTS: &str = r#"{"t":20800,"level":"WARN","part":"fleet","m":"An entry names no endpoint to use.","endpoint":"e-1","fault":"field","used_before":true,"why":"missing field `slots`"}
 {"t":20850,"level":"WARN","part":"fleet","m":"An entry names no endpoint to use.","endpoint":"e-10","fault":"field","used_before":true,"why":"missing field `slots`"}
 {"t":21000,"level":"INFO","part":"forward","m":"Request is sent.","id":"a1","to":"e-1·1700000000000=0-4,e-2·1700000000001=4-8"}
-{"t":21100,"level":"INFO","part":"fleet","m":"Endpoint has ended: another start is in its place.","endpoint":"e-2·1700000000001","by":"e-2·1700000009000"}
+{"t":21100,"level":"INFO","part":"fleet","m":"Endpoint has ended: another incarnation has replaced it.","endpoint":"e-2·1700000000001","by":"e-2·1700000009000"}
 {"t":21200,"level":"INFO","part":"forward","m":"Request is answered.","id":"a1","status":200}
 "#;
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -364,7 +364,7 @@
         self.peers.set_fleet(fleet);
         let before = self.hosts.replace(hosts);
         if before != hosts {
-            log::info!(target: "peers", hosts = hosts, before = before; "Hosts that are alive changed.");
+            log::info!(target: "peers", hosts = hosts, before = before; "The number of live hosts changed.");
         }
         self.loads.borrow_mut().hosts = hosts;
     }
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -35,7 +35,7 @@
         match &put {
             PutOutcome::Unchanged => return,
             PutOutcome::Outdated => {
-                log::info!(target: "fleet", endpoint = &*id; "An entry of an endpoint that has ended is not taken.");
+                log::info!(target: "fleet", endpoint = &*id; "An entry of an endpoint that has ended is ignored.");
                 return;
             }
             PutOutcome::Foreign => {
@@ -65,7 +65,7 @@
     /// Removes the state of an endpoint that has ended, because the incarnation with id `by` has
     /// replaced it. Its runs and its connections are lost.
     fn remove_replaced(&self, endpoint: &Endpoint, by: &str) {
-        log::info!(target: "fleet", endpoint = &*endpoint.id, by = by; "Endpoint has ended: another start is in its place.");
+        log::info!(target: "fleet", endpoint = &*endpoint.id, by = by; "Endpoint has ended: another incarnation has replaced it.");
         self.confirm_termination(&endpoint.id);
         self.loads.borrow_mut().forget(&endpoint.id);
         self.limits.borrow_mut().remove(&endpoint.id);
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -69,7 +69,7 @@
             if after.unavailable() {
                 self.record_store_failure();
             }
-            log::info!(target: "store", away = after.unavailable(); "Whether the store is away changed.");
+            log::info!(target: "store", away = after.unavailable(); "Store availability changed.");
         }
     }
 
@@ -134,7 +134,7 @@
             .reads_store
             .send_if_modified(|r| std::mem::replace(r, reads_store) != reads_store);
         if changed {
-            log::info!(target: "peers", reading = reads_store; "Whether this host reads the store changed.");
+            log::info!(target: "peers", reading = reads_store; "This host has started or stopped reading the store.");
         }
     }
 
--- a/crates/gateway/src/gateway/suspects.rs
+++ b/crates/gateway/src/gateway/suspects.rs
@@ -24,14 +24,14 @@
     /// host.
     pub fn record_termination(&self, request: Fingerprint, endpoint: &Rc<str>) {
         self.metrics.ended_under.inc();
-        log::info!(target: "forward", request:% = request, endpoint = &**endpoint; "An endpoint has ended under a request.");
+        log::info!(target: "forward", request:% = request, endpoint = &**endpoint; "An endpoint has terminated while it ran a request.");
         let period = self
             .quarantine
             .borrow_mut()
             .note_termination(request, endpoint, self.now());
         if let Some(period) = period {
             let for_s = period.remaining().as_secs();
-            log::warn!(target: "forward", request:% = request, for_s = for_s, times = period.count; "A request is held: endpoints end under it.");
+            log::warn!(target: "forward", request:% = request, for_s = for_s, times = period.count; "A request is quarantined: endpoints terminate while running it.");
             // Other hosts may be about to send the request, so the next poll is made at once.
             self.peers.poll_now();
         }
@@ -60,7 +60,7 @@
     pub fn record_answer(&self, request: Fingerprint) {
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.note_answer(&request, self.now()) {
-            log::info!(target: "forward", request:% = request; "A request is no longer held: an endpoint has answered it.");
+            log::info!(target: "forward", request:% = request; "A request is no longer quarantined: an endpoint has answered it.");
         }
     }
 
@@ -90,6 +90,6 @@
 
 fn log_quarantined(requests: &[Fingerprint]) {
     for request in requests {
-        log::warn!(target: "forward", request:% = request; "A request is held: another host found that endpoints end under it.");
+        log::warn!(target: "forward", request:% = request; "A request is quarantined: another host found that endpoints terminate while running it.");
     }
 }
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -218,7 +218,7 @@
         let gateway = self.gateway.clone();
         let peers = &gateway.peers;
         if self.polled_host.as_ref() != Some(&host.host) {
-            log::info!(target: "peers", host = &*host.host; "News are asked of another host.");
+            log::info!(target: "peers", host = &*host.host; "Another host is polled.");
             self.polled_host = Some(host.host.clone());
         }
         let loads = gateway.loads.borrow().own().clone();
@@ -438,7 +438,7 @@
             Some(new.client)
         }
         Err(e) => {
-            log::debug!(target: "peers", why:% = e; "A host was not reached.");
+            log::debug!(target: "peers", why:% = e; "Connecting to a host failed.");
             None
         }
     }
@@ -457,7 +457,7 @@
 pub fn apply_list(gateway: &Rc<Gateway>, list: ListNews) {
     // The other host's list may be older than what this host already knew when it sent its call.
     if list.store_mark < gateway.list_revision.get() {
-        log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list is not taken.");
+        log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list of endpoints is ignored.");
         return;
     }
     gateway.list_revision.set(list.store_mark);
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -109,7 +109,7 @@
         && read_age.is_none()
         && peers.grant_probe_slot(from, near, now);
     if probe_slot {
-        log::info!(target: "peers", host = from; "A host is to try the store.");
+        log::info!(target: "peers", host = from; "A host is granted a store probe slot.");
     }
     let avoided = peers.avoided_except(&gateway.settings.host, now);
     gateway
