--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -32,7 +32,7 @@
     let now = gateway.now();
     merge(gateway, received, now);
     let settings = &gateway.settings;
-    let borrows = from.data_centre == *settings.data_centre && from.host > settings.host;
+    let lends = from.data_centre == *settings.data_centre && from.host > settings.host;
     let shares = gateway.limit_shares();
     let mut limits = gateway.limits.borrow_mut();
     let mut known: Vec<EndpointLimit> = limits
@@ -40,7 +40,7 @@
         .iter()
         .map(|r| to_wire(r, false))
         .collect();
-    for limit in known.iter_mut().filter(|_| borrows) {
+    for limit in known.iter_mut().filter(|_| lends) {
         let request = received.iter().find(|t| t.endpoint == limit.endpoint);
         let request = request.map(from_wire);
         limit.permits = request.map_or(0, |request| limits.lend(&request, shares, now));
