--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -4,7 +4,7 @@
 
 use super::{Backoff, StoreCall};
 use crate::{
-    gateway::{Gateway, On},
+    gateway::{Gateway, StoreRead},
     ports::{CatalogueNews, Mark},
     settings::Settings,
 };
@@ -30,12 +30,12 @@
     loop {
         if !gateway.reads_store() {
             mark = None;
-            gateway.until_reading().await;
+            gateway.wait_until_reading().await;
         }
         let sent_at = gateway.now();
         // While the store is away this is the one call that shows that it is back, so that it does
         // not wait for news.
-        let wait = match gateway.store_away() {
+        let wait = match gateway.store_unavailable() {
             true => Duration::ZERO,
             false => wait,
         };
@@ -46,7 +46,7 @@
         match read {
             Ok(news) => {
                 backoff.succeeded(&gateway);
-                gateway.heard(On::Catalogue, gateway.now());
+                gateway.record_store_answer(StoreRead::Catalogue, gateway.now());
                 mark = Some(take(&gateway, news, sent_at, mark));
             }
             Err(PlatformError::HistoryGone) => {
@@ -54,14 +54,14 @@
                 mark = None;
             }
             Err(e) => {
-                log::warn!(target: "catalogue", why:% = e, fresh = gateway.fresh(); "No news of the catalogue.");
+                log::warn!(target: "catalogue", why:% = e, fresh = gateway.is_catalogue_fresh(); "No news of the catalogue.");
                 if matches!(e, PlatformError::Malformed(_)) {
                     mark = None;
                 }
                 // The next turn to try may come before the pause is over.
                 tokio::select! {
                     () = backoff.failed(&gateway) => {}
-                    () = gateway.until_told() => {}
+                    () = gateway.wait_until_not_reading() => {}
                 }
             }
         }
@@ -82,10 +82,10 @@
 /// Takes what a read has brought; gives where to go on.
 fn take(gateway: &Gateway, news: CatalogueNews, sent_at: Duration, before: Option<Mark>) -> Mark {
     if let Some(new) = news.catalogue {
-        gateway.adopt(new);
+        gateway.adopt_catalogue(new);
     }
     if gateway.catalogue.borrow().is_some() {
-        gateway.proven(sent_at);
+        gateway.record_proof(sent_at);
     }
     news.mark.max(before.unwrap_or(0))
 }
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -111,7 +111,7 @@
         let now = self.gateway.now();
         self.hear(now);
         let held = self.lease.held(now);
-        if self.gateway.leaving() {
+        if self.gateway.is_shutting_down() {
             self.lease.shut_down();
         }
         self.show_lease();
@@ -160,14 +160,15 @@
     /// store for others do, and who holds the lease.
     fn may_ask(&self, now: Duration) -> bool {
         let first = self.read_at.is_none();
-        first || self.gateway.asks_store() || self.lease.is_own() || self.lease.held(now)
+        first || self.gateway.reads_available_store() || self.lease.is_own() || self.lease.held(now)
     }
 
     /// Whether the rows are to be read although the lease does not ask for it: by the hosts that
     /// read for others.
     fn rows_due(&self, now: Duration) -> bool {
         let due = |at: Duration| at + ROWS_LOOK <= now;
-        self.read_at.is_none() || (self.gateway.asks_store() && self.read_at.is_some_and(due))
+        self.read_at.is_none()
+            || (self.gateway.reads_available_store() && self.read_at.is_some_and(due))
     }
 
     async fn read(&mut self) -> Result<(), PlatformError> {
@@ -187,7 +188,7 @@
     fn note_others(&mut self, now: Duration) {
         let gateway = &self.gateway;
         let new = gateway.bounds.row() == Some(0);
-        let one_before = gateway.peers.one_before(&gateway.settings, now);
+        let one_before = gateway.peers.has_host_to_poll(&gateway.settings, now);
         match self.newcomer {
             Newcomer::Blind if new && !one_before => self.newcomer = Newcomer::Alone,
             _ => self.settle(),
@@ -197,7 +198,7 @@
     /// The others are known, as far as they can be.
     fn settle(&mut self) {
         self.newcomer = Newcomer::Settled;
-        self.gateway.peers.set_known();
+        self.gateway.peers.set_fleet_known();
     }
 
     /// Whether a host that was alone reads the rows once more.
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -45,7 +45,7 @@
     } = complete.answer;
     if connection.reusable() {
         let addr = connection.peer();
-        gateway.keep(addr, connection, &admitted.service);
+        gateway.pool_connection(addr, connection, &admitted.service);
     }
     gateway.platform.dialect.strip(&mut head.headers);
     let metrics = &gateway.metrics;
@@ -186,7 +186,7 @@
         () = until_terminated(gateway, &endpoint.id) => Err(target.abandoned("the endpoint has ended")),
     };
     if result.is_ok() {
-        gateway.survived(admitted.fingerprint());
+        gateway.record_answer(admitted.fingerprint());
     }
     let mut directory = gateway.directory.borrow_mut();
     match &result {
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -107,16 +107,16 @@
 
     /// The refusal of a request that is quarantined because endpoints terminated while they ran it, on any host.
     fn quarantine_refusal(&self, gateway: &Gateway) -> Option<Refusal> {
-        let remaining = gateway.request_held(|| self.fingerprint())?;
+        let remaining = gateway.quarantined_for(|| self.fingerprint())?;
         Some(Refusal::EndsEndpoints(remaining))
     }
 
     /// Acquires a retry from the budget of the service; false if none is left.
     async fn acquire_retry(&self, gateway: &Gateway) -> bool {
         let service = &self.service.name;
-        gateway.until_recorded(service).await;
-        let budget = gateway.repeats_standing(service);
-        let allowed = gateway.take_repeat(service);
+        gateway.wait_for_retry_record(service).await;
+        let budget = gateway.retry_budget_state(service);
+        let allowed = gateway.acquire_retry(service);
         self.request_log.record(Decision::Retry {
             allowed,
             budget,
@@ -181,7 +181,7 @@
             at: received_at,
         } = received;
         let gateway = &self.gateway;
-        if !gateway.takes_requests() {
+        if !gateway.accepts_requests() {
             let incoming = gateway.platform.dialect.incoming(&mut head);
             return Err(Denial::new(incoming.unwrap_or_default(), Refusal::Leaving));
         }
@@ -236,7 +236,7 @@
         let gateway = &self.gateway;
         let catalogue = gateway.catalogue.borrow();
         // A catalogue that may be outdated must neither accept a key nor deny a route.
-        let Some(catalogue) = catalogue.as_ref().filter(|_| gateway.fresh()) else {
+        let Some(catalogue) = catalogue.as_ref().filter(|_| gateway.is_catalogue_fresh()) else {
             return Err(Refusal::Stale);
         };
         let Some(route) = catalogue.route(requested_host(head), head.uri.path()) else {
@@ -262,7 +262,7 @@
     }
 
     fn leaving(&self) -> bool {
-        self.gateway.leaving()
+        self.gateway.is_shutting_down()
     }
 
     async fn handle(&self, received: Received, out: &mut Responder<'_>) -> io::Result<()> {
@@ -306,15 +306,15 @@
 
 impl<'a> OpenRequestGuard<'a> {
     fn new(gateway: &'a Gateway) -> Self {
-        gateway.asked.set(true);
-        gateway.open.set(gateway.open.get() + 1);
+        gateway.request_received.set(true);
+        gateway.open_requests.set(gateway.open_requests.get() + 1);
         Self(gateway)
     }
 }
 
 impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -115,7 +115,7 @@
         return;
     }
     if let Reply::Report(report) = reply {
-        gateway.reported(&stage.id, &report);
+        gateway.apply_engine_report(&stage.id, &report);
         let now = gateway.now();
         prober.schedule.borrow_mut().record_answer(&stage.id, now);
         let mut directory = gateway.directory.borrow_mut();
@@ -182,7 +182,7 @@
 
 /// Calls an endpoint once.
 async fn call(gateway: &Gateway, id: &Rc<str>, addr: SocketAddr) -> Reply {
-    if !gateway.take_permits(&[id]) {
+    if !gateway.try_acquire_permits(&[id]) {
         return Reply::Withheld;
     }
     let report = gateway.platform.engines.report(addr);
@@ -224,7 +224,7 @@
             Reply::Silent | Reply::Withheld => None,
         };
         if let Some(report) = &report {
-            gateway.reported(&endpoint.id, report);
+            gateway.apply_engine_report(&endpoint.id, report);
         }
         pause = MAX_RECOVERY_PAUSE.min(pause * 2).max(MIN_RECOVERY_PAUSE);
         let now = gateway.now();
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -100,7 +100,7 @@
         None => connect(gateway, target, limit).await?,
     };
     // The last check before bytes are sent: the key may have been revoked while the request waited.
-    if !gateway.fresh() {
+    if !gateway.is_catalogue_fresh() {
         return Err(DispatchError::NotSent(
             "the catalogue may be outdated".to_owned(),
         ));
@@ -114,7 +114,7 @@
     if let Some(id) = target.inactive_endpoint(&gateway.directory.borrow()) {
         return Err(DispatchError::NotSent(format!("{id} is no longer active")));
     }
-    if !gateway.take_permits(target.endpoint_ids) {
+    if !gateway.try_acquire_permits(target.endpoint_ids) {
         return Err(DispatchError::NotSent(LIMIT_REACHED.to_owned()));
     }
     target.sending.set(true);
@@ -173,7 +173,7 @@
             "the answer belongs to another request".to_owned(),
         ));
     }
-    gateway.note_limit(target.id, facts);
+    gateway.record_stated_limit(target.id, facts);
     if facts.not_run || facts.misdirected {
         let at = facts.fault_at.unwrap_or(target.addr);
         record_refusal_by(gateway, at, facts.misdirected, elapsed);
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -320,7 +320,7 @@
             .relay(&mut monitor, &chain_load, answer, sent_at, out)
             .await?;
         if let RunEnd::Complete(_) = end {
-            gateway.survived(self.admitted.fingerprint());
+            gateway.record_answer(self.admitted.fingerprint());
             let mut directory = gateway.directory.borrow_mut();
             chain
                 .stages
@@ -404,7 +404,7 @@
         if answer.connection.reusable() {
             let addr = monitor.chain.first_stage().addr;
             self.gateway
-                .keep(addr, answer.connection, &self.admitted.service);
+                .pool_connection(addr, answer.connection, &self.admitted.service);
         }
         Ok(RunEnd::Complete(status))
     }
@@ -425,7 +425,7 @@
         let now = self.gateway.now();
         let full = self.gateway.loads.borrow().is_full(&planned.chain, now);
         let has_capacity = planned.expected_fill <= 1.0 && !full;
-        has_capacity && self.gateway.may_repeat(name)
+        has_capacity && self.gateway.may_retry(name)
     }
 
     async fn relay_events(
--- a/crates/gateway/src/forward/termination.rs
+++ b/crates/gateway/src/forward/termination.rs
@@ -76,7 +76,7 @@
         .iter()
         .find(|e| gateway.directory.borrow().has_ended(e.id))
     {
-        return gateway.ended_under(admitted.fingerprint(), terminated.id);
+        return gateway.record_termination(admitted.fingerprint(), terminated.id);
     }
     for (index, endpoint) in endpoints.iter().enumerate() {
         // If a later stage has terminated, the first one breaks off after a while. By then the later one is
@@ -93,8 +93,8 @@
                 .check(gateway, endpoint.id, endpoint.addr)
                 .await
         {
-            return gateway.ended_under(admitted.fingerprint(), endpoint.id);
+            return gateway.record_termination(admitted.fingerprint(), endpoint.id);
         }
-        gateway.broke_off_at(admitted.fingerprint(), endpoint.id);
+        gateway.record_broken_run(admitted.fingerprint(), endpoint.id);
     }
 }
--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that endpoints name for all hosts together, as this host knows and keeps to them.
+//! The limits that endpoints state for all hosts together, as this host knows and enforces them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,11 +8,12 @@
 use crate::ports::{AnswerFacts, StatedLimit};
 
 impl Gateway {
-    /// Takes what an endpoint's answer says of its limit.
-    pub fn note_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
+    /// Records what an endpoint's answer states about its limit.
+    pub fn record_stated_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
         let stated = match facts.limit {
             StatedLimit::Rate(rate) => Some(rate),
-            // What the endpoint did not make itself shows nothing.
+            // An answer without a seal may not be the endpoint's own, so it doesn't show that the
+            // endpoint states no limit.
             StatedLimit::None if facts.sealed => None,
             StatedLimit::None => return,
             StatedLimit::Unreadable => {
@@ -27,8 +28,14 @@
         log_change(id, change, "an answer");
     }
 
-    /// Takes what another host told of an endpoint's limit, unless the endpoint is known not to be listed.
-    pub(crate) fn told_limit(&self, id: &Rc<str>, rate: Option<RequestRate>, as_of: Duration) {
+    /// Merges another host's report of an endpoint's limit, as of `as_of`. The report is ignored if
+    /// the list of endpoints is known and lacks the endpoint.
+    pub(crate) fn merge_limit_report(
+        &self,
+        id: &Rc<str>,
+        rate: Option<RequestRate>,
+        as_of: Duration,
+    ) {
         if self.endpoints_known.get() && self.directory.borrow().get(id).is_none() {
             return;
         }
@@ -36,22 +43,23 @@
         log_change(id, change, "another host");
     }
 
-    /// Forgets limits that are over.
+    /// Removes limits that no longer apply and no longer need to be reported.
     pub(crate) fn expire_limits(&self) {
         let directory = self.directory.borrow();
         let listed = |id: &str| directory.get(id).is_some();
         self.limits.borrow_mut().expire(listed, self.now());
     }
 
-    /// The shares of limits that this host holds.
+    /// The shares of the limits that this host's pools hold.
     pub(crate) fn limit_shares(&self) -> PooledShares {
         PooledShares {
-            polling_hosts: self.peers.asked_by(&self.settings, self.now()),
+            polling_hosts: self.peers.polling_hosts(&self.settings, self.now()),
             hosts: self.counted_hosts(),
         }
     }
 
-    /// The endpoints of a service of whose limits this host has no permit now, for a request that wants one.
+    /// Returns the endpoints of a service that have a limit and for which this host has no permit
+    /// now. Counts a wanted permit for each of them.
     pub fn without_permit(&self, service: &str) -> Vec<Rc<str>> {
         let mut limits = self.limits.borrow_mut();
         if limits.is_empty() {
@@ -62,20 +70,21 @@
         limits.without_permit(serves, self.limit_shares(), self.now())
     }
 
-    /// Takes a permit of each of some endpoints that names a limit; false, and none is taken, if one has none left.
-    pub fn take_permits(&self, ids: &[&Rc<str>]) -> bool {
+    /// Acquires a permit from each of the given endpoints that has a limit. If one of them has no
+    /// permit left, acquires none and returns false.
+    pub fn try_acquire_permits(&self, ids: &[&Rc<str>]) -> bool {
         let mut limits = self.limits.borrow_mut();
         if limits.is_empty() {
             return true;
         }
         let limited = ids.iter().any(|id| limits.rate(id).is_some());
-        let taken = limits.try_acquire(ids, self.limit_shares(), self.now());
-        match (limited, taken) {
+        let acquired = limits.try_acquire(ids, self.limit_shares(), self.now());
+        match (limited, acquired) {
             (true, true) => self.metrics.limited_sends.inc(),
             (_, false) => self.metrics.permits_refused.inc(),
             (false, true) => {}
         }
-        taken
+        acquired
     }
 }
 
--- a/crates/gateway/src/peers/documents.rs
+++ b/crates/gateway/src/peers/documents.rs
@@ -1,9 +1,9 @@
-//! The catalogue's document as other hosts are told it: compressed, and to no more of them at once than
-//! this host's link carries.
+//! The catalogue's document as it is sent to other hosts: compressed, and at a rate that this
+//! host's link can carry.
 //!
-//! All hosts of a data centre ask for a new document within one period. Without a bound on what is under
-//! way at once none of these calls would end in time, and nothing else that hosts tell would come through
-//! either.
+//! All hosts of a data centre request a new document within one poll interval. If all of them were
+//! sent the document at once, none of the calls would end in time, and nothing else that hosts
+//! report to each other would arrive either.
 
 use std::{cell::RefCell, io::Read, time::Duration};
 
@@ -14,41 +14,43 @@
 use super::follow;
 use crate::gateway::Gateway;
 
-/// The part of the link that documents may take: the rest is left to requests.
-const LINK_PART: f64 = 0.5;
-/// The largest document that is unpacked.
-const MOST_UNPACKED: u64 = 64 * 1024 * 1024;
-/// How the compressed format begins, which no document does.
-const GZIP: [u8; 2] = [0x1f, 0x8b];
+/// Maximum fraction of the link's bandwidth that documents use; the rest is left to requests.
+const MAX_LINK_FRACTION: f64 = 0.5;
+/// Maximum size of an uncompressed document in bytes.
+const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
+/// The first bytes of compressed data. No uncompressed document begins with them.
+const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
 
-/// Gives out the document.
+/// Compresses documents and limits the rate at which they are sent.
 #[derive(Default)]
-pub(super) struct Documents {
-    /// The last document that was compressed, and the version of its catalogue.
+pub(super) struct CatalogueDocuments {
+    /// The last compressed document and the version of its catalogue.
     compressed: RefCell<Option<(u64, Bytes)>>,
-    /// Bytes that may be told now; made when the first document is.
-    room: RefCell<Option<TokenBucket>>,
+    /// Bytes that may be sent now; created with the first document.
+    byte_budget: RefCell<Option<TokenBucket>>,
 }
 
-impl Documents {
-    /// The document of the catalogue of this version, if the link has room for it now.
-    pub(super) fn tell(&self, gateway: &Gateway, version: u64, now: Duration) -> Option<Bytes> {
+impl CatalogueDocuments {
+    /// Returns the compressed document of the known catalogue, whose version is `version`, and
+    /// takes its size from the byte budget. `None` if the budget doesn't allow that now.
+    pub(super) fn acquire(&self, gateway: &Gateway, version: u64, now: Duration) -> Option<Bytes> {
         let document = self.compressed(gateway, version);
-        let mut room = self.room.borrow_mut();
-        let room = room.get_or_insert_with(|| {
-            let per_s = gateway.settings.link_bytes_per_s * LINK_PART;
-            TokenBucket::new(per_s, per_s * follow::CALL.as_secs_f64())
+        let mut byte_budget = self.byte_budget.borrow_mut();
+        let byte_budget = byte_budget.get_or_insert_with(|| {
+            let per_s = gateway.settings.link_bytes_per_s * MAX_LINK_FRACTION;
+            TokenBucket::new(per_s, per_s * follow::CALL_TIMEOUT.as_secs_f64())
         });
-        room.try_acquire(document.len() as f64, now)
+        byte_budget
+            .try_acquire(document.len() as f64, now)
             .then_some(document)
     }
 
     fn compressed(&self, gateway: &Gateway, version: u64) -> Bytes {
         let mut compressed = self.compressed.borrow_mut();
-        if let Some((_, document)) = compressed.as_ref().filter(|(of, _)| *of == version) {
+        if let Some((_, document)) = compressed.as_ref().filter(|(v, _)| *v == version) {
             return document.clone();
         }
-        let document = compress(&gateway.document.borrow());
+        let document = compress(&gateway.catalogue_document.borrow());
         *compressed = Some((version, document.clone()));
         document
     }
@@ -56,10 +58,11 @@
 
 fn compress(document: &Bytes) -> Bytes {
     let mut encoder = read::GzEncoder::new(&document[..], Compression::fast());
-    let mut packed = Vec::new();
-    match encoder.read_to_end(&mut packed) {
-        Ok(_) => packed.into(),
-        // Reading from memory does not fail; should it, the document can be told as it is.
+    let mut compressed = Vec::new();
+    match encoder.read_to_end(&mut compressed) {
+        Ok(_) => compressed.into(),
+        // Reading from memory doesn't fail. If it did, the document could still be sent
+        // uncompressed.
         Err(e) => {
             log::warn!(target: "peers", why:% = e; "The catalogue was not compressed.");
             document.clone()
@@ -67,13 +70,14 @@
     }
 }
 
-/// A document as a host told it, which may have been an older program that does not compress.
-pub(super) fn unpack(told: Vec<u8>) -> Result<Bytes, std::io::Error> {
-    if !told.starts_with(&GZIP) {
-        return Ok(told.into());
+/// Decompresses a document that another host has sent. A host that runs an older version of the
+/// program sends it uncompressed.
+pub(super) fn unpack(received: Vec<u8>) -> Result<Bytes, std::io::Error> {
+    if !received.starts_with(&GZIP_MAGIC) {
+        return Ok(received.into());
     }
     let mut document = Vec::new();
-    let mut decoder = read::GzDecoder::new(&told[..]).take(MOST_UNPACKED);
+    let mut decoder = read::GzDecoder::new(&received[..]).take(MAX_UNPACKED_BYTES);
     decoder.read_to_end(&mut document)?;
     Ok(document.into())
 }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests under which endpoints end, as hosts tell them to each other.
+//! Exchange of suspected requests between hosts: requests during whose runs endpoints have
+//! terminated.
 //!
-//! Each call says what has changed since the last one between the two hosts, in both directions; the first
-//! says all ([`delta_sync`](dragonflyrill_fleet::delta_sync)).
+//! Each call carries the changes since the last call between the two hosts, in both directions; the
+//! first call carries everything ([`delta_sync`](dragonflyrill_fleet::delta_sync)).
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -16,42 +17,48 @@
 
 use crate::gateway::Gateway;
 
-/// How far this host and those that it asks have told each other.
+/// How far this host and each host that it polls know each other's changes, by address.
 #[derive(Debug, Default)]
 pub(super) struct PeerSyncs(HashMap<SocketAddr, DeltaSync>);
 
-/// What goes with a call to a host.
-pub(super) struct Offered {
-    /// Up to where this host knows the other's.
+/// What this host sends of its suspects with a call.
+pub(super) struct SuspectOffer {
+    /// Position up to which this host knows the other host's changes.
     pub(super) known: ListMark,
-    /// What the other one was not told yet.
+    /// The changes of this host that the other host doesn't know yet.
     pub(super) suspects: Vec<Suspect>,
-    /// Up to which version of this host's the other one knows with it.
+    /// The version of this host's suspects that the other host knows once it has received the
+    /// offer.
     version: u64,
 }
 
 impl PeerSyncs {
-    /// What goes with a call to a host.
-    pub(super) fn offer(&self, addr: SocketAddr, gateway: &Gateway) -> Offered {
+    /// Returns what to send with a call to the host at `addr`.
+    pub(super) fn offer(&self, addr: SocketAddr, gateway: &Gateway) -> SuspectOffer {
         let sync = self.0.get(&addr).copied().unwrap_or_default();
         let Cursor { origin, version } = sync.received();
         let quarantine = gateway.quarantine.borrow();
         let changed = quarantine.changes_since(sync.acknowledged(), gateway.now());
-        Offered {
+        SuspectOffer {
             known: ListMark { origin, version },
             suspects: changed.iter().map(to_wire).collect(),
             version: quarantine.version(),
         }
     }
 
-    /// The call was answered, with all that the other host knows up to a mark of its own.
-    pub(super) fn answered(&mut self, addr: SocketAddr, offered: &Offered, mark: ListMark) {
+    /// Records an answer to a call, which contained all of the other host's changes up to `mark`.
+    pub(super) fn record_response(
+        &mut self,
+        addr: SocketAddr,
+        offer: &SuspectOffer,
+        mark: ListMark,
+    ) {
         let sync = self.0.entry(addr).or_default();
-        sync.record_response(offered.version, cursor(mark));
+        sync.record_response(offer.version, cursor(mark));
     }
 
-    /// The call was not answered.
-    pub(super) fn failed(&mut self, addr: SocketAddr) {
+    /// Records that a call was not answered.
+    pub(super) fn record_failure(&mut self, addr: SocketAddr) {
         self.0.entry(addr).or_default().reset();
     }
 }
@@ -61,8 +68,9 @@
     Cursor { origin, version }
 }
 
-/// What a host lacks that knows this one's suspects up to a mark.
-pub(super) fn news(gateway: &Gateway, known: ListMark) -> SuspectNews {
+/// Returns the changes of this host's suspects after the position `known`, up to which a polling
+/// host knows them.
+pub(super) fn update(gateway: &Gateway, known: ListMark) -> SuspectNews {
     let origin = gateway.peers.list_origin(&gateway.settings.host);
     let since = cursor(known).known_version(origin);
     let quarantine = gateway.quarantine.borrow();
@@ -76,45 +84,45 @@
     }
 }
 
-/// Takes what another host told.
-pub(super) fn take(gateway: &Gateway, suspects: &[Suspect]) {
+/// Merges the suspects that another host has reported.
+pub(super) fn merge(gateway: &Gateway, suspects: &[Suspect]) {
     if !suspects.is_empty() {
-        gateway.told_suspects(suspects.iter().map(from_wire).collect());
+        gateway.merge_suspect_reports(suspects.iter().map(from_wire).collect());
     }
 }
 
-fn to_wire(told: &SuspectReport) -> Suspect {
-    let end = |end: &Termination| EndpointEnd {
-        endpoint: end.endpoint.to_string(),
-        age_ms: millis(end.age),
+fn to_wire(report: &SuspectReport) -> Suspect {
+    let termination = |t: &Termination| EndpointEnd {
+        endpoint: t.endpoint.to_string(),
+        age_ms: millis(t.age),
     };
-    let hold = |hold: QuarantinePeriod| RequestHold {
-        times: hold.count,
-        age_ms: millis(hold.age),
-        lasts_ms: millis(hold.duration),
+    let period = |p: QuarantinePeriod| RequestHold {
+        times: p.count,
+        age_ms: millis(p.age),
+        lasts_ms: millis(p.duration),
     };
     Suspect {
-        request: told.request.bytes(),
-        ends: told.terminations.iter().map(end).collect(),
-        survived_ms: told.answer_age.map(millis),
-        hold: told.period.map(hold),
+        request: report.request.bytes(),
+        ends: report.terminations.iter().map(termination).collect(),
+        survived_ms: report.answer_age.map(millis),
+        hold: report.period.map(period),
     }
 }
 
 fn from_wire(suspect: &Suspect) -> SuspectReport {
-    let end = |end: &EndpointEnd| Termination {
-        endpoint: end.endpoint.as_str().into(),
-        age: Duration::from_millis(end.age_ms),
+    let termination = |t: &EndpointEnd| Termination {
+        endpoint: t.endpoint.as_str().into(),
+        age: Duration::from_millis(t.age_ms),
     };
-    let hold = |hold: RequestHold| QuarantinePeriod {
-        count: hold.times,
-        age: Duration::from_millis(hold.age_ms),
-        duration: Duration::from_millis(hold.lasts_ms),
+    let period = |p: RequestHold| QuarantinePeriod {
+        count: p.times,
+        age: Duration::from_millis(p.age_ms),
+        duration: Duration::from_millis(p.lasts_ms),
     };
     SuspectReport {
         request: Fingerprint::from(suspect.request),
-        terminations: suspect.ends.iter().map(end).collect(),
+        terminations: suspect.ends.iter().map(termination).collect(),
         answer_age: suspect.survived_ms.map(Duration::from_millis),
-        period: suspect.hold.map(hold),
+        period: suspect.hold.map(period),
     }
 }
