--- a/crates/model/src/bin/dragonflyrill-model.rs
+++ b/crates/model/src/bin/dragonflyrill-model.rs
@@ -1,11 +1,11 @@
-//! `dragonflyrill-model`: searches the specifications of the core protocol.
+//! `dragonflyrill-model`: searches the specifications of the core protocol exhaustively.
 
 use std::process;
 
 use argh::FromArgs;
 use dragonflyrill_model::{
     checker::{Bound, Verdict},
-    report::{self, Line, NAMES, Size},
+    report::{self, CaseResult, NAMES, Size},
 };
 
 /// Search the specifications of the core protocol exhaustively.
@@ -50,60 +50,60 @@
     }
 }
 
-/// Whether everything ended as it must.
+/// Searches the requested specifications; returns whether every search had the required verdict.
 fn check(args: &Check) -> anyhow::Result<bool> {
     let names = match &args.spec {
         None => NAMES.to_vec(),
-        Some(spec) => vec![named(spec)?],
+        Some(spec) => vec![find_name(spec)?],
     };
     let size = match args.large {
         true => Size::Large,
         false => Size::Small,
     };
-    let mut good = true;
+    let mut all_as_expected = true;
     for name in names {
-        report::run(name, size, &mut |line| {
-            good &= line.is_as_expected();
-            print(name, &line, args.trace);
+        report::run(name, size, &mut |result| {
+            all_as_expected &= result.is_as_expected();
+            print(name, &result, args.trace);
         });
     }
-    Ok(good)
+    Ok(all_as_expected)
 }
 
-fn named(spec: &str) -> anyhow::Result<&'static str> {
+fn find_name(spec: &str) -> anyhow::Result<&'static str> {
     let found = NAMES.into_iter().find(|name| *name == spec);
     found.ok_or_else(|| anyhow::anyhow!("no specification {spec:?}; there are {NAMES:?}"))
 }
 
-fn print(spec: &str, line: &Line, trace: bool) {
-    let counts = &line.outcome.counts;
-    let kind = match line.is_mutant {
+fn print(spec: &str, result: &CaseResult, trace: bool) {
+    let counts = &result.outcome.counts;
+    let kind = match result.is_mutant {
         true => "mutation",
         false => "case",
     };
-    let verdict = match &line.outcome.verdict {
+    let verdict = match &result.outcome.verdict {
         Verdict::Holds => "holds".to_owned(),
-        Verdict::GivenUp => "GIVEN UP".to_owned(),
+        Verdict::StateLimitReached => "GIVEN UP".to_owned(),
         Verdict::Broken(found) => {
             format!("broken in {} steps: {}", found.steps.len(), found.property)
         }
     };
-    let mark = match line.is_as_expected() {
+    let status = match result.is_as_expected() {
         true => "ok",
         false => "FAILED",
     };
-    println!("{mark} {spec}: {kind} {}: {verdict}", line.name);
+    println!("{status} {spec}: {kind} {}: {verdict}", result.name);
     println!(
         "   {} states, depth {}, {:.3} s",
         counts.states,
         counts.depth,
         counts.took.as_secs_f64()
     );
-    if !line.is_mutant {
-        let bounds: Vec<String> = line.bounds.iter().map(Bound::to_string).collect();
+    if !result.is_mutant {
+        let bounds: Vec<String> = result.bounds.iter().map(Bound::to_string).collect();
         println!("   bounds: {}", bounds.join(", "));
     }
-    if let (true, Some(found)) = (trace, line.outcome.counterexample()) {
+    if let (true, Some(found)) = (trace, result.outcome.counterexample()) {
         println!("{found}");
     }
 }
--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -1,4 +1,4 @@
-//! Exhaustive search of a bounded specification, shortest counterexample first.
+//! Exhaustive breadth-first search of a bounded specification; it finds a shortest counterexample.
 
 use std::{
     fmt::{self, Debug},
@@ -8,45 +8,45 @@
 
 use pathfinding::prelude;
 
-/// A specification: what may happen, and what must hold.
+/// A specification: a transition system and the properties that it must satisfy.
 pub trait Spec {
-    /// Everything that the future depends on, and what the invariants need of the past.
+    /// Everything that later steps depend on, and the history that the properties need.
     type State: Clone + Eq + Hash + Debug;
-    /// One thing that happens; its `Debug` form is a line of a counterexample.
+    /// The label of one transition. Its `Debug` form is one line of a counterexample.
     type Step: Debug;
 
-    /// Where everything begins.
+    /// The initial state.
     fn initial(&self) -> Self::State;
 
-    /// All that may happen next, with where it leads.
+    /// All steps enabled in `state`, each with the state that it leads to.
     fn successors(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
-    /// Whether a step is a fault. Faults are bounded and may stay away; all other steps happen in
-    /// the end, unless something else makes them impossible.
+    /// Whether a step is a fault. Faults are bounded in number and may never occur. Every other
+    /// enabled step eventually occurs, unless another step disables it.
     fn is_fault(&self, step: &Self::Step) -> bool;
 
-    /// What holds in every state.
+    /// The properties that must hold in every reachable state.
     fn invariants(&self) -> Vec<Property<Self>>;
 
-    /// What holds where nothing but faults can happen any more.
+    /// The properties that must hold in every reachable state where only faults are enabled.
     fn goals(&self) -> Vec<Property<Self>> {
         Vec::new()
     }
 
-    /// What was made finite, and where.
+    /// The bounds that make the state space finite.
     fn bounds(&self) -> Vec<Bound>;
 }
 
 /// A named predicate over states.
 pub struct Property<S: Spec + ?Sized> {
-    /// What holds, in a few words.
+    /// A short statement of the property.
     pub name: &'static str,
-    /// Whether it does.
+    /// Whether the property holds in a state.
     pub holds: fn(&S, &S::State) -> bool,
 }
 
 impl<S: Spec + ?Sized> Property<S> {
-    /// A property called `name`.
+    /// Creates the property `name`.
     pub fn new(name: &'static str, holds: fn(&S, &S::State) -> bool) -> Self {
         Self { name, holds }
     }
@@ -55,14 +55,14 @@
 /// A bound of a specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bound {
-    /// What is bounded.
+    /// The bounded quantity.
     pub name: &'static str,
-    /// How many there may be.
+    /// The maximum; 0 or 1 for a switch that is off or on.
     pub value: u64,
 }
 
 impl Bound {
-    /// At most `value` of `name`.
+    /// Creates the bound of at most `value` of `name`.
     pub fn new(name: &'static str, value: impl Into<u64>) -> Self {
         let value = value.into();
         Self { name, value }
@@ -75,25 +75,25 @@
     }
 }
 
-/// What a search went through.
+/// The size and duration of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counts {
-    /// States whose properties were looked at.
+    /// Distinct states whose properties were checked.
     pub states: usize,
-    /// Steps from the initial state to the farthest of them.
+    /// The length in steps of the shortest path to the most distant checked state.
     pub depth: usize,
-    /// How long it took.
+    /// The duration of the search.
     pub took: Duration,
 }
 
-/// A shortest way to a state where a property does not hold.
+/// A shortest path from the initial state to a state that violates a property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The property.
+    /// The name of the violated property.
     pub property: &'static str,
-    /// What happened, in order.
+    /// The `Debug` forms of the steps, in order.
     pub steps: Vec<String>,
-    /// The last state.
+    /// The `Debug` form of the last state.
     pub state: String,
 }
 
@@ -107,54 +107,55 @@
     }
 }
 
-/// How a search ended.
+/// The verdict of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Every property holds in the whole bounded space.
+    /// Every property holds in the whole bounded state space.
     Holds,
-    /// A property is broken.
+    /// A property is violated.
     Broken(Counterexample),
-    /// The search was given up at this many states; nothing was found until then.
-    GivenUp,
+    /// The search stopped at its limit of states before it found a violation; the remaining states
+    /// were not checked.
+    StateLimitReached,
 }
 
 /// The result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// What was searched.
+    /// The size and duration of the search.
     pub counts: Counts,
-    /// What was found.
+    /// Whether the properties hold.
     pub verdict: Verdict,
 }
 
 impl Outcome {
-    /// The counterexample, if there is one.
+    /// The counterexample, if a property is violated.
     pub fn counterexample(&self) -> Option<&Counterexample> {
         match &self.verdict {
             Verdict::Broken(found) => Some(found),
-            Verdict::Holds | Verdict::GivenUp => None,
+            Verdict::Holds | Verdict::StateLimitReached => None,
         }
     }
 }
 
-/// The states after which a search is given up, unless another number is asked for: about 2 GB of
-/// the largest states here.
+/// The default limit of states after which a search stops: about 2 GB of the largest states of
+/// the specifications in this crate.
 pub const MAX_STATES: usize = 8_000_000;
 
-/// Searches the whole space of `spec`.
+/// Searches the whole state space of `spec`, up to [`MAX_STATES`] states.
 pub fn check<S: Spec>(spec: &S) -> Outcome {
-    check_up_to(spec, MAX_STATES)
+    check_with_limit(spec, MAX_STATES)
 }
 
-/// Searches `spec` until `max_states` have been looked at.
-pub fn check_up_to<S: Spec>(spec: &S, max_states: usize) -> Outcome {
-    let begun = Instant::now();
+/// Searches `spec` and stops once `max_states` states have been checked.
+pub fn check_with_limit<S: Spec>(spec: &S, max_states: usize) -> Outcome {
+    let started = Instant::now();
     let mut search = Search::new(spec, max_states);
     let start = Node::reached(spec.initial(), 0);
     let path = prelude::bfs(
         &start,
         |node| search.expand(node),
-        |node| !matches!(node.place, Place::Reached(_)),
+        |node| !matches!(node.kind, NodeKind::Reached(_)),
     );
     let verdict = match path {
         None => Verdict::Holds,
@@ -163,48 +164,49 @@
     let counts = Counts {
         states: search.states,
         depth: search.depth,
-        took: begun.elapsed(),
+        took: started.elapsed(),
     };
     Outcome { counts, verdict }
 }
 
-/// Whether every run of `spec` ends: no step leads back to a state that was there before.
+/// Whether every run of `spec` terminates, that is, no run visits a state twice.
 ///
-/// Then a goal that holds wherever nothing but faults can happen is reached by every run in which
-/// the faults end. The search is recursive: meant for small bounds.
+/// If so, a goal that holds in every state where only faults are enabled is reached by every run
+/// in which faults cease. The traversal is recursive, so it suits small bounds only.
 pub fn every_run_ends<S: Spec>(spec: &S) -> bool {
-    let after = |state: &S::State| {
+    let successors = |state: &S::State| {
         let next = spec.successors(state).into_iter();
         next.map(|(_, state)| state).collect::<Vec<_>>()
     };
-    prelude::topological_sort(&[spec.initial()], after).is_ok()
+    prelude::topological_sort(&[spec.initial()], successors).is_ok()
 }
 
-/// A place in the search. Equality leaves the depth out, so that a state is visited once.
+/// A node of the search graph. Equality and hash ignore the depth, so that a state is visited once.
 #[derive(Clone)]
 struct Node<T> {
-    place: Place<T>,
+    kind: NodeKind<T>,
     depth: usize,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-enum Place<T> {
+enum NodeKind<T> {
     Reached(T),
-    /// Follows on a state that breaks a property.
+    /// The only successor of a state that violates the property of this name.
     Broken(&'static str),
-    GivenUp,
+    /// The only successor of a state that the limit of states leaves unchecked.
+    StateLimitReached,
 }
 
 impl<T> Node<T> {
     fn reached(state: T, depth: usize) -> Self {
-        let place = Place::Reached(state);
-        Self { place, depth }
+        let kind = NodeKind::Reached(state);
+        Self { kind, depth }
     }
 }
 
 impl<T: PartialEq> PartialEq for Node<T> {
     fn eq(&self, other: &Self) -> bool {
-        self.place == other.place
+        self.kind == other.kind
     }
 }
 
@@ -212,7 +214,7 @@
 
 impl<T: Hash> Hash for Node<T> {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.place.hash(hasher);
+        self.kind.hash(hasher);
     }
 }
 
@@ -237,50 +239,51 @@
         }
     }
 
-    /// Called once for each state, nearest first.
+    /// Checks the properties in a state and returns its successors. The breadth-first search calls
+    /// this once for each state, in order of depth.
     fn expand(&mut self, node: &Node<S::State>) -> Vec<Node<S::State>> {
-        let Place::Reached(state) = &node.place else {
+        let NodeKind::Reached(state) = &node.kind else {
             return Vec::new();
         };
         let depth = node.depth + 1;
-        let stop = |place| vec![Node { place, depth }];
+        let terminal = |kind| vec![Node { kind, depth }];
         if self.states == self.max_states {
-            return stop(Place::GivenUp);
+            return terminal(NodeKind::StateLimitReached);
         }
         self.states += 1;
         self.depth = self.depth.max(node.depth);
-        if let Some(name) = self.broken(&self.invariants, state) {
-            return stop(Place::Broken(name));
+        if let Some(name) = self.first_broken(&self.invariants, state) {
+            return terminal(NodeKind::Broken(name));
         }
         let next = self.spec.successors(state);
         if next.iter().all(|(step, _)| self.spec.is_fault(step))
-            && let Some(name) = self.broken(&self.goals, state)
+            && let Some(name) = self.first_broken(&self.goals, state)
         {
-            return stop(Place::Broken(name));
+            return terminal(NodeKind::Broken(name));
         }
         let next = next.into_iter();
         next.map(|(_, state)| Node::reached(state, depth)).collect()
     }
 
-    fn broken(&self, properties: &[Property<S>], state: &S::State) -> Option<&'static str> {
+    fn first_broken(&self, properties: &[Property<S>], state: &S::State) -> Option<&'static str> {
         let mut broken = properties.iter().filter(|p| !(p.holds)(self.spec, state));
         broken.next().map(|p| p.name)
     }
 
     fn verdict(&self, path: &[Node<S::State>]) -> Verdict {
         let states: Vec<&S::State> = path.iter().filter_map(Node::state).collect();
-        match path.last().map(|node| &node.place) {
-            Some(Place::Broken(property)) => Verdict::Broken(Counterexample {
+        match path.last().map(|node| &node.kind) {
+            Some(NodeKind::Broken(property)) => Verdict::Broken(Counterexample {
                 property,
-                steps: self.steps(&states),
+                steps: self.step_labels(&states),
                 state: format!("{:?}", states.last()),
             }),
-            _ => Verdict::GivenUp,
+            _ => Verdict::StateLimitReached,
         }
     }
 
-    /// The steps that lead through `states`.
-    fn steps(&self, states: &[&S::State]) -> Vec<String> {
+    /// The `Debug` forms of the steps between consecutive states of a path.
+    fn step_labels(&self, states: &[&S::State]) -> Vec<String> {
         let label = |pair: &[&S::State]| {
             let mut next = self.spec.successors(pair[0]).into_iter();
             let step = next.find(|(_, state)| state == pair[1]);
@@ -292,9 +295,9 @@
 
 impl<T> Node<T> {
     fn state(&self) -> Option<&T> {
-        match &self.place {
-            Place::Reached(state) => Some(state),
-            Place::Broken(_) | Place::GivenUp => None,
+        match &self.kind {
+            NodeKind::Reached(state) => Some(state),
+            NodeKind::Broken(_) | NodeKind::StateLimitReached => None,
         }
     }
 }
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -1,4 +1,4 @@
-//! Running the specifications, and what came of it.
+//! Runs the searches of all specifications and reports their results.
 
 use std::fmt::Debug;
 
@@ -7,74 +7,74 @@
     specs::{catalogue, delivery, lease, rights, stream},
 };
 
-/// How much is searched.
+/// The size of the bounds to search within.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Size {
-    /// Seconds in a debug build.
+    /// Bounds that take seconds in a debug build.
     Small,
-    /// Minutes in a release build.
+    /// Bounds that take minutes in a release build.
     Large,
 }
 
 /// A named configuration of a specification.
 pub struct Case<S> {
-    /// What it looks at, or the mutation.
+    /// The scenario, or the name of the mutation.
     pub name: String,
     /// The configuration.
     pub spec: S,
 }
 
 impl<S> Case<S> {
-    /// The configuration `spec`, called `name`.
+    /// Creates a case of the configuration `spec` named `name`.
     pub fn new(name: impl Into<String>, spec: S) -> Self {
         let name = name.into();
         Self { name, spec }
     }
 }
 
-/// A specification with the configurations that it is searched under.
-pub trait Family: Spec + Sized {
-    /// What it is called on the command line.
+/// A specification with the configurations to search.
+pub trait SearchSuite: Spec + Sized {
+    /// The name of the specification on the command line.
     const NAME: &'static str;
 
-    /// The rules that can be left out.
+    /// The mutations of the specification; each removes one rule of the protocol.
     type Mutation: Debug;
 
-    /// The same configuration with `mutation`.
-    fn with(self, mutation: Self::Mutation) -> Self;
+    /// Returns this configuration with `mutation`.
+    fn with_mutation(self, mutation: Self::Mutation) -> Self;
 
-    /// The case of `mutation` in this configuration.
+    /// The case of this configuration with `mutation`, named after the mutation.
     fn mutant(self, mutation: Self::Mutation) -> Case<Self> {
-        Case::new(format!("{mutation:?}"), self.with(mutation))
+        Case::new(format!("{mutation:?}"), self.with_mutation(mutation))
     }
 
-    /// Configurations in which every property must hold.
+    /// The cases without a mutation, in which every property must hold.
     fn cases(size: Size) -> Vec<Case<Self>>;
 
-    /// Configurations with a mutation, in which a property must be broken.
+    /// The cases with a mutation, in which a property must be violated.
     fn mutants() -> Vec<Case<Self>>;
 }
 
-/// The result of one configuration.
+/// The result of the search of one case.
 #[derive(Debug, Clone)]
-pub struct Line {
-    /// The configuration.
+pub struct CaseResult {
+    /// The name of the case.
     pub name: String,
-    /// Its bounds.
+    /// The bounds of its configuration.
     pub bounds: Vec<Bound>,
-    /// Whether this is a mutation.
+    /// Whether its configuration has a mutation.
     pub is_mutant: bool,
-    /// What the search found.
+    /// The outcome of its search.
     pub outcome: Outcome,
 }
 
-impl Line {
-    /// Whether the search ended as it must: a mutation is caught, anything else holds.
+impl CaseResult {
+    /// Whether the search had the required verdict: a violation with a mutation, none without.
     pub fn is_as_expected(&self) -> bool {
         match &self.outcome.verdict {
             Verdict::Holds => !self.is_mutant,
             Verdict::Broken(_) => self.is_mutant,
-            Verdict::GivenUp => false,
+            Verdict::StateLimitReached => false,
         }
     }
 }
@@ -88,31 +88,32 @@
     lease::Config::NAME,
 ];
 
-/// Searches the specification called `name`, handing each result to `each` as it comes.
+/// Searches all cases of the specification `name` and passes each result to `on_result` as soon as
+/// it is available.
 ///
-/// Nothing is searched for a name that is not in [`NAMES`].
-pub fn run(name: &str, size: Size, each: &mut dyn FnMut(Line)) {
+/// Does nothing for a name that is not in [`NAMES`].
+pub fn run(name: &str, size: Size, on_result: &mut dyn FnMut(CaseResult)) {
     match name {
-        delivery::Config::NAME => run_family::<delivery::Config>(size, each),
-        stream::Config::NAME => run_family::<stream::Config>(size, each),
-        rights::Config::NAME => run_family::<rights::Config>(size, each),
-        catalogue::Config::NAME => run_family::<catalogue::Config>(size, each),
-        lease::Config::NAME => run_family::<lease::Config>(size, each),
+        delivery::Config::NAME => run_suite::<delivery::Config>(size, on_result),
+        stream::Config::NAME => run_suite::<stream::Config>(size, on_result),
+        rights::Config::NAME => run_suite::<rights::Config>(size, on_result),
+        catalogue::Config::NAME => run_suite::<catalogue::Config>(size, on_result),
+        lease::Config::NAME => run_suite::<lease::Config>(size, on_result),
         _ => {}
     }
 }
 
-fn run_family<S: Family>(size: Size, each: &mut dyn FnMut(Line)) {
+fn run_suite<S: SearchSuite>(size: Size, on_result: &mut dyn FnMut(CaseResult)) {
     for case in S::cases(size) {
-        each(line(case, false));
+        on_result(search_case(case, false));
     }
     for case in S::mutants() {
-        each(line(case, true));
+        on_result(search_case(case, true));
     }
 }
 
-fn line<S: Spec>(case: Case<S>, is_mutant: bool) -> Line {
-    Line {
+fn search_case<S: Spec>(case: Case<S>, is_mutant: bool) -> CaseResult {
+    CaseResult {
         bounds: case.spec.bounds(),
         outcome: checker::check(&case.spec),
         name: case.name,
--- a/crates/model/src/specs/catalogue/mod.rs
+++ b/crates/model/src/specs/catalogue/mod.rs
@@ -14,7 +14,7 @@
 
 use self::steps::{MAX_CHANGES, Outcome};
 pub use self::steps::{State, Step};
-use super::next::Next;
+use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
 /// A rule left out of the protocol.
@@ -80,7 +80,7 @@
     }
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
-        let mut next = Next::after(state);
+        let mut next = Successors::of(state);
         for o in 0..self.operators {
             self.operator(state, o, &mut next);
         }
@@ -88,7 +88,7 @@
             self.host(state, h, &mut next);
         }
         self.store(state, &mut next);
-        next.found()
+        next.into_steps()
     }
 
     fn is_fault(&self, step: &Step) -> bool {
--- a/crates/model/src/specs/catalogue/operators.rs
+++ b/crates/model/src/specs/catalogue/operators.rs
@@ -9,7 +9,7 @@
     pub(super) fn operator(&self, state: &State, o: usize, next: &mut Steps<'_>) {
         let operator = &state.operators[o];
         if let Some(base) = operator.late {
-            next.with(Step::CommitLate(o), |s| {
+            next.add(Step::CommitLate(o), |s| {
                 s.operators[o].late = None;
                 self.commit(s, o, base);
             });
@@ -26,23 +26,23 @@
     fn undecided(&self, state: &State, o: usize, next: &mut Steps<'_>) {
         let operator = &state.operators[o];
         let Some(base) = operator.base else {
-            next.with(Step::ReadHead(o), |s| s.operators[o].base = Some(s.head()));
+            next.add(Step::ReadHead(o), |s| s.operators[o].base = Some(s.head()));
             return;
         };
         match operator.place {
-            Place::AtOperator => next.with(Step::Propose(o), |s| s.operators[o].send()),
+            Place::AtOperator => next.add(Step::Propose(o), |s| s.operators[o].send()),
             Place::ToStore => {
-                next.with(Step::Commit(o), |s| {
+                next.add(Step::Commit(o), |s| {
                     s.operators[o].place = match self.commit(s, o, base) {
                         Some(revision) => Place::Done(revision),
                         None => Place::NotDone,
                     };
                 });
                 if operator.late.is_none() {
-                    next.faults(
+                    next.add_faults(
                         |s| &mut s.losses,
                         |next| {
-                            next.with(Step::SlowCommit(o), |s| {
+                            next.add(Step::SlowCommit(o), |s| {
                                 s.operators[o].late = Some(base);
                                 self.doubt(&mut s.operators[o]);
                             });
@@ -51,10 +51,10 @@
                 }
             }
             Place::Done(_) | Place::NotDone => {
-                next.with(Step::Answer(o), |s| answer(s, o));
-                next.faults(
+                next.add(Step::Answer(o), |s| answer(s, o));
+                next.add_faults(
                     |s| &mut s.losses,
-                    |next| next.with(Step::LoseAnswer(o), |s| self.doubt(&mut s.operators[o])),
+                    |next| next.add(Step::LoseAnswer(o), |s| self.doubt(&mut s.operators[o])),
                 );
             }
             Place::InDoubt => self.in_doubt(state, o, base, next),
@@ -90,17 +90,17 @@
         if state.head() == base {
             // Nothing happened yet: the same proposal may be made again, or is left open.
             if again {
-                next.with(Step::Propose(o), |s| s.operators[o].send());
+                next.add(Step::Propose(o), |s| s.operators[o].send());
             }
             return;
         }
         if again && self.has(Mutation::RebaseInDoubt) {
-            next.with(Step::Propose(o), |s| {
+            next.add(Step::Propose(o), |s| {
                 s.operators[o].base = Some(s.head());
                 s.operators[o].send();
             });
         }
-        next.with(Step::Settle(o), |s| s.settle(o));
+        next.add(Step::Settle(o), |s| s.settle(o));
     }
 
     fn look_again(&self, state: &State, o: usize, revision: u8, next: &mut Steps<'_>) {
@@ -112,7 +112,7 @@
         let hosts = &state.hosts[..self.hosts];
         let everywhere = hosts.iter().all(|host| host.held.revision >= revision);
         if everywhere || !stands {
-            next.with(Step::LookAgain(o), |s| {
+            next.add(Step::LookAgain(o), |s| {
                 s.operators[o].looked_again = true;
                 if !stands {
                     s.raise_alarm();
--- a/crates/model/src/specs/catalogue/scenarios.rs
+++ b/crates/model/src/specs/catalogue/scenarios.rs
@@ -1,7 +1,7 @@
 //! The configurations that are searched.
 
 use super::{Config, Mutation};
-use crate::report::{Case, Family, Size};
+use crate::report::{Case, SearchSuite, Size};
 
 /// Operators that race, with answers lost and hosts restarted.
 const RACE: Config = Config {
@@ -24,12 +24,12 @@
     ..RACE
 };
 
-impl Family for Config {
+impl SearchSuite for Config {
     const NAME: &'static str = "catalogue";
 
     type Mutation = Mutation;
 
-    fn with(self, mutation: Mutation) -> Self {
+    fn with_mutation(self, mutation: Mutation) -> Self {
         let mutation = Some(mutation);
         Self { mutation, ..self }
     }
--- a/crates/model/src/specs/catalogue/steps.rs
+++ b/crates/model/src/specs/catalogue/steps.rs
@@ -1,7 +1,7 @@
 //! The store, the hosts and what may happen to them.
 
 use super::{Config, Mutation};
-use crate::specs::next::Next;
+use crate::specs::successors::Successors;
 
 /// The most changes in the store.
 pub(super) const MAX_CHANGES: usize = 4;
@@ -107,20 +107,20 @@
     restorations: u8,
 }
 
-pub(super) type Steps<'a> = Next<'a, Step, State>;
+pub(super) type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
     pub(super) fn store(&self, state: &State, next: &mut Steps<'_>) {
-        next.faults(
+        next.add_faults(
             |s| &mut s.setbacks,
             |next| {
                 for len in 0..state.len {
-                    next.with(Step::GoBack(len), |s| s.go_back(len));
+                    next.add(Step::GoBack(len), |s| s.go_back(len));
                 }
             },
         );
         if state.alarm && state.restorations > 0 && !state.is_full() {
-            next.with(Step::Restore, |s| {
+            next.add(Step::Restore, |s| {
                 s.restorations -= 1;
                 self.restore(s);
             });
@@ -153,15 +153,15 @@
     pub(super) fn host(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         let poll = self.poll(state, h);
         if let Some(after) = poll.filter(|after| after != state) {
-            next.with(Step::Poll(h), |s| *s = after);
+            next.add(Step::Poll(h), |s| *s = after);
         }
         for g in (0..self.hosts).filter(|g| *g != h) {
             self.copy(state, h, g, next);
         }
         if state.hosts[h].held.revision > 0 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.crashes,
-                |next| next.with(Step::Crash(h), |s| s.hosts[h] = Host::default()),
+                |next| next.add(Step::Crash(h), |s| s.hosts[h] = Host::default()),
             );
         }
     }
@@ -200,10 +200,10 @@
         let forked = own.revision <= other.revision && !other.follows(own);
         if forked && (checked || own.revision == other.revision) {
             if !state.alarm {
-                next.with(Step::Copy(h, g), State::raise_alarm);
+                next.add(Step::Copy(h, g), State::raise_alarm);
             }
         } else if own.revision < other.revision || back {
-            next.with(Step::Copy(h, g), |s| s.hosts[h].take(other));
+            next.add(Step::Copy(h, g), |s| s.hosts[h].take(other));
         }
     }
 }
--- a/crates/model/src/specs/delivery/mod.rs
+++ b/crates/model/src/specs/delivery/mod.rs
@@ -10,7 +10,7 @@
 
 use self::state::{Answer, Call, Phase};
 pub use self::{state::State, steps::Step};
-use super::next::Next;
+use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
 /// The most calls a configuration may have.
@@ -73,20 +73,20 @@
     }
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
-        let mut next = Next::after(state);
+        let mut next = Successors::of(state);
         for c in 0..self.calls {
             self.work(state, c, &mut next);
-            next.faults(|s| &mut s.losses, |next| self.losses(state, c, next));
-            next.faults(
+            next.add_faults(|s| &mut s.losses, |next| self.losses(state, c, next));
+            next.add_faults(
                 |s| &mut s.impatience,
                 |next| self.impatience(state, c, next),
             );
             if state.calls[c].is_open() {
                 let crash = |s: &mut State| s.calls[c].crash();
-                next.faults(|s| &mut s.crashes, |next| next.with(Step::Crash(c), crash));
+                next.add_faults(|s| &mut s.crashes, |next| next.add(Step::Crash(c), crash));
             }
         }
-        next.found()
+        next.into_steps()
     }
 
     fn is_fault(&self, step: &Step) -> bool {
--- a/crates/model/src/specs/delivery/scenarios.rs
+++ b/crates/model/src/specs/delivery/scenarios.rs
@@ -1,14 +1,14 @@
 //! The configurations that are searched.
 
 use super::{Config, Mutation};
-use crate::report::{Case, Family, Size};
+use crate::report::{Case, SearchSuite, Size};
 
-impl Family for Config {
+impl SearchSuite for Config {
     const NAME: &'static str = "delivery";
 
     type Mutation = Mutation;
 
-    fn with(self, mutation: Mutation) -> Self {
+    fn with_mutation(self, mutation: Mutation) -> Self {
         let mutation = Some(mutation);
         Self { mutation, ..self }
     }
--- a/crates/model/src/specs/delivery/steps.rs
+++ b/crates/model/src/specs/delivery/steps.rs
@@ -4,7 +4,7 @@
     Config, Mutation,
     state::{Answer, Call, Phase, Record, State},
 };
-use crate::specs::next::Next;
+use crate::specs::successors::Successors;
 
 /// What may happen; the number is that of the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,34 +101,34 @@
     }
 
     /// Everything but faults that may happen to the call `c`.
-    pub(super) fn work(&self, state: &State, c: usize, next: &mut Next<'_, Step, State>) {
+    pub(super) fn work(&self, state: &State, c: usize, next: &mut Successors<'_, Step, State>) {
         let call = &state.calls[c];
         match call.phase {
-            Phase::Absent if self.can_arrive(state, c) => next.with(Step::Arrive(c), |s| {
+            Phase::Absent if self.can_arrive(state, c) => next.add(Step::Arrive(c), |s| {
                 let unknown = s.calls[..c].iter().any(|call| !call.is_known_not_run());
                 s.calls[c].repeat = self.one_caller && unknown;
                 s.calls[c].phase = Phase::Received;
             }),
-            Phase::Received => next.with(Step::SendInsert(c), |s| s.calls[c].send_insert()),
+            Phase::Received => next.add(Step::SendInsert(c), |s| s.calls[c].send_insert()),
             Phase::InDoubt if call.tried < self.tries => {
-                next.with(Step::SendInsert(c), |s| s.calls[c].send_insert());
+                next.add(Step::SendInsert(c), |s| s.calls[c].send_insert());
             }
-            Phase::InDoubt => next.with(Step::GiveUp(c), |s| {
+            Phase::InDoubt => next.add(Step::GiveUp(c), |s| {
                 let refusal = self.refusal(&s.calls[c]);
                 s.calls[c].answer(refusal);
             }),
-            Phase::Inserting => next.with(Step::Insert(c), |s| self.inserted(s, c)),
-            Phase::Recorded => next.with(Step::Dispatch(c), |s| s.calls[c].dispatch()),
+            Phase::Inserting => next.add(Step::Insert(c), |s| self.inserted(s, c)),
+            Phase::Recorded => next.add(Step::Dispatch(c), |s| s.calls[c].dispatch()),
             _ => {}
         }
         if call.phase == Phase::Inserting && self.has(Mutation::DispatchBeforeRecord) {
-            next.with(Step::Dispatch(c), |s| {
+            next.add(Step::Dispatch(c), |s| {
                 s.calls[c].late_inserts += 1;
                 s.calls[c].dispatch();
             });
         }
         if call.late_inserts > 0 {
-            next.with(Step::InsertLate(c), |s| {
+            next.add(Step::InsertLate(c), |s| {
                 s.calls[c].late_inserts -= 1;
                 let own = self.insert(s, c);
                 let refused = s.calls[c].phase == Phase::Ended;
@@ -138,17 +138,17 @@
             });
         }
         if call.dispatches > 0 {
-            next.with(Step::Run(c), |s| {
+            next.add(Step::Run(c), |s| {
                 s.calls[c].dispatches -= 1;
                 s.calls[c].runs += 1;
                 s.calls[c].result = true;
             });
         }
         if call.result {
-            next.with(Step::Result(c), |s| self.result(&mut s.calls[c]));
+            next.add(Step::Result(c), |s| self.result(&mut s.calls[c]));
         }
         if call.unstored {
-            next.with(Step::Store(c), |s| {
+            next.add(Step::Store(c), |s| {
                 s.calls[c].unstored = false;
                 let own = s.record.as_mut().filter(|record| record.writer == c);
                 if let Some(record) = own {
@@ -167,40 +167,45 @@
         }
     }
 
-    pub(super) fn losses(&self, state: &State, c: usize, next: &mut Next<'_, Step, State>) {
+    pub(super) fn losses(&self, state: &State, c: usize, next: &mut Successors<'_, Step, State>) {
         let call = &state.calls[c];
         if call.phase == Phase::Inserting {
-            next.with(Step::LoseInsert(c), |s| s.calls[c].phase = Phase::InDoubt);
-            next.with(Step::LoseInserted(c), |s| {
+            next.add(Step::LoseInsert(c), |s| s.calls[c].phase = Phase::InDoubt);
+            next.add(Step::LoseInserted(c), |s| {
                 self.insert(s, c);
                 s.calls[c].phase = Phase::InDoubt;
             });
-            next.with(Step::SlowInsert(c), |s| {
+            next.add(Step::SlowInsert(c), |s| {
                 s.calls[c].late_inserts += 1;
                 s.calls[c].phase = Phase::InDoubt;
             });
         }
         if call.phase == Phase::Dispatched && call.dispatches > 0 {
-            next.with(Step::LoseDispatch(c), |s| {
+            next.add(Step::LoseDispatch(c), |s| {
                 s.calls[c].dispatches -= 1;
                 self.broken(&mut s.calls[c]);
             });
-            next.with(Step::SlowDispatch(c), |s| self.broken(&mut s.calls[c]));
+            next.add(Step::SlowDispatch(c), |s| self.broken(&mut s.calls[c]));
         }
         if call.phase == Phase::Dispatched && call.result {
-            next.with(Step::LoseResult(c), |s| {
+            next.add(Step::LoseResult(c), |s| {
                 s.calls[c].result = false;
                 self.broken(&mut s.calls[c]);
             });
         }
     }
 
-    pub(super) fn impatience(&self, state: &State, c: usize, next: &mut Next<'_, Step, State>) {
+    pub(super) fn impatience(
+        &self,
+        state: &State,
+        c: usize,
+        next: &mut Successors<'_, Step, State>,
+    ) {
         let call = &state.calls[c];
         if !call.is_open() {
             return;
         }
-        next.with(Step::Deadline(c), |s| {
+        next.add(Step::Deadline(c), |s| {
             let call = &mut s.calls[c];
             call.late_inserts += u8::from(call.phase == Phase::Inserting);
             let answer = match call.phase {
@@ -211,7 +216,7 @@
             call.answer(answer);
         });
         if !call.hung_up {
-            next.with(Step::HangUp(c), |s| s.calls[c].hung_up = true);
+            next.add(Step::HangUp(c), |s| s.calls[c].hung_up = true);
         }
     }
 }
--- a/crates/model/src/specs/lease/mod.rs
+++ b/crates/model/src/specs/lease/mod.rs
@@ -13,7 +13,7 @@
 
 use self::steps::{MAX_ORDERS, VALUES};
 pub use self::steps::{Order, State, Step};
-use super::next::Next;
+use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
 /// A rule left out of the protocol.
@@ -71,13 +71,13 @@
     }
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
-        let mut next = Next::after(state);
+        let mut next = Successors::of(state);
         self.world(state, &mut next);
         self.orders(state, &mut next);
         for h in 0..state.hosts.len() {
             self.host(state, h, &mut next);
         }
-        next.found()
+        next.into_steps()
     }
 
     fn is_fault(&self, step: &Step) -> bool {
--- a/crates/model/src/specs/lease/steps.rs
+++ b/crates/model/src/specs/lease/steps.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use super::{Config, Mutation};
-use crate::specs::next::Next;
+use crate::specs::successors::Successors;
 
 /// The most orders under way.
 pub(super) const MAX_ORDERS: usize = 3;
@@ -126,20 +126,20 @@
     endpoint_restarts: u8,
 }
 
-type Steps<'a> = Next<'a, Step, State>;
+type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
     pub(super) fn world(&self, state: &State, next: &mut Steps<'_>) {
         if state.declarations > 0 {
-            next.with(Step::Declare, |s| {
+            next.add(Step::Declare, |s| {
                 s.declarations -= 1;
                 s.declared += 1;
             });
         }
         if state.endpoint.value > 0 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.endpoint_restarts,
-                |next| next.with(Step::RestartEndpoint, |s| s.endpoint = Endpoint::default()),
+                |next| next.add(Step::RestartEndpoint, |s| s.endpoint = Endpoint::default()),
             );
         }
     }
@@ -147,16 +147,16 @@
     pub(super) fn orders(&self, state: &State, next: &mut Steps<'_>) {
         for (i, order) in state.orders.iter().enumerate() {
             let Some(order) = *order else { continue };
-            next.with(Step::Obey(order), |s| {
+            next.add(Step::Obey(order), |s| {
                 s.take_order(i);
                 self.obey(&mut s.endpoint, order);
             });
-            next.faults(
+            next.add_faults(
                 |s| &mut s.losses,
                 |next| {
-                    next.with(Step::LoseOrder(order), |s| s.take_order(i));
+                    next.add(Step::LoseOrder(order), |s| s.take_order(i));
                     if state.has_room() {
-                        next.with(Step::DoubleOrder(order), |s| s.put_order(order));
+                        next.add(Step::DoubleOrder(order), |s| s.put_order(order));
                     }
                 },
             );
@@ -176,15 +176,15 @@
     pub(super) fn host(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         let host = &state.hosts[h];
         if !host.up {
-            next.with(Step::Restart(h), |s| s.hosts[h].up = true);
+            next.add(Step::Restart(h), |s| s.hosts[h].up = true);
             return;
         }
-        next.faults(
+        next.add_faults(
             |s| &mut s.crashes,
-            |next| next.with(Step::Crash(h), |s| s.hosts[h] = Host::default()),
+            |next| next.add(Step::Crash(h), |s| s.hosts[h] = Host::default()),
         );
         if host.known != state.declared {
-            next.with(Step::Learn(h), |s| s.hosts[h].known = s.declared);
+            next.add(Step::Learn(h), |s| s.hosts[h].known = s.declared);
         }
         match host.draw {
             Some(draw) => self.drawing(h, draw, next),
@@ -203,37 +203,37 @@
         let gone = state.holder_is_gone() && !self.has(Mutation::NoSuccessor);
         let mine = own && host.order.is_some();
         if wanted && mine || gone && host.known > 0 {
-            next.with(Step::Draw(h), |s| s.draw(h));
+            next.add(Step::Draw(h), |s| s.draw(h));
         } else if host.known > 0 && !own {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.overtakes,
-                |next| next.with(Step::Overtake(h), |s| s.draw(h)),
+                |next| next.add(Step::Overtake(h), |s| s.draw(h)),
             );
         }
     }
 
     fn drawing(&self, h: usize, draw: Draw, next: &mut Steps<'_>) {
         match draw.place {
-            Place::ToTable => next.with(Step::TakeDraw(h), |s| {
+            Place::ToTable => next.add(Step::TakeDraw(h), |s| {
                 let place = self.take_draw(s, h, draw);
                 s.hosts[h].draw = Some(Draw { place, ..draw });
             }),
-            Place::InDoubt => next.with(Step::ReadRow(h), |s| {
+            Place::InDoubt => next.add(Step::ReadRow(h), |s| {
                 s.hosts[h].draw = None;
                 if s.row.holder == h {
                     s.hosts[h].hold(s.row.order);
                 }
             }),
             Place::Done(_) | Place::NotDone => {
-                next.with(Step::Drawn(h), |s| {
+                next.add(Step::Drawn(h), |s| {
                     s.hosts[h].draw = None;
                     if let Place::Done(order) = draw.place {
                         s.hosts[h].hold(order);
                     }
                 });
-                next.faults(
+                next.add_faults(
                     |s| &mut s.losses,
-                    |next| next.with(Step::LoseAnswer(h), |s| self.lose_answer(s, h, draw)),
+                    |next| next.add(Step::LoseAnswer(h), |s| self.lose_answer(s, h, draw)),
                 );
             }
         }
@@ -280,15 +280,15 @@
         let again = !host.sent || !self.has(Mutation::NoReadBack);
         let differs = state.endpoint.value != order.value;
         if order != state.row.order {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.stale_orders,
-                |next| next.with(Step::SendStale(h), send),
+                |next| next.add(Step::SendStale(h), send),
             );
         } else if again && differs && !state.orders.contains(&Some(order)) {
-            next.with(Step::Send(h), send);
+            next.add(Step::Send(h), send);
         }
         if self.has(Mutation::SameNumber) && host.known > order.value && state.row.holder == h {
-            next.with(Step::Redecide(h), |s| {
+            next.add(Step::Redecide(h), |s| {
                 s.decisions += 1;
                 s.row.order.value = host.known;
                 s.row.order.decision = s.decisions;
--- a/crates/model/src/specs/mod.rs
+++ b/crates/model/src/specs/mod.rs
@@ -1,12 +1,12 @@
-//! The specifications, each small enough to be searched whole.
+//! The specifications, each small enough for an exhaustive search.
 //!
-//! What all of them share: messages are in flight until a step delivers them, in any order and as
-//! late as can be; a host that is slow, paused or cut off simply takes no step. So a pause or a
-//! cut needs a fault of its own only where time passes meanwhile.
+//! All of them model asynchrony in the same way: a message is in flight until a step delivers it,
+//! in any order and after any delay, and a host that is slow, paused or partitioned takes no step.
+//! A pause or a partition is therefore a separate fault only where the specification models time.
 
 pub mod catalogue;
 pub mod delivery;
 pub mod lease;
-mod next;
 pub mod rights;
 pub mod stream;
+mod successors;
--- a/crates/model/src/specs/rights/loans.rs
+++ b/crates/model/src/specs/rights/loans.rs
@@ -16,15 +16,15 @@
         }
         let loan = &state.loans[id];
         if loan.grants == 1 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.duplicates,
-                |next| next.with(Step::DoubleGrant(id), |s| s.loans[id].grants += 1),
+                |next| next.add(Step::DoubleGrant(id), |s| s.loans[id].grants += 1),
             );
         }
         if loan.returns == 1 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.duplicates,
-                |next| next.with(Step::DoubleReturn(id), |s| s.loans[id].returns += 1),
+                |next| next.add(Step::DoubleReturn(id), |s| s.loans[id].returns += 1),
             );
         }
     }
@@ -32,7 +32,7 @@
     fn lend(&self, state: &State, id: usize, next: &mut Steps<'_>) {
         let loan = &state.loans[id];
         if loan.request && self.can_lend(state) {
-            next.with(Step::Grant(id), |s| {
+            next.add(Step::Grant(id), |s| {
                 let clock = s.clock(LENDER);
                 let loan = &mut s.loans[id];
                 loan.request = false;
@@ -44,7 +44,7 @@
             });
         }
         if loan.returns > 0 {
-            next.with(Step::Returned(id), |s| {
+            next.add(Step::Returned(id), |s| {
                 let loan = &mut s.loans[id];
                 loan.returns -= 1;
                 let back = loan.back_at.take().is_some();
@@ -54,7 +54,7 @@
             });
         }
         if loan.back_at.is_some_and(|at| state.clock(LENDER) >= at) {
-            next.with(Step::Reclaim(id), |s| {
+            next.add(Step::Reclaim(id), |s| {
                 s.loans[id].back_at = None;
                 s.hosts[LENDER].units += 1;
             });
@@ -78,16 +78,16 @@
         let loan = &state.loans[id];
         let clock = state.clock(BORROWER);
         if loan.asked.is_none() && !loan.request && !loan.taken && loan.grants == 0 {
-            next.with(Step::Ask(id), |s| {
+            next.add(Step::Ask(id), |s| {
                 s.loans[id].asked = Some(clock);
                 s.loans[id].request = true;
             });
         }
         if loan.grants > 0 {
-            next.with(Step::Borrow(id), |s| self.borrowed(s, id));
+            next.add(Step::Borrow(id), |s| self.borrowed(s, id));
         }
         if loan.held > 0 && clock < loan.until {
-            next.with(Step::Return(id), |s| {
+            next.add(Step::Return(id), |s| {
                 s.loans[id].held = 0;
                 s.loans[id].until = 0;
                 s.loans[id].returns += 1;
--- a/crates/model/src/specs/rights/mod.rs
+++ b/crates/model/src/specs/rights/mod.rs
@@ -21,7 +21,7 @@
 mod writes;
 
 pub use self::{state::State, steps::Step};
-use super::next::Next;
+use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
 /// The number of hosts, each in a data centre of its own.
@@ -129,7 +129,7 @@
     }
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
-        let mut next = Next::after(state);
+        let mut next = Successors::of(state);
         self.time(state, &mut next);
         self.limit(state, &mut next);
         self.shares(state, &mut next);
@@ -140,7 +140,7 @@
         for id in 0..self.loans {
             self.loan(state, id, &mut next);
         }
-        next.found()
+        next.into_steps()
     }
 
     fn is_fault(&self, step: &Step) -> bool {
--- a/crates/model/src/specs/rights/scenarios.rs
+++ b/crates/model/src/specs/rights/scenarios.rs
@@ -1,7 +1,7 @@
 //! The configurations that are searched.
 
 use super::{Config, Mutation};
-use crate::report::{Case, Family, Size};
+use crate::report::{Case, SearchSuite, Size};
 
 /// No faults, loans or writes.
 const NONE: Config = Config {
@@ -71,12 +71,12 @@
     ..NONE
 };
 
-impl Family for Config {
+impl SearchSuite for Config {
     const NAME: &'static str = "rights";
 
     type Mutation = Mutation;
 
-    fn with(self, mutation: Mutation) -> Self {
+    fn with_mutation(self, mutation: Mutation) -> Self {
         let mutation = Some(mutation);
         Self { mutation, ..self }
     }
--- a/crates/model/src/specs/rights/steps.rs
+++ b/crates/model/src/specs/rights/steps.rs
@@ -4,7 +4,7 @@
     Config, HOSTS, Mutation,
     state::{BORROWER, Kind, LENDER, State},
 };
-use crate::specs::next::Next;
+use crate::specs::successors::Successors;
 
 /// What may happen; the number is that of the host, or of the loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,14 +64,14 @@
 }
 
 /// Steps that are collected.
-pub(super) type Steps<'a> = Next<'a, Step, State>;
+pub(super) type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
     pub(super) fn time(&self, state: &State, next: &mut Steps<'_>) {
         if state.now == self.end {
             return;
         }
-        next.with(Step::Tick, |s| {
+        next.add(Step::Tick, |s| {
             s.now += 1;
             let stopped = |paused: bool| paused && self.has(Mutation::ClockStopsInPause);
             let hosts = s.hosts.iter_mut();
@@ -82,7 +82,7 @@
 
     pub(super) fn limit(&self, state: &State, next: &mut Steps<'_>) {
         if state.left.lowerings > 0 {
-            next.with(Step::Lower, |s| {
+            next.add(Step::Lower, |s| {
                 s.left.lowerings -= 1;
                 s.limit -= 1;
                 s.in_force = false;
@@ -93,7 +93,7 @@
         }
         let lapsed = state.total() <= state.limit || self.has(Mutation::ReportAtOnce);
         if !state.in_force && state.limit < super::LIMIT && lapsed {
-            next.with(Step::ReportInForce, |s| s.in_force = true);
+            next.add(Step::ReportInForce, |s| s.in_force = true);
         }
     }
 
@@ -103,7 +103,7 @@
         }
         for g in (0..HOSTS).filter(|g| state.pools[*g] > 0) {
             for h in (0..HOSTS).filter(|h| *h != g) {
-                next.with(Step::MoveShare(g, h), |s| {
+                next.add(Step::MoveShare(g, h), |s| {
                     s.left.share_moves -= 1;
                     s.pools[g] -= u8::from(!self.has(Mutation::MoveInTwoWrites));
                     s.pools[h] += 1;
@@ -115,26 +115,26 @@
     pub(super) fn host_faults(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         let host = &state.hosts[h];
         if !host.up {
-            next.with(Step::Restart(h), |s| self.restart(s, h));
+            next.add(Step::Restart(h), |s| self.restart(s, h));
             return;
         }
         if host.paused {
-            next.with(Step::Resume(h), |s| s.hosts[h].paused = false);
+            next.add(Step::Resume(h), |s| s.hosts[h].paused = false);
         } else {
             self.unchecked(state, h, next);
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.pauses,
-                |next| next.with(Step::Pause(h), |s| self.pause(s, h)),
+                |next| next.add(Step::Pause(h), |s| self.pause(s, h)),
             );
         }
-        next.faults(
+        next.add_faults(
             |s| &mut s.left.crashes,
-            |next| next.with(Step::Crash(h), |s| crash(s, h)),
+            |next| next.add(Step::Crash(h), |s| crash(s, h)),
         );
         if host.lag == 0 && state.now > 0 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.slow_clocks,
-                |next| next.with(Step::SlowClock(h), |s| s.hosts[h].lag = 1),
+                |next| next.add(Step::SlowClock(h), |s| s.hosts[h].lag = 1),
             );
         }
     }
@@ -149,9 +149,9 @@
     /// Acting on a check that is not the last step before.
     fn unchecked(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         if state.hosts[h].unchecked > 0 {
-            next.with(Step::Recheck(h), |s| s.hosts[h].unchecked = 0);
+            next.add(Step::Recheck(h), |s| s.hosts[h].unchecked = 0);
         } else if self.has(Mutation::WorkOutlivesTerm) && state.within_term(h) > 0 {
-            next.with(Step::Begin(h), |s| s.hosts[h].unchecked = s.within_term(h));
+            next.add(Step::Begin(h), |s| s.hosts[h].unchecked = s.within_term(h));
         }
     }
 
--- a/crates/model/src/specs/rights/writes.rs
+++ b/crates/model/src/specs/rights/writes.rs
@@ -12,11 +12,11 @@
             self.under_way(state, h, write, next);
         } else if state.acts(h) && state.left.writes > 0 {
             for kind in self.kinds(state, h) {
-                next.with(Step::Send(h, kind), |s| self.send(s, h, kind));
+                next.add(Step::Send(h, kind), |s| self.send(s, h, kind));
             }
         }
         if let Some(late) = state.hosts[h].late {
-            next.with(Step::TransactLate(h), |s| {
+            next.add(Step::TransactLate(h), |s| {
                 s.hosts[h].late = None;
                 if self.applies(s, h, late) {
                     self.apply(s, h, late);
@@ -27,16 +27,16 @@
 
     fn under_way(&self, state: &State, h: usize, write: Write, next: &mut Steps<'_>) {
         if write.place == Place::ToTable {
-            next.with(Step::Transact(h), |s| self.transact(s, h, write));
+            next.add(Step::Transact(h), |s| self.transact(s, h, write));
         }
         if !state.acts(h) {
             return;
         }
         match write.place {
-            Place::ToTable if state.hosts[h].late.is_none() => next.faults(
+            Place::ToTable if state.hosts[h].late.is_none() => next.add_faults(
                 |s| &mut s.left.lost_answers,
                 |next| {
-                    next.with(Step::SlowWrite(h), |s| {
+                    next.add(Step::SlowWrite(h), |s| {
                         s.hosts[h].write = Some(write.at(Place::InDoubt));
                         s.hosts[h].late = Some(write);
                     });
@@ -44,17 +44,17 @@
             ),
             Place::ToTable => {}
             Place::Done | Place::NotDone => {
-                next.with(Step::Answer(h), |s| self.answer(s, h, write));
-                next.faults(
+                next.add(Step::Answer(h), |s| self.answer(s, h, write));
+                next.add_faults(
                     |s| &mut s.left.lost_answers,
                     |next| {
-                        next.with(Step::LoseAnswer(h), |s| {
+                        next.add(Step::LoseAnswer(h), |s| {
                             s.hosts[h].write = Some(write.at(Place::InDoubt));
                         });
                     },
                 );
             }
-            Place::InDoubt => next.with(Step::ReadOwn(h), |s| self.read_own(s, h)),
+            Place::InDoubt => next.add(Step::ReadOwn(h), |s| self.read_own(s, h)),
         }
     }
 
--- a/crates/model/src/specs/stream/mod.rs
+++ b/crates/model/src/specs/stream/mod.rs
@@ -18,7 +18,7 @@
     state::{Message, State},
     steps::Step,
 };
-use super::next::Next;
+use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
 /// A rule left out of the protocol.
@@ -76,13 +76,13 @@
     }
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
-        let mut next = Next::after(state);
+        let mut next = Successors::of(state);
         self.sends(state, &mut next);
         self.messages(state, &mut next);
         for stage in 0..STAGES {
             self.stage(state, stage, &mut next);
         }
-        next.found()
+        next.into_steps()
     }
 
     fn is_fault(&self, step: &Step) -> bool {
--- a/crates/model/src/specs/stream/scenarios.rs
+++ b/crates/model/src/specs/stream/scenarios.rs
@@ -1,7 +1,7 @@
 //! The configurations that are searched.
 
 use super::{Config, Mutation};
-use crate::report::{Case, Family, Size};
+use crate::report::{Case, SearchSuite, Size};
 
 /// Stages that die or seem to, with messages lost, doubled and late.
 const FAULTS: Config = Config {
@@ -22,12 +22,12 @@
     ..FAULTS
 };
 
-impl Family for Config {
+impl SearchSuite for Config {
     const NAME: &'static str = "stream";
 
     type Mutation = Mutation;
 
-    fn with(self, mutation: Mutation) -> Self {
+    fn with_mutation(self, mutation: Mutation) -> Self {
         let mutation = Some(mutation);
         Self { mutation, ..self }
     }
--- a/crates/model/src/specs/stream/steps.rs
+++ b/crates/model/src/specs/stream/steps.rs
@@ -4,7 +4,7 @@
     Config, Mutation,
     state::{Endpoint, Kind, Message, STAGES, State},
 };
-use crate::specs::next::Next;
+use crate::specs::successors::Successors;
 
 /// What may happen; the number is that of the stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     Export(usize),
 }
 
-type Steps<'a> = Next<'a, Step, State>;
+type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
     pub(super) fn sends(&self, state: &State, next: &mut Steps<'_>) {
@@ -51,11 +51,11 @@
         let alive = state.stages[state.at].current.alive;
         let asked = state.waiting && self.has(Mutation::AskOnce);
         if !state.waiting || !under_way && alive && !asked {
-            next.with(Step::Send, send);
+            next.add(Step::Send, send);
         } else if under_way {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.repeats,
-                |next| next.with(Step::SendAgain, send),
+                |next| next.add(Step::SendAgain, send),
             );
         }
     }
@@ -64,21 +64,21 @@
         for (i, message) in state.messages.iter().enumerate() {
             let Some(message) = *message else { continue };
             match message.kind {
-                Kind::Step(right) => next.with(Step::Run(message), |s| {
+                Kind::Step(right) => next.add(Step::Run(message), |s| {
                     s.take(i);
                     self.run(s, message, right);
                 }),
-                Kind::Result(right) => next.with(Step::Result(message), |s| {
+                Kind::Result(right) => next.add(Step::Result(message), |s| {
                     s.take(i);
                     self.result(s, message, right);
                 }),
             }
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.losses,
                 |next| {
-                    next.with(Step::Lose(message), |s| s.take(i));
+                    next.add(Step::Lose(message), |s| s.take(i));
                     if state.has_room() {
-                        next.with(Step::Double(message), |s| s.put(message));
+                        next.add(Step::Double(message), |s| s.put(message));
                     }
                 },
             );
@@ -125,32 +125,32 @@
             return;
         }
         if !now.current.alive {
-            next.with(Step::Replace(stage), |s| self.replace(s, stage, 0));
+            next.add(Step::Replace(stage), |s| self.replace(s, stage, 0));
             if imports {
                 let import = |s: &mut State| self.replace(s, stage, now.checkpoint);
-                next.with(Step::ReplaceImport(stage), import);
+                next.add(Step::ReplaceImport(stage), import);
             }
             return;
         }
-        next.faults(
+        next.add_faults(
             |s| &mut s.left.deaths,
-            |next| next.with(Step::Die(stage), |s| s.stages[stage].current.alive = false),
+            |next| next.add(Step::Die(stage), |s| s.stages[stage].current.alive = false),
         );
-        next.faults(
+        next.add_faults(
             |s| &mut s.left.suspicions,
             |next| {
-                next.with(Step::Suspect(stage), |s| self.replace(s, stage, 0));
+                next.add(Step::Suspect(stage), |s| self.replace(s, stage, 0));
                 if imports {
                     let import = |s: &mut State| self.replace(s, stage, now.checkpoint);
-                    next.with(Step::SuspectImport(stage), import);
+                    next.add(Step::SuspectImport(stage), import);
                 }
             },
         );
         if now.fed > now.checkpoint {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.exports,
                 |next| {
-                    next.with(Step::Export(stage), |s| {
+                    next.add(Step::Export(stage), |s| {
                         s.stages[stage].checkpoint = now.fed
                     });
                 },
--- a/crates/model/tests/checker.rs
+++ b/crates/model/tests/checker.rs
@@ -1,8 +1,9 @@
-//! The search itself, on specifications whose spaces are known.
+//! Checks the search on a specification whose state space is known: a search that misses states,
+//! counts them twice or returns a longer path would give wrong verdicts on the protocol.
 
 use dragonflyrill_model::checker::{self, Bound, Property, Spec, Verdict};
 
-/// A counter that is raised by one or by two, up to a bound; faults lower it by one.
+/// A counter that each step increments by one or two, up to `max`; faults decrement it by one.
 struct Counter {
     max: u8,
     forbidden: u8,
@@ -28,7 +29,7 @@
 }
 
 impl Spec for Counter {
-    /// The counter, and the falls that are left.
+    /// The count, and the number of faults that may still occur.
     type State = (u8, u8);
     type Step = Step;
 
@@ -77,14 +78,14 @@
 }
 
 #[test]
-fn a_search_counts_each_state_once_at_its_least_depth() {
+fn a_search_counts_each_state_once_at_its_minimum_depth() {
     let outcome = checker::check(&HARMLESS);
     assert_eq!(outcome.verdict, Verdict::Holds);
     assert_eq!((outcome.counts.states, outcome.counts.depth), (11, 5));
 }
 
 #[test]
-fn a_broken_invariant_is_shown_by_a_shortest_way_to_it() {
+fn a_violated_invariant_has_a_shortest_counterexample() {
     let forbidden = 5;
     let spec = Counter {
         forbidden,
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn an_initial_state_that_breaks_an_invariant_is_found() {
+fn a_violation_in_the_initial_state_is_found() {
     let spec = Counter {
         forbidden: 0,
         ..HARMLESS
@@ -115,27 +116,29 @@
 }
 
 #[test]
-fn a_goal_is_missed_where_nothing_but_faults_can_happen() {
+fn a_goal_is_checked_where_only_faults_are_enabled() {
     let spec = Counter {
         goal: 9,
         falls: 1,
         ..HARMLESS
     };
     let outcome = checker::check(&spec);
-    let found = outcome.counterexample().expect("10 is the end");
+    let found = outcome
+        .counterexample()
+        .expect("every run without faults ends at 10");
     assert_eq!(found.property, "the count ends at the goal");
     assert_eq!(found.steps.len(), 5);
 }
 
 #[test]
-fn a_search_that_reaches_its_bound_does_not_count_as_passed() {
-    let outcome = checker::check_up_to(&HARMLESS, 4);
-    assert_eq!(outcome.verdict, Verdict::GivenUp);
+fn a_search_that_reaches_its_state_limit_does_not_pass() {
+    let outcome = checker::check_with_limit(&HARMLESS, 4);
+    assert_eq!(outcome.verdict, Verdict::StateLimitReached);
     assert_eq!(outcome.counts.states, 4);
 }
 
 #[test]
-fn a_run_that_comes_back_to_a_state_is_seen() {
+fn a_run_that_revisits_a_state_is_detected() {
     assert!(checker::every_run_ends(&HARMLESS));
     let spec = Counter {
         wraps: true,
--- a/crates/model/tests/specs.rs
+++ b/crates/model/tests/specs.rs
@@ -1,73 +1,77 @@
-//! Each specification holds within its small bounds, and each mutation of it is caught.
+//! Each specification holds within its small bounds, and the search finds a counterexample for each
+//! of its mutations. A mutation without one means that the specification doesn't need the rule that
+//! the mutation removes, or that its properties are too weak to detect the fault.
 
 use std::collections::HashSet;
 
 use dragonflyrill_model::{
     checker,
-    report::{self, Family, Line, Size},
+    report::{self, CaseResult, SearchSuite, Size},
     specs::{catalogue, delivery, lease, stream},
 };
 
-fn lines(name: &str) -> Vec<Line> {
-    let mut lines = Vec::new();
-    report::run(name, Size::Small, &mut |line| lines.push(line));
-    lines
+fn search_all(name: &str) -> Vec<CaseResult> {
+    let mut results = Vec::new();
+    report::run(name, Size::Small, &mut |result| results.push(result));
+    results
 }
 
-/// Every case holds, and `mutants` different mutations are caught.
+/// Asserts that every case without a mutation holds and that a counterexample is found for
+/// `mutants` distinct mutations.
 fn assert_as_expected(name: &str, mutants: usize) {
-    let lines = lines(name);
+    let results = search_all(name);
     let mut caught = HashSet::new();
-    for line in &lines {
-        let found = line.outcome.counterexample();
+    for result in &results {
+        let found = result.outcome.counterexample();
         let trace = found.map(ToString::to_string).unwrap_or_default();
-        assert!(line.is_as_expected(), "{name}, {}: {trace}", line.name);
-        if line.is_mutant {
-            println!("{name}, {}: {trace}", line.name);
-            caught.insert(line.name.clone());
+        assert!(result.is_as_expected(), "{name}, {}: {trace}", result.name);
+        if result.is_mutant {
+            println!("{name}, {}: {trace}", result.name);
+            caught.insert(result.name.clone());
         }
     }
     assert_eq!(caught.len(), mutants);
-    assert!(lines.len() > mutants, "no case without a mutation");
+    assert!(results.len() > mutants, "no case without a mutation");
 }
 
-/// Goals are looked at where a run ends, so each run has to end.
-fn assert_runs_end<S: Family>() {
+/// Asserts that every run terminates: goals are checked only in states where only faults are
+/// enabled, so a run that does not terminate could avoid them.
+fn assert_runs_terminate<S: SearchSuite>() {
     for case in S::cases(Size::Small) {
         assert!(checker::every_run_ends(&case.spec), "{}", case.name);
     }
 }
 
 #[test]
-fn calls_that_may_not_be_repeated_run_at_most_once_and_are_refused_truthfully() {
+fn non_repeatable_calls_run_at_most_once_and_their_refusals_are_true() {
     assert_as_expected("delivery", 9);
-    assert_runs_end::<delivery::Config>();
+    assert_runs_terminate::<delivery::Config>();
 }
 
 #[test]
 fn each_layer_runs_once_for_each_token_and_no_token_is_released_twice() {
     assert_as_expected("stream", 8);
-    assert_runs_end::<stream::Config>();
+    assert_runs_terminate::<stream::Config>();
 }
 
 #[test]
-fn rights_in_use_stay_within_the_limit() {
+fn units_in_use_stay_within_the_limit() {
     assert_as_expected("rights", 18);
 }
 
 #[test]
-fn the_catalogue_goes_only_forward_and_keeps_what_was_accepted() {
+fn the_catalogue_revision_never_decreases_and_accepted_changes_persist() {
     assert_as_expected("catalogue", 11);
-    assert_runs_end::<catalogue::Config>();
+    assert_runs_terminate::<catalogue::Config>();
 }
 
 #[test]
-fn an_endpoint_ends_as_declared_whether_it_checks_fencing_numbers_or_not() {
+fn an_endpoint_converges_to_its_declaration_with_and_without_fencing_checks() {
     assert_as_expected("lease", 7);
-    assert_runs_end::<lease::Config>();
+    assert_runs_terminate::<lease::Config>();
 }
 
 #[test]
 fn an_unknown_specification_is_not_searched() {
-    assert!(lines("deliveries").is_empty());
+    assert!(search_all("deliveries").is_empty());
 }
