--- a/crates/model/src/specs/lease/mod.rs
+++ b/crates/model/src/specs/lease/mod.rs
@@ -1,58 +1,59 @@
-//! Orders to an endpoint under a fencing number from the table.
+//! Orders to an endpoint, fenced by numbers drawn from the table.
 //!
-//! The table's row has the newest number, the host that drew it and the order it stands for. A
-//! host draws a number by a write on condition of the one before. Whether its lease has lapsed
-//! does not matter here: any host may draw at any time, and one that was overtaken may still send
-//! its order, once it wakes. Safety rests on the numbers alone.
+//! The table's row holds the newest fencing number, the host that drew it and the order issued
+//! under it. A host draws the next number by a write that is conditional on the previous number.
+//! The model ignores whether a lease has expired: any host may draw at any time, and a host whose
+//! number was superseded may still send its order after a delay. Safety depends on the fencing
+//! numbers alone.
 //!
-//! Left out: the terms of leases, which only keep hosts from drawing needlessly; several
-//! endpoints; the time that an endpoint takes to follow an order.
+//! Not modelled: lease terms, which only prevent unnecessary draws; several endpoints; the time
+//! that an endpoint needs to apply an order.
 
 mod scenarios;
 mod steps;
 
-use self::steps::{MAX_ORDERS, VALUES};
+use self::steps::{MAX_DECLARATIONS, MAX_ORDERS};
 pub use self::steps::{Order, State, Step};
 use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
-/// A rule left out of the protocol.
+/// A mutation of the protocol: each removes one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// The endpoint that is said to check numbers does not.
+    /// An endpoint configured to check fencing numbers does not check them.
     NoCheck,
-    /// A host gives another order under the number it has.
+    /// A host issues a different order under the number that it already holds.
     SameNumber,
-    /// The table does not check that the number before is still the newest.
+    /// The table does not check that the previous number is still the newest.
     DrawUnconditionally,
-    /// A host whose draw was not answered takes it for done.
+    /// A host treats a draw with a lost answer as successful.
     AssumeDrawn,
-    /// A host does not look again whether the endpoint is as ordered.
+    /// A host does not verify that the endpoint has the ordered value.
     NoReadBack,
-    /// A host does not look again whether what is declared has changed.
+    /// A host does not draw a new number when the declared value changes.
     NoNewDraw,
-    /// Nobody draws a number while the holder is gone.
+    /// No host draws a number while the holder's order is lost.
     NoSuccessor,
 }
 
-/// The bounds, and the mutation if there is one.
+/// The bounds of the specification and its optional mutation.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Whether the endpoint refuses old numbers.
+    /// Whether the endpoint refuses orders with an older number.
     pub checks: bool,
-    /// Declarations; at most 2.
+    /// Declarations by operators; at most 2.
     pub declarations: u8,
-    /// Needless draws while another host has the lease.
+    /// Unnecessary draws while another host holds the lease.
     pub overtakes: u8,
-    /// Orders that are sent, or sent again, by a host that was overtaken.
+    /// Orders sent or resent by a host whose number was superseded.
     pub stale_orders: u8,
-    /// Orders that are lost, or come twice, and answers of the table that are lost.
+    /// Lost or duplicated orders, and lost answers from the table.
     pub losses: u8,
-    /// Hosts that crash; each may restart.
+    /// Host crashes; a crashed host may restart.
     pub crashes: u8,
-    /// Restarts of the endpoint, which forgets all.
+    /// Restarts of the endpoint, each of which erases its state.
     pub endpoint_restarts: u8,
-    /// The rule left out.
+    /// The mutation, if any.
     pub mutation: Option<Mutation>,
 }
 
@@ -72,10 +73,10 @@
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
         let mut next = Successors::of(state);
-        self.world(state, &mut next);
-        self.orders(state, &mut next);
+        self.environment_steps(state, &mut next);
+        self.order_steps(state, &mut next);
         for h in 0..state.hosts.len() {
-            self.host(state, h, &mut next);
+            self.host_steps(state, h, &mut next);
         }
         next.into_steps()
     }
@@ -111,7 +112,7 @@
         vec![
             Bound::new("endpoint checks", self.checks),
             Bound::new("hosts", State::HOSTS as u64),
-            Bound::new("declarations", self.declarations.min(VALUES)),
+            Bound::new("declarations", self.declarations.min(MAX_DECLARATIONS)),
             Bound::new("orders under way", MAX_ORDERS as u64),
             Bound::new("overtakes", self.overtakes),
             Bound::new("stale orders", self.stale_orders),
--- a/crates/model/src/specs/lease/scenarios.rs
+++ b/crates/model/src/specs/lease/scenarios.rs
@@ -1,4 +1,4 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
 use crate::report::{Case, SearchSuite, Size};
@@ -14,18 +14,18 @@
     }
 
     fn cases(size: Size) -> Vec<Case<Self>> {
-        let each = |name: &str, config: fn(bool) -> Self| {
+        let both = |name: &str, config: fn(bool) -> Self| {
             [true, false].map(|checks| {
                 let endpoint = if checks { "checks" } else { "ignores" };
                 Case::new(format!("{name}, endpoint {endpoint}"), config(checks))
             })
         };
         match size {
-            Size::Small => each("hosts overtaken", Self::overtaken)
+            Size::Small => both("hosts overtaken", Self::overtaken)
                 .into_iter()
-                .chain(each("restarts", Self::restarts))
+                .chain(both("restarts", Self::restarts))
                 .collect(),
-            Size::Large => each("all faults", Self::all).into(),
+            Size::Large => both("all faults", Self::all_faults).into(),
         }
     }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    fn all(checks: bool) -> Self {
+    fn all_faults(checks: bool) -> Self {
         Self {
             stale_orders: 2,
             losses: 2,
--- a/crates/model/src/specs/lease/steps.rs
+++ b/crates/model/src/specs/lease/steps.rs
@@ -1,61 +1,62 @@
-//! The table, the hosts, the orders under way, the endpoint, and what may happen to them.
+//! The state of the table, the hosts, the orders in flight and the endpoint, and the steps that
+//! change it.
 
 use std::fmt;
 
 use super::{Config, Mutation};
 use crate::specs::successors::Successors;
 
-/// The most orders under way.
+/// The maximum number of orders in flight.
 pub(super) const MAX_ORDERS: usize = 3;
 
-/// The most declarations.
-pub(super) const VALUES: u8 = 2;
+/// The maximum number of declarations.
+pub(super) const MAX_DECLARATIONS: u8 = 2;
 
-/// What may happen; the number is that of the host.
+/// A step; a `usize` is the index of the host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Operators declare what the endpoint is to be.
+    /// Operators declare a new value for the endpoint.
     Declare,
-    /// A host learns what is declared.
+    /// A host receives the declared value.
     Learn(usize),
-    /// A host sends a draw of the next number to the table.
+    /// A host sends the table a draw of the next number.
     Draw(usize),
-    /// The table takes or refuses it.
+    /// The table applies or refuses the draw.
     TakeDraw(usize),
-    /// The answer comes.
+    /// The answer to the draw arrives.
     Drawn(usize),
-    /// A host in doubt reads the row.
+    /// A host that lost the answer to its draw reads the row.
     ReadRow(usize),
-    /// The holder sends its order, or sends it again.
+    /// The holder of the newest number sends or resends its order.
     Send(usize),
-    /// The holder gives another order under its number.
+    /// The holder issues a different order under the same number.
     Redecide(usize),
-    /// An order reaches the endpoint.
+    /// An order arrives at the endpoint.
     Obey(Order),
-    /// A crashed host is back.
+    /// A crashed host restarts.
     Restart(usize),
-    /// Fault: a host draws while another holds the lease.
+    /// Fault: a host draws while another host holds the lease.
     Overtake(usize),
-    /// Fault: a host that was overtaken sends its order.
+    /// Fault: a host whose number was superseded sends its order.
     SendStale(usize),
     /// Fault: the answer to a draw is lost.
     LoseAnswer(usize),
     /// Fault: an order is lost.
     LoseOrder(Order),
-    /// Fault: an order comes twice.
+    /// Fault: an order is duplicated.
     DoubleOrder(Order),
     /// Fault: a host crashes.
     Crash(usize),
-    /// Fault: the endpoint restarts with nothing.
+    /// Fault: the endpoint restarts and loses its state.
     RestartEndpoint,
 }
 
-/// What an endpoint is to be, under a fencing number.
+/// An order to the endpoint to adopt a value, under a fencing number.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Order {
     pub(super) fence: u8,
     pub(super) value: u8,
-    /// The place of the decision among all decisions; not sent.
+    /// The sequence number of the decision; part of the model only, not sent to the endpoint.
     decision: u8,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// The lease in the table.
+/// The row of the lease in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Row {
     holder: usize,
@@ -75,9 +76,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) struct Host {
     up: bool,
-    /// What it knows to be declared.
+    /// The declared value as the host last received it.
     known: u8,
-    /// The order it may give.
+    /// The order that the host may send.
     order: Option<Order>,
     draw: Option<Draw>,
     sent: bool,
@@ -85,7 +86,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Draw {
-    /// The number that has to be the newest.
+    /// The fencing number that must be the newest for the draw to succeed.
     after: u8,
     value: u8,
     place: Place,
@@ -103,19 +104,19 @@
 pub(super) struct Endpoint {
     pub(super) value: u8,
     fence: u8,
-    /// The newest decision that took effect.
+    /// The sequence number of the newest decision that took effect.
     decision: u8,
     pub(super) went_back: bool,
 }
 
-/// A state.
+/// A state of the lease specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) declared: u8,
     row: Row,
     decisions: u8,
     pub(super) hosts: [Host; State::HOSTS],
-    /// The orders under way, sorted.
+    /// The orders in flight, sorted so that states which differ only in their order are equal.
     orders: [Option<Order>; MAX_ORDERS],
     pub(super) endpoint: Endpoint,
     declarations: u8,
@@ -129,7 +130,7 @@
 type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
-    pub(super) fn world(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn environment_steps(&self, state: &State, next: &mut Steps<'_>) {
         if state.declarations > 0 {
             next.add(Step::Declare, |s| {
                 s.declarations -= 1;
@@ -144,26 +145,26 @@
         }
     }
 
-    pub(super) fn orders(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn order_steps(&self, state: &State, next: &mut Steps<'_>) {
         for (i, order) in state.orders.iter().enumerate() {
             let Some(order) = *order else { continue };
             next.add(Step::Obey(order), |s| {
-                s.take_order(i);
-                self.obey(&mut s.endpoint, order);
+                s.remove_order(i);
+                self.apply_order(&mut s.endpoint, order);
             });
             next.add_faults(
                 |s| &mut s.losses,
                 |next| {
-                    next.add(Step::LoseOrder(order), |s| s.take_order(i));
-                    if state.has_room() {
-                        next.add(Step::DoubleOrder(order), |s| s.put_order(order));
+                    next.add(Step::LoseOrder(order), |s| s.remove_order(i));
+                    if state.has_free_slot() {
+                        next.add(Step::DoubleOrder(order), |s| s.insert_order(order));
                     }
                 },
             );
         }
     }
 
-    fn obey(&self, endpoint: &mut Endpoint, order: Order) {
+    fn apply_order(&self, endpoint: &mut Endpoint, order: Order) {
         if self.checks && order.fence < endpoint.fence && !self.has(Mutation::NoCheck) {
             return;
         }
@@ -173,7 +174,7 @@
         endpoint.value = order.value;
     }
 
-    pub(super) fn host(&self, state: &State, h: usize, next: &mut Steps<'_>) {
+    pub(super) fn host_steps(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         let host = &state.hosts[h];
         if !host.up {
             next.add(Step::Restart(h), |s| s.hosts[h].up = true);
@@ -187,15 +188,15 @@
             next.add(Step::Learn(h), |s| s.hosts[h].known = s.declared);
         }
         match host.draw {
-            Some(draw) => self.drawing(h, draw, next),
-            None => self.draws(state, h, next),
+            Some(draw) => self.pending_draw_steps(h, draw, next),
+            None => self.new_draw_steps(state, h, next),
         }
         if let Some(order) = host.order {
-            self.sends(state, h, order, next);
+            self.send_steps(state, h, order, next);
         }
     }
 
-    fn draws(&self, state: &State, h: usize, next: &mut Steps<'_>) {
+    fn new_draw_steps(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         let host = &state.hosts[h];
         let wanted = state.row.order.value != host.known;
         let own = state.row.holder == h;
@@ -203,32 +204,32 @@
         let gone = state.holder_is_gone() && !self.has(Mutation::NoSuccessor);
         let mine = own && host.order.is_some();
         if wanted && mine || gone && host.known > 0 {
-            next.add(Step::Draw(h), |s| s.draw(h));
+            next.add(Step::Draw(h), |s| s.start_draw(h));
         } else if host.known > 0 && !own {
             next.add_faults(
                 |s| &mut s.overtakes,
-                |next| next.add(Step::Overtake(h), |s| s.draw(h)),
+                |next| next.add(Step::Overtake(h), |s| s.start_draw(h)),
             );
         }
     }
 
-    fn drawing(&self, h: usize, draw: Draw, next: &mut Steps<'_>) {
+    fn pending_draw_steps(&self, h: usize, draw: Draw, next: &mut Steps<'_>) {
         match draw.place {
             Place::ToTable => next.add(Step::TakeDraw(h), |s| {
-                let place = self.take_draw(s, h, draw);
+                let place = self.apply_draw(s, h, draw);
                 s.hosts[h].draw = Some(Draw { place, ..draw });
             }),
             Place::InDoubt => next.add(Step::ReadRow(h), |s| {
                 s.hosts[h].draw = None;
                 if s.row.holder == h {
-                    s.hosts[h].hold(s.row.order);
+                    s.hosts[h].set_order(s.row.order);
                 }
             }),
             Place::Done(_) | Place::NotDone => {
                 next.add(Step::Drawn(h), |s| {
                     s.hosts[h].draw = None;
                     if let Place::Done(order) = draw.place {
-                        s.hosts[h].hold(order);
+                        s.hosts[h].set_order(order);
                     }
                 });
                 next.add_faults(
@@ -239,7 +240,7 @@
         }
     }
 
-    fn take_draw(&self, state: &mut State, h: usize, draw: Draw) -> Place {
+    fn apply_draw(&self, state: &mut State, h: usize, draw: Draw) -> Place {
         let newest = state.row.order.fence == draw.after;
         if !newest && !self.has(Mutation::DrawUnconditionally) {
             return Place::NotDone;
@@ -260,7 +261,7 @@
         if self.has(Mutation::AssumeDrawn) {
             state.hosts[h].draw = None;
             state.decisions += u8::from(draw.place == Place::NotDone);
-            state.hosts[h].hold(Order {
+            state.hosts[h].set_order(Order {
                 fence: draw.after + 1,
                 value: draw.value,
                 decision: state.decisions,
@@ -268,14 +269,14 @@
         }
     }
 
-    fn sends(&self, state: &State, h: usize, order: Order, next: &mut Steps<'_>) {
+    fn send_steps(&self, state: &State, h: usize, order: Order, next: &mut Steps<'_>) {
         let host = &state.hosts[h];
-        if !state.has_room() {
+        if !state.has_free_slot() {
             return;
         }
         let send = |s: &mut State| {
             s.hosts[h].sent = true;
-            s.put_order(order);
+            s.insert_order(order);
         };
         let again = !host.sent || !self.has(Mutation::NoReadBack);
         let differs = state.endpoint.value != order.value;
@@ -293,14 +294,14 @@
                 s.row.order.value = host.known;
                 s.row.order.decision = s.decisions;
                 let order = s.row.order;
-                s.hosts[h].hold(order);
+                s.hosts[h].set_order(order);
             });
         }
     }
 }
 
 impl Host {
-    fn hold(&mut self, order: Order) {
+    fn set_order(&mut self, order: Order) {
         self.order = Some(order);
         self.sent = false;
     }
@@ -326,7 +327,7 @@
             hosts: [up; Self::HOSTS],
             orders: [None; MAX_ORDERS],
             endpoint: Endpoint::default(),
-            declarations: cfg.declarations.min(VALUES),
+            declarations: cfg.declarations.min(MAX_DECLARATIONS),
             overtakes: cfg.overtakes,
             stale_orders: cfg.stale_orders,
             losses: cfg.losses,
@@ -335,13 +336,14 @@
         }
     }
 
-    /// Whether the host that drew the newest number does not know of it, and won't.
+    /// Whether the host that drew the newest number neither holds its order nor has a draw pending,
+    /// so that it will not receive the order.
     fn holder_is_gone(&self) -> bool {
         let host = &self.hosts[self.row.holder];
         host.order != Some(self.row.order) && host.draw.is_none()
     }
 
-    fn draw(&mut self, h: usize) {
+    fn start_draw(&mut self, h: usize) {
         self.hosts[h].draw = Some(Draw {
             after: self.row.order.fence,
             value: self.hosts[h].known,
@@ -349,19 +351,19 @@
         });
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.orders.contains(&None)
     }
 
-    fn put_order(&mut self, order: Order) {
-        let room = self.orders.iter_mut().find(|place| place.is_none());
-        if let Some(room) = room {
-            *room = Some(order);
+    fn insert_order(&mut self, order: Order) {
+        let free = self.orders.iter_mut().find(|place| place.is_none());
+        if let Some(free) = free {
+            *free = Some(order);
         }
         self.orders.sort_unstable();
     }
 
-    fn take_order(&mut self, i: usize) {
+    fn remove_order(&mut self, i: usize) {
         self.orders[i] = None;
         self.orders.sort_unstable();
     }
