--- a/crates/model/src/specs/delivery/mod.rs
+++ b/crates/model/src/specs/delivery/mod.rs
@@ -1,8 +1,8 @@
-//! A call that may not be repeated: one record in the table, then at most one dispatch.
+//! Delivery of a non-repeatable call: one record in the table, then at most one dispatch.
 //!
-//! Several calls carry the same idempotency key, each to a host of its own. A host inserts the
-//! key's record on condition that it is absent, and dispatches only as the writer of the record.
-//! Left out: the body of the call, and hosts that attach a duplicate to the call they run.
+//! Several calls carry the same idempotency key, each to a different host. A host inserts the
+//! key's record on condition that it is absent, and dispatches only if it wrote the record.
+//! Not modelled: the body of the call, and hosts that attach a duplicate to a running call.
 
 mod scenarios;
 mod state;
@@ -13,48 +13,48 @@
 use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
-/// The most calls a configuration may have.
+/// The maximum number of calls in a configuration.
 pub const MAX_CALLS: usize = 3;
 
-/// A rule left out of the protocol.
+/// A mutation of the protocol: each removes one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// The insert overwrites a record that is there.
+    /// The insert overwrites an existing record.
     UnconditionalInsert,
-    /// All hosts insert under the same write id, so each takes the record for its own.
+    /// All hosts insert under the same write id, so each host identifies the record as its own.
     SharedWriteId,
-    /// A host dispatches while its insert is under way.
+    /// A host dispatches while its insert is in flight.
     DispatchBeforeRecord,
-    /// An insert that is answered after the host gave it up is dispatched all the same.
+    /// A host dispatches when an insert takes effect after the host has refused the call.
     DispatchAfterRefusal,
-    /// A dispatch whose connection broke is sent again.
+    /// A host retries a dispatch whose connection broke.
     DispatchAgain,
-    /// A dispatch whose connection broke is answered NotRun.
+    /// A host answers NotRun after the connection of a dispatch broke.
     NotRunAfterDispatch,
-    /// A host that finds the record of another dispatches in its place.
+    /// A host that finds another host's record dispatches the call.
     TakeOverRecord,
-    /// A result that comes after the deadline is answered a second time.
+    /// A result that arrives after the deadline produces a second answer.
     AnswerLateResult,
-    /// A repeated call that can't reach the table is answered NotRun.
+    /// A host that cannot reach the table answers a repeated call NotRun.
     RefuseRepeatBlindly,
 }
 
-/// The bounds, and the mutation if there is one.
+/// The bounds of the specification and its optional mutation.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Calls with the same key; at most [`MAX_CALLS`].
     pub calls: usize,
-    /// Whether one caller makes them, one after the other; if not, they race.
+    /// Whether one caller makes the calls sequentially; otherwise the calls race.
     pub one_caller: bool,
-    /// Tries of each insert.
-    pub tries: u8,
-    /// Hosts that crash.
+    /// Attempts of each insert.
+    pub attempts: u8,
+    /// Host crashes.
     pub crashes: u8,
-    /// Requests and answers that are lost, or slower than a host waits.
+    /// Requests and answers that are lost or arrive after the host's timeout.
     pub losses: u8,
-    /// Deadlines that pass, and callers that hang up.
+    /// Deadlines that expire, and callers that disconnect.
     pub impatience: u8,
-    /// The rule left out.
+    /// The mutation, if any.
     pub mutation: Option<Mutation>,
 }
 
@@ -75,11 +75,11 @@
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
         let mut next = Successors::of(state);
         for c in 0..self.calls {
-            self.work(state, c, &mut next);
-            next.add_faults(|s| &mut s.losses, |next| self.losses(state, c, next));
+            self.protocol_steps(state, c, &mut next);
+            next.add_faults(|s| &mut s.losses, |next| self.loss_steps(state, c, next));
             next.add_faults(
                 |s| &mut s.impatience,
-                |next| self.impatience(state, c, next),
+                |next| self.caller_fault_steps(state, c, next),
             );
             if state.calls[c].is_open() {
                 let crash = |s: &mut State| s.calls[c].crash();
@@ -135,7 +135,7 @@
         vec![
             Bound::new("calls", self.calls as u64),
             Bound::new("one caller", self.one_caller),
-            Bound::new("tries", self.tries),
+            Bound::new("tries", self.attempts),
             Bound::new("crashes", self.crashes),
             Bound::new("losses", self.losses),
             Bound::new("impatience", self.impatience),
@@ -154,9 +154,9 @@
 }
 
 fn refusals_of_repeats_are_true(cfg: &Config, state: &State) -> bool {
-    let told = |c: &usize| state.calls[*c].is_known_not_run();
-    let mut told = (0..cfg.calls).filter(told);
-    !cfg.one_caller || !told.any(|c| state.calls[..c].iter().any(Call::may_have_run))
+    let not_run = |c: &usize| state.calls[*c].is_known_not_run();
+    let mut not_run = (0..cfg.calls).filter(not_run);
+    !cfg.one_caller || !not_run.any(|c| state.calls[..c].iter().any(Call::may_have_run))
 }
 
 fn answers_once(_: &Config, state: &State) -> bool {
--- a/crates/model/src/specs/delivery/scenarios.rs
+++ b/crates/model/src/specs/delivery/scenarios.rs
@@ -1,4 +1,4 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
 use crate::report::{Case, SearchSuite, Size};
@@ -18,7 +18,7 @@
         let racing = Self::small(false);
         let large = |small: &Self| Self {
             calls: 3,
-            tries: 3,
+            attempts: 3,
             losses: 3,
             crashes: 2,
             impatience: 2,
@@ -63,7 +63,7 @@
         Self {
             calls: 2,
             one_caller,
-            tries: 2,
+            attempts: 2,
             crashes: 1,
             losses: 2,
             impatience: 1,
--- a/crates/model/src/specs/delivery/state.rs
+++ b/crates/model/src/specs/delivery/state.rs
@@ -1,4 +1,4 @@
-//! The table, the hosts, the endpoint and what is under way.
+//! The state of the table, the hosts, the endpoint and the messages in flight.
 
 use super::MAX_CALLS;
 
@@ -6,9 +6,9 @@
 pub(super) enum Phase {
     Absent,
     Received,
-    /// An insert is under way.
+    /// An insert is in flight.
     Inserting,
-    /// The last insert has no answer.
+    /// The answer to the last insert is lost or late.
     InDoubt,
     Recorded,
     Dispatched,
@@ -27,20 +27,21 @@
 pub(super) struct Call {
     pub(super) phase: Phase,
     pub(super) tried: u8,
-    /// Inserts under way on which no one waits.
+    /// Inserts in flight whose answer no host awaits.
     pub(super) late_inserts: u8,
-    /// Dispatches under way.
+    /// Dispatches in flight.
     pub(super) dispatches: u8,
-    /// What the endpoint's ledger says.
+    /// Executions of the call in the endpoint's ledger.
     pub(super) runs: u8,
-    /// Whether a result is on its way to the host.
+    /// Whether a result to the host is in flight.
     pub(super) result: bool,
-    /// Whether the host has a result to store.
+    /// Whether the host has a result that is not stored yet.
     pub(super) unstored: bool,
     pub(super) first_answer: Option<Answer>,
     pub(super) answers: u8,
     pub(super) hung_up: bool,
-    /// Whether the caller does not know that all earlier calls were not run.
+    /// Whether this is a repeated call: its caller made an earlier call that it does not know to be
+    /// not run.
     pub(super) repeat: bool,
 }
 
@@ -50,7 +51,7 @@
     pub(super) answered: bool,
 }
 
-/// A state of the table, the hosts, the endpoint and what is under way.
+/// A state of the delivery specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) record: Option<Record>,
@@ -81,17 +82,17 @@
         self.answers += 1;
     }
 
-    /// Whether the caller waits for nothing any more.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether the caller no longer waits for an answer.
+    pub(super) fn is_finished(&self) -> bool {
         self.hung_up || matches!(self.phase, Phase::Ended | Phase::Crashed)
     }
 
-    /// Whether the caller knows that this call was not run.
+    /// Whether the caller received the answer that this call was not run.
     pub(super) fn is_known_not_run(&self) -> bool {
         !self.hung_up && self.first_answer == Some(Answer::NotRun)
     }
 
-    /// Whether the call ran, or is on its way to the endpoint.
+    /// Whether the call ran, or a dispatch to the endpoint is in flight.
     pub(super) fn may_have_run(&self) -> bool {
         self.runs + self.dispatches > 0
     }
--- a/crates/model/src/specs/delivery/steps.rs
+++ b/crates/model/src/specs/delivery/steps.rs
@@ -1,4 +1,4 @@
-//! What may happen.
+//! The steps of the delivery specification.
 
 use super::{
     Config, Mutation,
@@ -6,40 +6,41 @@
 };
 use crate::specs::successors::Successors;
 
-/// What may happen; the number is that of the call.
+/// A step; the number is the index of the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// The call arrives at its host.
     Arrive(usize),
-    /// The host sends its insert, or sends it again.
+    /// The host sends its insert, or retries it.
     SendInsert(usize),
-    /// The table takes the insert and answers.
+    /// The table processes the insert and answers the host.
     Insert(usize),
-    /// The table takes an insert on which the host waits no longer.
+    /// The table processes an insert whose answer the host no longer awaits.
     InsertLate(usize),
-    /// All tries are spent.
+    /// The host refuses the call after its last insert attempt.
     GiveUp(usize),
-    /// The host sends the call to the endpoint.
+    /// The host dispatches the call to the endpoint.
     Dispatch(usize),
     /// The endpoint runs the call.
     Run(usize),
-    /// The result comes back.
+    /// The result arrives at the host.
     Result(usize),
     /// The host stores the answer in the record.
     Store(usize),
     /// Fault: the insert is lost before it takes effect.
     LoseInsert(usize),
-    /// Fault: the insert takes effect, its answer is lost.
+    /// Fault: the insert takes effect, but its answer is lost.
     LoseInserted(usize),
-    /// Fault: the host stops waiting for the insert, which is still under way.
+    /// Fault: the host times out while the insert is still in flight.
     SlowInsert(usize),
     /// Fault: the connection to the endpoint breaks before the call arrives.
     LoseDispatch(usize),
-    /// Fault: the connection to the endpoint breaks while the call is under way.
+    /// Fault: the connection to the endpoint breaks while the call is in flight; the call may
+    /// still arrive.
     SlowDispatch(usize),
     /// Fault: the connection to the endpoint breaks after the call ran.
     LoseResult(usize),
-    /// Fault: the deadline passes.
+    /// Fault: the deadline of the call expires.
     Deadline(usize),
     /// Fault: the caller's connection is lost.
     HangUp(usize),
@@ -52,7 +53,8 @@
         self.mutation == Some(mutation)
     }
 
-    /// The table takes the insert of `c`; whether the record is that of `c` then.
+    /// The table processes the insert of call `c`. Returns whether the host of `c` identifies the
+    /// record as its own.
     fn insert(&self, state: &mut State, c: usize) -> bool {
         if state.record.is_none() || self.has(Mutation::UnconditionalInsert) {
             state.record = Some(Record {
@@ -64,7 +66,7 @@
         own || self.has(Mutation::SharedWriteId)
     }
 
-    fn inserted(&self, state: &mut State, c: usize) {
+    fn insert_answered(&self, state: &mut State, c: usize) {
         if self.insert(state, c) || self.has(Mutation::TakeOverRecord) {
             state.calls[c].phase = Phase::Recorded;
             return;
@@ -76,7 +78,7 @@
         });
     }
 
-    /// The answer of a host that was not told it wrote the record.
+    /// The answer of a host that does not know whether it wrote the record.
     fn refusal(&self, call: &Call) -> Answer {
         match call.repeat && !self.has(Mutation::RefuseRepeatBlindly) {
             true => Answer::MayHaveRun,
@@ -84,8 +86,8 @@
         }
     }
 
-    /// The connection to the endpoint broke.
-    fn broken(&self, call: &mut Call) {
+    /// Handles a broken connection to the endpoint.
+    fn disconnect(&self, call: &mut Call) {
         if self.has(Mutation::DispatchAgain) {
             call.dispatches += 1;
         } else if self.has(Mutation::NotRunAfterDispatch) {
@@ -97,11 +99,16 @@
 
     fn can_arrive(&self, state: &State, c: usize) -> bool {
         let mut earlier = state.calls[..c].iter();
-        !self.one_caller || earlier.all(Call::is_over)
+        !self.one_caller || earlier.all(Call::is_finished)
     }
 
-    /// Everything but faults that may happen to the call `c`.
-    pub(super) fn work(&self, state: &State, c: usize, next: &mut Successors<'_, Step, State>) {
+    /// Adds the steps of call `c` that are not faults.
+    pub(super) fn protocol_steps(
+        &self,
+        state: &State,
+        c: usize,
+        next: &mut Successors<'_, Step, State>,
+    ) {
         let call = &state.calls[c];
         match call.phase {
             Phase::Absent if self.can_arrive(state, c) => next.add(Step::Arrive(c), |s| {
@@ -110,14 +117,14 @@
                 s.calls[c].phase = Phase::Received;
             }),
             Phase::Received => next.add(Step::SendInsert(c), |s| s.calls[c].send_insert()),
-            Phase::InDoubt if call.tried < self.tries => {
+            Phase::InDoubt if call.tried < self.attempts => {
                 next.add(Step::SendInsert(c), |s| s.calls[c].send_insert());
             }
             Phase::InDoubt => next.add(Step::GiveUp(c), |s| {
                 let refusal = self.refusal(&s.calls[c]);
                 s.calls[c].answer(refusal);
             }),
-            Phase::Inserting => next.add(Step::Insert(c), |s| self.inserted(s, c)),
+            Phase::Inserting => next.add(Step::Insert(c), |s| self.insert_answered(s, c)),
             Phase::Recorded => next.add(Step::Dispatch(c), |s| s.calls[c].dispatch()),
             _ => {}
         }
@@ -145,7 +152,7 @@
             });
         }
         if call.result {
-            next.add(Step::Result(c), |s| self.result(&mut s.calls[c]));
+            next.add(Step::Result(c), |s| self.receive_result(&mut s.calls[c]));
         }
         if call.unstored {
             next.add(Step::Store(c), |s| {
@@ -158,7 +165,7 @@
         }
     }
 
-    fn result(&self, call: &mut Call) {
+    fn receive_result(&self, call: &mut Call) {
         call.result = false;
         call.unstored = call.phase != Phase::Crashed;
         let late = call.phase == Phase::Ended && self.has(Mutation::AnswerLateResult);
@@ -167,7 +174,12 @@
         }
     }
 
-    pub(super) fn losses(&self, state: &State, c: usize, next: &mut Successors<'_, Step, State>) {
+    pub(super) fn loss_steps(
+        &self,
+        state: &State,
+        c: usize,
+        next: &mut Successors<'_, Step, State>,
+    ) {
         let call = &state.calls[c];
         if call.phase == Phase::Inserting {
             next.add(Step::LoseInsert(c), |s| s.calls[c].phase = Phase::InDoubt);
@@ -183,19 +195,19 @@
         if call.phase == Phase::Dispatched && call.dispatches > 0 {
             next.add(Step::LoseDispatch(c), |s| {
                 s.calls[c].dispatches -= 1;
-                self.broken(&mut s.calls[c]);
+                self.disconnect(&mut s.calls[c]);
             });
-            next.add(Step::SlowDispatch(c), |s| self.broken(&mut s.calls[c]));
+            next.add(Step::SlowDispatch(c), |s| self.disconnect(&mut s.calls[c]));
         }
         if call.phase == Phase::Dispatched && call.result {
             next.add(Step::LoseResult(c), |s| {
                 s.calls[c].result = false;
-                self.broken(&mut s.calls[c]);
+                self.disconnect(&mut s.calls[c]);
             });
         }
     }
 
-    pub(super) fn impatience(
+    pub(super) fn caller_fault_steps(
         &self,
         state: &State,
         c: usize,
