--- a/crates/model/src/specs/stream/mod.rs
+++ b/crates/model/src/specs/stream/mod.rs
@@ -1,13 +1,15 @@
-//! A generation driven through a chain of stages, token by token.
+//! Generation of an answer by a chain of stages, token by token.
 //!
-//! The host sends each step to the stage whose turn it is, and releases a token when the receipts
-//! of all stages are in. A step names an attempt, a stage and the positions to run. A stage that
-//! died, or seems to have, is replaced; the new one is fed the kept activations, or starts from an
-//! imported checkpoint. A stage that was replaced needlessly runs on and answers late.
+//! The host sends each step to the current stage, and releases a token once it has received the
+//! results of all stages. A step carries an attempt, a stage and the positions to run. A stage that
+//! failed or is suspected is replaced by another endpoint, which is fed the retained activations or
+//! starts from an imported checkpoint. An endpoint that was replaced although it is alive continues
+//! to run and answers late.
 //!
-//! A result is either that of a run without faults or wrong: it is right if its stage ran each
-//! position up to it exactly once, on right inputs. Left out: the values themselves, deadlines,
-//! cancelling, and a host's own death (its caller begins anew with what it has received).
+//! The model reduces the values of a result to right or wrong: a result is right if its endpoint
+//! ran each position up to it exactly once, on right inputs. Not modelled: the values themselves,
+//! deadlines, cancellation, and the crash of a host (its caller starts again with the tokens that
+//! it has received).
 
 mod scenarios;
 mod state;
@@ -21,43 +23,43 @@
 use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
-/// A rule left out of the protocol.
+/// A mutation of the protocol: each removes one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// A result of an older attempt is taken.
+    /// The host accepts a result of an older attempt.
     IgnoreAttempt,
-    /// A result for an earlier token is taken.
+    /// The host accepts a result for an earlier token.
     IgnorePosition,
-    /// A result of another stage is taken.
+    /// The host accepts a result of another stage.
     IgnoreStage,
-    /// An engine that is asked for a step again runs it again.
+    /// An engine runs a retried step again instead of repeating its result.
     RunStepAgain,
-    /// A replacement is fed nothing but the newest position.
+    /// A replacement is fed only the newest position.
     FeedNothing,
-    /// A checkpoint is taken to be up to date.
+    /// The host assumes that an imported checkpoint is up to date.
     TrustCheckpoint,
-    /// After a replacement the answer is released from its beginning.
+    /// After a replacement, the host releases the answer from the first token again.
     ReleaseAgain,
-    /// A lost answer is not asked for again.
+    /// The host does not retry a step whose message or result is lost.
     AskOnce,
 }
 
-/// The bounds, and the mutation if there is one.
+/// The bounds of the specification and its optional mutation.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Tokens to generate.
     pub tokens: u8,
-    /// Stages that die.
+    /// Failures of stages.
     pub deaths: u8,
-    /// Stages that are replaced though they live.
+    /// Replacements of stages that are alive.
     pub suspicions: u8,
-    /// Steps and results that are lost, or come twice.
+    /// Lost or duplicated steps and results.
     pub losses: u8,
-    /// Steps that are asked for again though they are under way.
+    /// Retries of steps that are still in flight.
     pub repeats: u8,
-    /// Checkpoints that are exported.
+    /// Exports of checkpoints.
     pub exports: u8,
-    /// The rule left out.
+    /// The mutation, if any.
     pub mutation: Option<Mutation>,
 }
 
@@ -77,10 +79,10 @@
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
         let mut next = Successors::of(state);
-        self.sends(state, &mut next);
-        self.messages(state, &mut next);
+        self.send_steps(state, &mut next);
+        self.message_steps(state, &mut next);
         for stage in 0..STAGES {
-            self.stage(state, stage, &mut next);
+            self.stage_steps(state, stage, &mut next);
         }
         next.into_steps()
     }
@@ -104,7 +106,10 @@
     }
 
     fn goals(&self) -> Vec<Property<Self>> {
-        vec![Property::new("the whole answer is released", whole)]
+        vec![Property::new(
+            "the whole answer is released",
+            answer_complete,
+        )]
     }
 
     fn bounds(&self) -> Vec<Bound> {
@@ -129,6 +134,6 @@
     !state.released_again
 }
 
-fn whole(cfg: &Config, state: &State) -> bool {
+fn answer_complete(cfg: &Config, state: &State) -> bool {
     state.received == cfg.tokens
 }
--- a/crates/model/src/specs/stream/scenarios.rs
+++ b/crates/model/src/specs/stream/scenarios.rs
@@ -1,9 +1,9 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
 use crate::report::{Case, SearchSuite, Size};
 
-/// Stages that die or seem to, with messages lost, doubled and late.
+/// Failed and wrongly suspected stages, with lost, duplicated and late messages.
 const FAULTS: Config = Config {
     tokens: 2,
     deaths: 1,
@@ -14,7 +14,7 @@
     mutation: None,
 };
 
-/// Stages that are replaced from a checkpoint.
+/// Stages replaced from a checkpoint.
 const CHECKPOINTS: Config = Config {
     tokens: 3,
     losses: 0,
--- a/crates/model/src/specs/stream/state.rs
+++ b/crates/model/src/specs/stream/state.rs
@@ -1,82 +1,83 @@
-//! The host, the stages and the messages under way.
+//! The state of the host, the stages and the messages in flight.
 
 use std::fmt;
 
 use super::Config;
 
-/// The stages of the chain.
+/// The number of stages in the chain.
 pub(super) const STAGES: usize = 2;
 
-/// The most messages under way.
+/// The maximum number of messages in flight.
 pub(super) const MAX_MESSAGES: usize = 4;
 
 /// A step to a stage, or its result.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Message {
-    pub(super) kind: Kind,
+    pub(super) kind: MessageKind,
     pub(super) stage: usize,
-    /// Which of the endpoints that served the stage.
+    /// The number of the endpoint among those that have served the stage.
     pub(super) endpoint: u8,
     pub(super) attempt: u8,
-    /// The positions `from..to`.
+    /// The positions to run are `from..to`.
     pub(super) from: u8,
     pub(super) to: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) enum Kind {
-    /// Whether the inputs are right.
+pub(super) enum MessageKind {
+    /// A step; whether its inputs are right.
     Step(bool),
-    /// Whether the outputs are right.
+    /// A result; whether its outputs are right.
     Result(bool),
 }
 
-/// An endpoint that serves a stage, or did.
+/// An endpoint that serves or has served a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Endpoint {
     pub(super) number: u8,
     pub(super) alive: bool,
-    /// The positions it ran.
+    /// The number of positions that it has run, including those of an imported checkpoint.
     pub(super) ran: u8,
-    /// Whether it ran each of them once, in order and on right inputs.
+    /// Whether it ran each position once, in order and on right inputs.
     pub(super) right: bool,
 }
 
-/// A stage as the host knows it, with its endpoints.
+/// A stage as recorded by the host, with the state of its endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Stage {
     pub(super) current: Endpoint,
-    /// The endpoint before, which may still run.
+    /// The previous endpoint, which may still be running.
     pub(super) replaced: Option<Endpoint>,
-    /// The positions that the host has results for from the current endpoint.
+    /// The number of positions for which the host has the current endpoint's results, or which that
+    /// endpoint imported.
     pub(super) fed: u8,
-    /// The positions in the exported checkpoint.
+    /// The number of positions in the exported checkpoint; 0 without one.
     pub(super) checkpoint: u8,
 }
 
-/// A state.
+/// A state of the stream specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) attempt: u8,
-    /// The stage whose turn it is.
+    /// The stage that runs the current token.
     pub(super) at: usize,
-    /// The token under way.
+    /// The index of the token that is being generated.
     pub(super) position: u8,
-    /// Whether a step's result is waited for.
+    /// Whether the host awaits the result of a step.
     pub(super) waiting: bool,
-    /// Whether all results for the token under way were right.
+    /// Whether all results for the current token so far were right.
     pub(super) right: bool,
     pub(super) stages: [Stage; STAGES],
-    /// The messages under way, sorted.
+    /// The messages in flight, sorted so that states which differ only in their order are equal.
     pub(super) messages: [Option<Message>; MAX_MESSAGES],
-    /// The tokens that the caller has.
+    /// The number of tokens that the caller has received.
     pub(super) received: u8,
     pub(super) released_again: bool,
     pub(super) released_wrong: bool,
     pub(super) left: Left,
 }
 
-/// What the bounds leave.
+/// The remaining budget of each bounded step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Left {
     pub(super) deaths: u8,
@@ -97,7 +98,7 @@
 }
 
 impl Endpoint {
-    /// An endpoint that starts with `ran` positions of a checkpoint.
+    /// Creates an endpoint that has `ran` positions from a checkpoint.
     pub(super) fn new(number: u8, ran: u8) -> Self {
         Self {
             number,
@@ -109,7 +110,7 @@
 }
 
 impl Stage {
-    /// The endpoint with this number, unless it is gone.
+    /// The endpoint with this number, unless it is dead or no longer tracked.
     pub(super) fn endpoint(&mut self, number: u8) -> Option<&mut Endpoint> {
         let all = [Some(&mut self.current), self.replaced.as_mut()];
         let mut all = all.into_iter().flatten();
@@ -146,11 +147,11 @@
         }
     }
 
-    /// The step that is to run now.
-    pub(super) fn step(&self) -> Message {
+    /// The next step to run.
+    pub(super) fn current_step(&self) -> Message {
         let stage = &self.stages[self.at];
         Message {
-            kind: Kind::Step(self.right),
+            kind: MessageKind::Step(self.right),
             stage: self.at,
             endpoint: stage.current.number,
             attempt: self.attempt,
@@ -159,30 +160,30 @@
         }
     }
 
-    /// Whether a step or its result is under way under the current attempt.
-    pub(super) fn is_under_way(&self, step: Message) -> bool {
+    /// Whether `step` or its result is in flight under the same attempt.
+    pub(super) fn is_in_flight(&self, step: Message) -> bool {
         let mut messages = self.messages.iter().flatten();
         messages.any(|m| m.stage == step.stage && m.attempt == step.attempt && m.to == step.to)
     }
 
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_free_slot(&self) -> bool {
         self.messages.contains(&None)
     }
 
-    pub(super) fn put(&mut self, message: Message) {
-        let room = self.messages.iter_mut().find(|place| place.is_none());
-        if let Some(room) = room {
-            *room = Some(message);
+    pub(super) fn insert_message(&mut self, message: Message) {
+        let free = self.messages.iter_mut().find(|place| place.is_none());
+        if let Some(free) = free {
+            *free = Some(message);
         }
         self.messages.sort_unstable();
     }
 
-    pub(super) fn take(&mut self, i: usize) {
+    pub(super) fn remove_message(&mut self, i: usize) {
         self.messages[i] = None;
         self.messages.sort_unstable();
     }
 
-    /// The caller gets the token `index`.
+    /// Releases the token `index` to the caller.
     pub(super) fn release(&mut self, index: u8) {
         self.released_again |= index < self.received;
         self.released_wrong |= !self.right || index > self.received;
--- a/crates/model/src/specs/stream/steps.rs
+++ b/crates/model/src/specs/stream/steps.rs
@@ -1,58 +1,59 @@
-//! What may happen.
+//! The steps of the stream specification.
 
 use super::{
     Config, Mutation,
-    state::{Endpoint, Kind, Message, STAGES, State},
+    state::{Endpoint, Message, MessageKind, STAGES, State},
 };
 use crate::specs::successors::Successors;
 
-/// What may happen; the number is that of the stage.
+/// A step of the model; a number is the index of the stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// The host sends the step whose turn it is.
+    /// The host sends the current step.
     Send,
-    /// A step arrives and runs.
+    /// A step arrives at its endpoint and runs.
     Run(Message),
-    /// A result arrives.
+    /// A result arrives at the host.
     Result(Message),
-    /// A dead stage is replaced; the new one is fed the kept activations.
+    /// A failed stage is replaced; the new endpoint is fed the retained activations.
     Replace(usize),
-    /// A dead stage is replaced; the new one imports the checkpoint.
+    /// A failed stage is replaced; the new endpoint imports the checkpoint.
     ReplaceImport(usize),
-    /// Fault: the host asks again for a step that is under way.
+    /// Fault: the host retries a step that is still in flight.
     SendAgain,
-    /// Fault: a stage that lives is replaced.
+    /// Fault: a stage that is alive is suspected and replaced.
     Suspect(usize),
-    /// Fault: a stage that lives is replaced by one that imports the checkpoint.
+    /// Fault: a stage that is alive is suspected and replaced; the new endpoint imports the
+    /// checkpoint.
     SuspectImport(usize),
-    /// Fault: a stage dies.
+    /// Fault: the endpoint of a stage dies.
     Die(usize),
     /// Fault: a message is lost.
     Lose(Message),
-    /// Fault: a message comes twice.
+    /// Fault: a message is duplicated.
     Double(Message),
-    /// A stage's checkpoint is exported; may stay away, as a fault may.
+    /// A stage's checkpoint is exported. It counts as a fault because it may never occur.
     Export(usize),
 }
 
 type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
-    pub(super) fn sends(&self, state: &State, next: &mut Steps<'_>) {
-        if state.position == self.tokens || !state.has_room() {
+    pub(super) fn send_steps(&self, state: &State, next: &mut Steps<'_>) {
+        if state.position == self.tokens || !state.has_free_slot() {
             return;
         }
-        let step = state.step();
+        let step = state.current_step();
         let send = |s: &mut State| {
             s.waiting = true;
-            s.put(step);
+            s.insert_message(step);
         };
-        let under_way = state.is_under_way(step);
+        let in_flight = state.is_in_flight(step);
         let alive = state.stages[state.at].current.alive;
-        let asked = state.waiting && self.has(Mutation::AskOnce);
-        if !state.waiting || !under_way && alive && !asked {
+        let already_sent = state.waiting && self.has(Mutation::AskOnce);
+        if !state.waiting || !in_flight && alive && !already_sent {
             next.add(Step::Send, send);
-        } else if under_way {
+        } else if in_flight {
             next.add_faults(
                 |s| &mut s.left.repeats,
                 |next| next.add(Step::SendAgain, send),
@@ -60,53 +61,53 @@
         }
     }
 
-    pub(super) fn messages(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn message_steps(&self, state: &State, next: &mut Steps<'_>) {
         for (i, message) in state.messages.iter().enumerate() {
             let Some(message) = *message else { continue };
             match message.kind {
-                Kind::Step(right) => next.add(Step::Run(message), |s| {
-                    s.take(i);
-                    self.run(s, message, right);
+                MessageKind::Step(right) => next.add(Step::Run(message), |s| {
+                    s.remove_message(i);
+                    self.run_step(s, message, right);
                 }),
-                Kind::Result(right) => next.add(Step::Result(message), |s| {
-                    s.take(i);
-                    self.result(s, message, right);
+                MessageKind::Result(right) => next.add(Step::Result(message), |s| {
+                    s.remove_message(i);
+                    self.accept_result(s, message, right);
                 }),
             }
             next.add_faults(
                 |s| &mut s.left.losses,
                 |next| {
-                    next.add(Step::Lose(message), |s| s.take(i));
-                    if state.has_room() {
-                        next.add(Step::Double(message), |s| s.put(message));
+                    next.add(Step::Lose(message), |s| s.remove_message(i));
+                    if state.has_free_slot() {
+                        next.add(Step::Double(message), |s| s.insert_message(message));
                     }
                 },
             );
         }
     }
 
-    /// The endpoint runs a step, or answers from what it did.
-    fn run(&self, state: &mut State, step: Message, right: bool) {
+    /// The endpoint runs a step; if it has already run the step, it only answers again.
+    fn run_step(&self, state: &mut State, step: Message, right: bool) {
         let Some(endpoint) = state.stages[step.stage].endpoint(step.endpoint) else {
             return;
         };
         if endpoint.ran < step.to || self.has(Mutation::RunStepAgain) {
-            // Run twice where they overlap, not at all where there is a gap.
+            // An overlap runs positions twice, a gap skips positions: both are wrong.
             endpoint.right &= right && endpoint.ran == step.from;
             endpoint.ran = step.to.max(endpoint.ran);
         }
-        let kind = Kind::Result(endpoint.right);
-        state.put(Message { kind, ..step });
+        let kind = MessageKind::Result(endpoint.right);
+        state.insert_message(Message { kind, ..step });
     }
 
-    fn result(&self, state: &mut State, result: Message, right: bool) {
+    fn accept_result(&self, state: &mut State, result: Message, right: bool) {
         let attempt = result.attempt == state.attempt || self.has(Mutation::IgnoreAttempt);
         let position = result.to == state.position + 1 || self.has(Mutation::IgnorePosition);
         let stage = result.stage == state.at || self.has(Mutation::IgnoreStage);
         if !(state.waiting && attempt && position && stage) {
             return;
         }
-        // What is taken for another stage's or token's result is wrong.
+        // A result that belongs to another stage or token counts as wrong.
         state.right &= right && result.to == state.position + 1 && result.stage == state.at;
         state.waiting = false;
         state.stages[state.at].fed = state.position + 1;
@@ -118,7 +119,7 @@
         }
     }
 
-    pub(super) fn stage(&self, state: &State, stage: usize, next: &mut Steps<'_>) {
+    pub(super) fn stage_steps(&self, state: &State, stage: usize, next: &mut Steps<'_>) {
         let now = &state.stages[stage];
         let imports = now.checkpoint > 0;
         if state.position == self.tokens {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Another endpoint serves `stage` from now on, and has `imported` positions.
+    /// Replaces the endpoint of `stage` by one that has imported `imported` positions.
     fn replace(&self, state: &mut State, stage: usize, imported: u8) {
         let old = state.stages[stage];
         let current = Endpoint::new(old.current.number + 1, imported);
