--- a/crates/model/src/specs/rights/loans.rs
+++ b/crates/model/src/specs/rights/loans.rs
@@ -1,4 +1,4 @@
-//! What may happen: loans from one host to another.
+//! The steps of loans from one host to another.
 
 use super::{
     Config, Mutation,
@@ -7,12 +7,12 @@
 };
 
 impl Config {
-    pub(super) fn loan(&self, state: &State, id: usize, next: &mut Steps<'_>) {
-        if state.acts(LENDER) {
-            self.lend(state, id, next);
+    pub(super) fn loan_steps(&self, state: &State, id: usize, next: &mut Steps<'_>) {
+        if state.is_running(LENDER) {
+            self.lender_steps(state, id, next);
         }
-        if state.acts(BORROWER) {
-            self.borrow(state, id, next);
+        if state.is_running(BORROWER) {
+            self.borrower_steps(state, id, next);
         }
         let loan = &state.loans[id];
         if loan.grants == 1 {
@@ -29,7 +29,7 @@
         }
     }
 
-    fn lend(&self, state: &State, id: usize, next: &mut Steps<'_>) {
+    fn lender_steps(&self, state: &State, id: usize, next: &mut Steps<'_>) {
         let loan = &state.loans[id];
         if loan.request && self.can_lend(state) {
             next.add(Step::Grant(id), |s| {
@@ -47,8 +47,8 @@
             next.add(Step::Returned(id), |s| {
                 let loan = &mut s.loans[id];
                 loan.returns -= 1;
-                let back = loan.back_at.take().is_some();
-                if back || self.has(Mutation::CountReturnTwice) {
+                let outstanding = loan.back_at.take().is_some();
+                if outstanding || self.has(Mutation::CountReturnTwice) {
                     s.hosts[LENDER].units += 1;
                 }
             });
@@ -61,8 +61,9 @@
         }
     }
 
-    /// A unit may be lent if it is back before the lender's own right lapses: then whoever takes
-    /// over the right of a dead lender finds no loan of it in use.
+    /// Whether the lender may lend a unit: the loan, margin included, must end before the lender's
+    /// own right expires. Then a host that takes over the right of a dead lender finds no loan of it
+    /// in use.
     fn can_lend(&self, state: &State) -> bool {
         let host = &state.hosts[LENDER];
         let clock = state.clock(LENDER);
@@ -74,7 +75,7 @@
         host.units > 0 && end <= host.until
     }
 
-    fn borrow(&self, state: &State, id: usize, next: &mut Steps<'_>) {
+    fn borrower_steps(&self, state: &State, id: usize, next: &mut Steps<'_>) {
         let loan = &state.loans[id];
         let clock = state.clock(BORROWER);
         if loan.asked.is_none() && !loan.request && !loan.taken && loan.grants == 0 {
@@ -84,7 +85,7 @@
             });
         }
         if loan.grants > 0 {
-            next.add(Step::Borrow(id), |s| self.borrowed(s, id));
+            next.add(Step::Borrow(id), |s| self.accept_grant(s, id));
         }
         if loan.held > 0 && clock < loan.until {
             next.add(Step::Return(id), |s| {
@@ -95,12 +96,12 @@
         }
     }
 
-    fn borrowed(&self, state: &mut State, id: usize) {
+    fn accept_grant(&self, state: &mut State, id: usize) {
         let clock = state.clock(BORROWER);
         let loan = &mut state.loans[id];
         loan.grants -= 1;
         let again = loan.taken && !self.has(Mutation::CountLoanTwice);
-        // A grant that this life did not ask for has no known term.
+        // The term of a grant that this incarnation did not request is unknown.
         let Some(asked) = loan.asked.filter(|_| !again) else {
             return;
         };
--- a/crates/model/src/specs/rights/mod.rs
+++ b/crates/model/src/specs/rights/mod.rs
@@ -1,18 +1,21 @@
 //! A limit split into units that hosts hold for a term, lend to each other and take over.
 //!
-//! The table has a row for each host, with the units that are its right, and for each data centre
-//! the units of its share that are no host's. All that a host does to the table is one transaction on condition of the row's
-//! version. A host counts its right's term from when it *sent* the write that renewed it; who
-//! takes a row over waits for a term and a margin from when it *first read* the row's version. So
-//! no two hosts compare clocks. Whoever takes over is assumed to have read the version as soon as
-//! it was written, and to have a clock that is never slow: the earliest takeover is the worst. A loan's term counts from when the borrower asked for it.
+//! The table has a row for each host with the units of its right, and for each data centre the
+//! units of its share that no host holds. Each change that a host makes to the table is one
+//! transaction, conditional on the version of the row. The term of a right counts from when its
+//! host *sent* the write that renewed it. A host that takes over a row waits for a term and a
+//! margin from when it *first read* the row's version. So the clocks of two hosts are never
+//! compared. The host that takes over is assumed to have read the version as soon as it was
+//! written and to have a clock that is never slow, because the earliest takeover is the worst case.
+//! The term of a loan counts from when the borrower requested it.
 //!
-//! In use is what the hosts would act on at this instant: units within their term, by each host's
-//! own clock. Time goes on in ticks; a slow clock falls one tick behind, once.
+//! The units in use are those that the hosts would act on at this instant: the units within their
+//! term by each host's own clock. Time advances in ticks; a slow clock falls behind by one tick,
+//! once.
 //!
-//! Left out: how many requests a unit allows, and bursts; more than one host in a data centre;
-//! reads of the table that are not one transaction; transactions of a host that has crashed since.
-//! Losses need no fault of their own: a message may stay under way until the end of time.
+//! Not modelled: how many requests a unit allows, and bursts; more than one host in a data centre;
+//! reads of the table that are not one transaction; transactions of a host that has crashed since
+//! it sent them. Losses need no separate fault: a message may stay in flight until time ends.
 
 mod loans;
 mod scenarios;
@@ -24,82 +27,83 @@
 use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
-/// The number of hosts, each in a data centre of its own.
+/// The number of hosts, each in a different data centre.
 pub const HOSTS: usize = 2;
 
-/// A rule left out of the protocol.
+/// A mutation of the protocol: each removes one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// No margin is waited for beyond a term.
+    /// Hosts wait for no margin after a term.
     NoMargin,
-    /// A host counts its term from the answer to its write.
+    /// A host counts its term from the receipt of the answer to its write.
     TermFromAnswer,
-    /// A borrower counts a loan's term from when the loan came.
+    /// A borrower counts a loan's term from the receipt of the grant.
     LoanTermFromReceipt,
-    /// A lender keeps using what it lent.
+    /// A lender continues to use the unit that it lent.
     LendWithoutDeduct,
-    /// A loan that comes twice counts twice.
+    /// A duplicated grant of a loan counts twice.
     CountLoanTwice,
-    /// A loan given back twice counts twice.
+    /// A duplicated return of a loan counts twice.
     CountReturnTwice,
-    /// A loan may outlive the right it was cut from.
+    /// A loan may end after the lender's right that it was taken from.
     LoanOutlivesRight,
-    /// A loan may end with the right it was cut from, less the margin.
+    /// A loan may end together with the lender's right, without a margin before the right's end.
     LoanEndsWithRight,
-    /// A host that restarted takes its old row for its own.
+    /// A restarted host treats the row of its previous incarnation as its own.
     RestartReclaims,
-    /// The table does not check versions.
+    /// The table does not check the versions of rows.
     NoVersionCheck,
-    /// A row is taken over as soon as its host seems to be dead.
+    /// A row is taken over without waiting for its term to expire.
     TakeOverAtOnce,
-    /// A host's clock stands still while the host is paused.
+    /// A host's clock stops while the host is paused.
     ClockStopsInPause,
-    /// A paused host acts on a check it made before the pause.
+    /// A host acts after a pause on a check of its term from before the pause.
     ActOnOldCheck,
-    /// Work begun within the term runs on after it, and counts as use.
+    /// Work started within the term continues after it and counts as use.
     WorkOutlivesTerm,
-    /// A host uses what it asked of the table before the answer.
+    /// A host uses a unit that it requested from the table before it receives the answer.
     UseBeforeAnswer,
-    /// A host gives back to the table what it has lent.
+    /// A host returns to the table a unit that it has lent.
     GiveBackWhileLent,
-    /// Units go to one share before they are taken from the other.
+    /// Units are added to one share before they are removed from the other.
     MoveInTwoWrites,
-    /// A lowered limit is reported in force when it is accepted.
+    /// A lowered limit is reported in force as soon as it is accepted.
     ReportAtOnce,
 }
 
-/// The bounds, and the mutation if there is one. Times are in ticks.
+/// The bounds of the specification and its optional mutation. Times are in ticks.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// How long a host may use its right after a renewal.
+    /// The duration for which a host may use its right after a renewal.
     pub term: u8,
-    /// How long a loan lasts.
+    /// The duration of a loan.
     pub loan_term: u8,
-    /// What is waited for beyond a term.
+    /// The wait after the end of a term.
     pub margin: u8,
-    /// When the search ends.
+    /// The time at which the search ends.
     pub end: u8,
     /// Writes to the table.
     pub writes: u8,
-    /// Loans; at most two.
+    /// Loans; at most 2.
     pub loans: usize,
-    /// Hosts that crash; each may restart.
+    /// Host crashes; a crashed host may restart.
     pub crashes: u8,
-    /// Hosts that are paused.
+    /// Pauses of hosts.
     pub pauses: u8,
-    /// Clocks that fall a tick behind.
+    /// Clocks that fall behind by one tick.
     pub slow_clocks: u8,
-    /// Messages between hosts that come twice.
+    /// Duplicated messages between hosts.
     pub duplicates: u8,
-    /// Answers of the table that are lost.
+    /// Answers from the table that are lost or that a host stops waiting for.
     pub lost_answers: u8,
-    /// Times the limit is lowered by one unit.
+    /// Reductions of the limit by one unit.
     pub lowerings: u8,
-    /// Units that hosts give back to their data centre, beyond those that a lowered limit asks for.
+    /// Units that hosts return to their data centre's share, in addition to those that a lowered
+    /// limit requires.
     pub moves: u8,
-    /// Units that go from one data centre's share to the other's.
+    /// Units moved from one data centre's share to the other's.
     pub share_moves: u8,
-    /// The rule left out.
+    /// The mutation, if any.
     pub mutation: Option<Mutation>,
 }
 
@@ -108,7 +112,7 @@
         self.mutation == Some(mutation)
     }
 
-    /// What is waited for beyond a term.
+    /// The wait after the end of a term, in ticks; 0 with [`Mutation::NoMargin`].
     fn margin(&self) -> u8 {
         match self.has(Mutation::NoMargin) {
             true => 0,
@@ -117,7 +121,7 @@
     }
 }
 
-/// The units at the beginning: one of each host.
+/// The initial limit in units: one for each host.
 const LIMIT: u8 = HOSTS as u8;
 
 impl Spec for Config {
@@ -130,15 +134,15 @@
 
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
         let mut next = Successors::of(state);
-        self.time(state, &mut next);
-        self.limit(state, &mut next);
-        self.shares(state, &mut next);
+        self.time_steps(state, &mut next);
+        self.limit_steps(state, &mut next);
+        self.share_steps(state, &mut next);
         for h in 0..HOSTS {
-            self.writes(state, h, &mut next);
-            self.host_faults(state, h, &mut next);
+            self.write_steps(state, h, &mut next);
+            self.host_steps(state, h, &mut next);
         }
         for id in 0..self.loans {
-            self.loan(state, id, &mut next);
+            self.loan_steps(state, id, &mut next);
         }
         next.into_steps()
     }
--- a/crates/model/src/specs/rights/scenarios.rs
+++ b/crates/model/src/specs/rights/scenarios.rs
@@ -1,10 +1,10 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
 use crate::report::{Case, SearchSuite, Size};
 
-/// No faults, loans or writes.
-const NONE: Config = Config {
+/// The base configuration: no faults, loans or writes.
+const BASE: Config = Config {
     term: 2,
     loan_term: 1,
     margin: 1,
@@ -22,7 +22,7 @@
     mutation: None,
 };
 
-/// Loans, doubled and late.
+/// Loans with duplicated and late messages.
 const LOANS: Config = Config {
     term: 3,
     loans: 2,
@@ -30,45 +30,45 @@
     pauses: 1,
     slow_clocks: 2,
     duplicates: 1,
-    ..NONE
+    ..BASE
 };
 
-/// Renewals and takeovers, with answers lost.
+/// Renewals and takeovers with lost answers.
 const TAKEOVER: Config = Config {
     end: 4,
     writes: 2,
     crashes: 1,
     slow_clocks: 1,
     lost_answers: 1,
-    ..NONE
+    ..BASE
 };
 
-/// A lender's right taken over while its loan is out.
+/// A takeover of the lender's right while its loan is outstanding.
 const LENDER_LOST: Config = Config {
     writes: 2,
     loans: 1,
     crashes: 1,
     slow_clocks: 2,
-    ..NONE
+    ..BASE
 };
 
-/// A limit lowered while a loan is out and a host is away.
+/// A limit lowered while a loan is outstanding and a host is down.
 const LOWERED: Config = Config {
     writes: 2,
     loans: 1,
     crashes: 1,
     lowerings: 1,
-    ..NONE
+    ..BASE
 };
 
-/// Units given back, moved to another data centre's share and taken from there.
+/// Units returned, moved to another data centre's share and acquired from there.
 const MOVED: Config = Config {
     end: 2,
     writes: 3,
     moves: 1,
     share_moves: 1,
     lost_answers: 1,
-    ..NONE
+    ..BASE
 };
 
 impl SearchSuite for Config {
--- a/crates/model/src/specs/rights/state.rs
+++ b/crates/model/src/specs/rights/state.rs
@@ -1,27 +1,27 @@
-//! The table, the hosts, the loans and what is under way.
+//! The state of the table, the hosts, the loans and the messages in flight.
 
 use super::{Config, HOSTS, LIMIT};
 
-/// The most loans a configuration may have.
-pub(super) const LOANS: usize = 2;
+/// The maximum number of loans in a configuration.
+pub(super) const MAX_LOANS: usize = 2;
 
-/// A state.
+/// A state of the rights specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: u8,
     pub(super) rows: [Row; HOSTS],
-    /// Units in the share of each host's data centre that are no host's.
+    /// For each host, the units in the share of its data centre that no host holds.
     pub(super) pools: [u8; HOSTS],
-    /// The limit that operators accepted last.
+    /// The newest accepted limit in units.
     pub(super) limit: u8,
-    /// Whether `limit` was reported in force.
+    /// Whether `limit` has been reported in force.
     pub(super) in_force: bool,
     pub(super) hosts: [Host; HOSTS],
-    pub(super) loans: [Loan; LOANS],
+    pub(super) loans: [Loan; MAX_LOANS],
     pub(super) left: Left,
 }
 
-/// What the bounds leave.
+/// The remaining budget of each bounded step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Left {
     pub(super) writes: u8,
@@ -35,90 +35,93 @@
     pub(super) share_moves: u8,
 }
 
-/// A host's right as it stands in the table.
+/// The row of a host's right in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Row {
     pub(super) units: u8,
     pub(super) version: u8,
-    /// The life of the host that holds the row; none after a takeover.
+    /// The incarnation of the host that holds the row; `None` after a takeover.
     pub(super) life: Option<u8>,
-    /// The last write: when its host sent it, by the host's clock, and the units it brought.
+    /// When the last write was sent, by the clock of its host.
     pub(super) sent: u8,
+    /// The units that the last write added, until the host has applied them.
     pub(super) gain: u8,
-    /// When that write was done.
+    /// When the last write took effect.
     pub(super) written: u8,
 }
 
 /// A host.
 ///
-/// Invariant: `units` and `until` are forgotten in a crash; `life` counts the crashes.
+/// Invariant: a crash resets `units` and `until`; `life` is the incarnation and counts the crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Host {
     pub(super) up: bool,
     pub(super) paused: bool,
     pub(super) life: u8,
-    /// How far the host's clock is behind.
+    /// The number of ticks by which the host's clock is behind.
     pub(super) lag: u8,
-    /// Units of its own right that are not lent.
+    /// Units of the host's own right that are not lent.
     pub(super) units: u8,
-    /// The right may be used while the clock is before this.
+    /// When the right expires, by the host's clock.
     pub(super) until: u8,
-    /// The version of its row that the host knows.
+    /// The version of the host's row as last read or written by the host.
     pub(super) version: u8,
     pub(super) write: Option<Write>,
-    /// A transaction under way on which it waits no longer.
+    /// A transaction in flight whose answer the host no longer awaits.
     pub(super) late: Option<Write>,
-    /// Units it acts on whatever the clock says.
+    /// Units that the host acts on without checking its clock.
     pub(super) unchecked: u8,
 }
 
 /// A transaction on a host's row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Write {
-    pub(super) kind: Kind,
-    /// The version of the row that it is conditional on.
+    pub(super) kind: WriteKind,
+    /// The version of the row that the transaction is conditional on.
     pub(super) version: u8,
-    /// When it was sent, by the host's clock.
+    /// When the transaction was sent, by the host's clock.
     pub(super) sent: u8,
     pub(super) place: Place,
 }
 
-/// What a transaction does.
+/// The kind of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
-    /// Begins a new term.
+pub enum WriteKind {
+    /// Starts a new term.
     Renew,
-    /// Takes a unit from the data centre's share.
+    /// Acquires a unit from the data centre's share.
     Grow,
-    /// Gives a unit back.
+    /// Returns a unit to the data centre's share, or removes it if the allocated units exceed the
+    /// limit.
     Shrink,
-    /// Takes over the units of a host's row, if it still has this version.
+    /// Takes over the units of the row of the host with this index, if the row still has this
+    /// version.
     TakeOver(usize, u8),
 }
 
-/// Where a transaction is.
+/// The progress of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Place {
     ToTable,
     Done,
     NotDone,
-    /// The host has to read the row to know.
+    /// The answer is lost or late; the host must read the row to learn the outcome.
     InDoubt,
 }
 
-/// A loan of one unit from host 0 to host 1, with its messages.
+/// A loan of one unit from [`LENDER`] to [`BORROWER`], with its messages in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) struct Loan {
-    /// When the borrower asked, by its clock.
+    /// When the borrower requested the loan, by its clock.
     pub(super) asked: Option<u8>,
     pub(super) request: bool,
-    /// When the lender may use the unit again, by its clock.
+    /// When the lender may use the unit again, by the lender's clock.
     pub(super) back_at: Option<u8>,
     pub(super) grants: u8,
-    /// The borrower has had the grant.
+    /// Whether the borrower has accepted a grant.
     pub(super) taken: bool,
     pub(super) held: u8,
-    /// The borrower may use it while its clock is before this.
+    /// When the loan expires, by the borrower's clock.
     pub(super) until: u8,
     pub(super) returns: u8,
 }
@@ -157,7 +160,7 @@
             limit: LIMIT,
             in_force: false,
             hosts: [host; HOSTS],
-            loans: [Loan::default(); LOANS],
+            loans: [Loan::default(); MAX_LOANS],
             left: Left {
                 writes: cfg.writes,
                 crashes: cfg.crashes,
@@ -172,30 +175,30 @@
         }
     }
 
-    /// The host's own clock.
+    /// The current time of the host's own clock, in ticks.
     pub(super) fn clock(&self, h: usize) -> u8 {
         self.now.saturating_sub(self.hosts[h].lag)
     }
 
-    /// Whether the host does anything.
-    pub(super) fn acts(&self, h: usize) -> bool {
+    /// Whether the host is up and not paused.
+    pub(super) fn is_running(&self, h: usize) -> bool {
         self.hosts[h].up && !self.hosts[h].paused
     }
 
-    /// The units that the table has given out, or could.
-    pub(super) fn total(&self) -> u8 {
+    /// The units that the table has allocated to hosts or holds in shares.
+    pub(super) fn allocated_units(&self) -> u8 {
         let rows = self.rows.iter().map(|row| row.units).sum::<u8>();
         rows + self.pools.iter().sum::<u8>()
     }
 
-    /// The units that all hosts act on at this instant.
+    /// The units that all running hosts act on at this instant.
     pub(super) fn in_use(&self) -> u8 {
-        let hosts = (0..HOSTS).filter(|h| self.acts(*h));
-        hosts.map(|h| self.used_by(h)).sum()
+        let hosts = (0..HOSTS).filter(|h| self.is_running(*h));
+        hosts.map(|h| self.units_in_use_by(h)).sum()
     }
 
     /// The units that a host would act on if it checked its clock now.
-    pub(super) fn within_term(&self, h: usize) -> u8 {
+    pub(super) fn usable_units(&self, h: usize) -> u8 {
         let clock = self.clock(h);
         let own = match clock < self.hosts[h].until {
             true => self.hosts[h].units,
@@ -209,13 +212,13 @@
         }
     }
 
-    fn used_by(&self, h: usize) -> u8 {
-        self.within_term(h).max(self.hosts[h].unchecked)
+    fn units_in_use_by(&self, h: usize) -> u8 {
+        self.usable_units(h).max(self.hosts[h].unchecked)
     }
 }
 
 impl Host {
-    /// Another life begins, which knows nothing of the one before.
+    /// Crashes the host. Its next incarnation has no state of the previous one.
     pub(super) fn crash(&mut self) {
         *self = Self {
             up: false,
--- a/crates/model/src/specs/rights/steps.rs
+++ b/crates/model/src/specs/rights/steps.rs
@@ -1,73 +1,73 @@
-//! What may happen: time, operators and faults of hosts.
+//! The steps of time, of operators, and of host faults and restarts.
 
 use super::{
     Config, HOSTS, Mutation,
-    state::{BORROWER, Kind, LENDER, State},
+    state::{BORROWER, LENDER, State, WriteKind},
 };
 use crate::specs::successors::Successors;
 
-/// What may happen; the number is that of the host, or of the loan.
+/// A step; a number is the index of the host, data centre or loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Time goes on.
+    /// Time advances by one tick.
     Tick,
     /// Operators lower the limit by one unit.
     Lower,
-    /// A unit goes from one data centre's share to another's.
+    /// A unit is moved from the first data centre's share to the second's.
     MoveShare(usize, usize),
     /// The lowered limit is reported in force.
     ReportInForce,
-    /// A host sends a transaction on its own row.
-    Send(usize, Kind),
-    /// The table does the transaction, or refuses it.
+    /// A host sends a transaction on its own row, or on its own row and one that it takes over.
+    Send(usize, WriteKind),
+    /// The table applies or refuses the transaction.
     Transact(usize),
-    /// The answer comes.
+    /// The answer to the transaction arrives.
     Answer(usize),
-    /// A host in doubt reads its row.
+    /// A host that does not know the outcome of its transaction reads its row.
     ReadOwn(usize),
-    /// The table does, or refuses, a transaction on which the host waits no longer.
+    /// The table applies or refuses a transaction whose answer the host no longer awaits.
     TransactLate(usize),
-    /// The borrower asks for a loan.
+    /// The borrower requests a loan.
     Ask(usize),
-    /// The lender grants it.
+    /// The lender grants the loan.
     Grant(usize),
-    /// The loan comes to the borrower.
+    /// The grant arrives at the borrower.
     Borrow(usize),
-    /// The borrower gives it back early.
+    /// The borrower returns the loan early.
     Return(usize),
-    /// The lender has it back early.
+    /// The returned loan arrives at the lender.
     Returned(usize),
-    /// The loan has lapsed; the lender uses the unit again.
+    /// The loan has expired; the lender uses the unit again.
     Reclaim(usize),
-    /// A host goes on after a pause.
+    /// A host resumes after a pause.
     Resume(usize),
-    /// A host looks at the clock again.
+    /// A host that acts on an earlier check of its term checks its clock again.
     Recheck(usize),
-    /// A host begins work that lasts.
+    /// A host starts work that may outlast its term.
     Begin(usize),
-    /// A crashed host is back, in another life.
+    /// A crashed host restarts as a new incarnation.
     Restart(usize),
     /// Fault: a host crashes.
     Crash(usize),
     /// Fault: a host is paused.
     Pause(usize),
-    /// Fault: a host's clock falls a tick behind.
+    /// Fault: a host's clock falls behind by one tick.
     SlowClock(usize),
     /// Fault: the answer to a transaction is lost.
     LoseAnswer(usize),
-    /// Fault: a host waits no longer for a transaction that is under way.
+    /// Fault: a host stops waiting for a transaction that is still in flight.
     SlowWrite(usize),
-    /// Fault: the message with a loan comes twice.
+    /// Fault: the grant of a loan is duplicated.
     DoubleGrant(usize),
-    /// Fault: the message that gives a loan back comes twice.
+    /// Fault: the return of a loan is duplicated.
     DoubleReturn(usize),
 }
 
-/// Steps that are collected.
+/// The steps collected for one state.
 pub(super) type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
-    pub(super) fn time(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn time_steps(&self, state: &State, next: &mut Steps<'_>) {
         if state.now == self.end {
             return;
         }
@@ -76,11 +76,11 @@
             let stopped = |paused: bool| paused && self.has(Mutation::ClockStopsInPause);
             let hosts = s.hosts.iter_mut();
             hosts.for_each(|host| host.lag += u8::from(stopped(host.paused)));
-            s.forget();
+            s.drop_expired_loans();
         });
     }
 
-    pub(super) fn limit(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn limit_steps(&self, state: &State, next: &mut Steps<'_>) {
         if state.left.lowerings > 0 {
             next.add(Step::Lower, |s| {
                 s.left.lowerings -= 1;
@@ -91,13 +91,14 @@
                 }
             });
         }
-        let lapsed = state.total() <= state.limit || self.has(Mutation::ReportAtOnce);
-        if !state.in_force && state.limit < super::LIMIT && lapsed {
+        let within_limit =
+            state.allocated_units() <= state.limit || self.has(Mutation::ReportAtOnce);
+        if !state.in_force && state.limit < super::LIMIT && within_limit {
             next.add(Step::ReportInForce, |s| s.in_force = true);
         }
     }
 
-    pub(super) fn shares(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn share_steps(&self, state: &State, next: &mut Steps<'_>) {
         if state.left.share_moves == 0 {
             return;
         }
@@ -112,7 +113,7 @@
         }
     }
 
-    pub(super) fn host_faults(&self, state: &State, h: usize, next: &mut Steps<'_>) {
+    pub(super) fn host_steps(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         let host = &state.hosts[h];
         if !host.up {
             next.add(Step::Restart(h), |s| self.restart(s, h));
@@ -121,7 +122,7 @@
         if host.paused {
             next.add(Step::Resume(h), |s| s.hosts[h].paused = false);
         } else {
-            self.unchecked(state, h, next);
+            self.unchecked_steps(state, h, next);
             next.add_faults(
                 |s| &mut s.left.pauses,
                 |next| next.add(Step::Pause(h), |s| self.pause(s, h)),
@@ -141,17 +142,18 @@
 
     fn pause(&self, state: &mut State, h: usize) {
         if self.has(Mutation::ActOnOldCheck) {
-            state.hosts[h].unchecked = state.within_term(h);
+            state.hosts[h].unchecked = state.usable_units(h);
         }
         state.hosts[h].paused = true;
     }
 
-    /// Acting on a check that is not the last step before.
-    fn unchecked(&self, state: &State, h: usize, next: &mut Steps<'_>) {
+    /// Adds the steps of the mutations in which a host acts on a check of its term that is not its
+    /// most recent step.
+    fn unchecked_steps(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         if state.hosts[h].unchecked > 0 {
             next.add(Step::Recheck(h), |s| s.hosts[h].unchecked = 0);
-        } else if self.has(Mutation::WorkOutlivesTerm) && state.within_term(h) > 0 {
-            next.add(Step::Begin(h), |s| s.hosts[h].unchecked = s.within_term(h));
+        } else if self.has(Mutation::WorkOutlivesTerm) && state.usable_units(h) > 0 {
+            next.add(Step::Begin(h), |s| s.hosts[h].unchecked = s.usable_units(h));
         }
     }
 
@@ -185,8 +187,8 @@
 }
 
 impl State {
-    /// Drops what has lapsed and makes no difference any more.
-    fn forget(&mut self) {
+    /// Clears expired loans at the borrower, so that equivalent states are equal.
+    fn drop_expired_loans(&mut self) {
         let clock = self.clock(BORROWER);
         for loan in self.loans.iter_mut().filter(|loan| clock >= loan.until) {
             loan.held = 0;
@@ -194,8 +196,8 @@
         }
     }
 
-    /// The units that the table has above the limit.
+    /// The number of allocated units above the limit.
     pub(super) fn surplus(&self) -> u8 {
-        self.total().saturating_sub(self.limit)
+        self.allocated_units().saturating_sub(self.limit)
     }
 }
--- a/crates/model/src/specs/rights/writes.rs
+++ b/crates/model/src/specs/rights/writes.rs
@@ -1,17 +1,17 @@
-//! What may happen: transactions on the rows of the table.
+//! The steps of transactions on the rows of the table.
 
 use super::{
     Config, HOSTS, Mutation,
-    state::{Kind, Place, State, Write},
+    state::{Place, State, Write, WriteKind},
     steps::{Step, Steps},
 };
 
 impl Config {
-    pub(super) fn writes(&self, state: &State, h: usize, next: &mut Steps<'_>) {
+    pub(super) fn write_steps(&self, state: &State, h: usize, next: &mut Steps<'_>) {
         if let Some(write) = state.hosts[h].write {
-            self.under_way(state, h, write, next);
-        } else if state.acts(h) && state.left.writes > 0 {
-            for kind in self.kinds(state, h) {
+            self.pending_write_steps(state, h, write, next);
+        } else if state.is_running(h) && state.left.writes > 0 {
+            for kind in self.possible_writes(state, h) {
                 next.add(Step::Send(h, kind), |s| self.send(s, h, kind));
             }
         }
@@ -25,11 +25,11 @@
         }
     }
 
-    fn under_way(&self, state: &State, h: usize, write: Write, next: &mut Steps<'_>) {
+    fn pending_write_steps(&self, state: &State, h: usize, write: Write, next: &mut Steps<'_>) {
         if write.place == Place::ToTable {
             next.add(Step::Transact(h), |s| self.transact(s, h, write));
         }
-        if !state.acts(h) {
+        if !state.is_running(h) {
             return;
         }
         match write.place {
@@ -37,7 +37,7 @@
                 |s| &mut s.left.lost_answers,
                 |next| {
                     next.add(Step::SlowWrite(h), |s| {
-                        s.hosts[h].write = Some(write.at(Place::InDoubt));
+                        s.hosts[h].write = Some(write.with_place(Place::InDoubt));
                         s.hosts[h].late = Some(write);
                     });
                 },
@@ -49,7 +49,7 @@
                     |s| &mut s.left.lost_answers,
                     |next| {
                         next.add(Step::LoseAnswer(h), |s| {
-                            s.hosts[h].write = Some(write.at(Place::InDoubt));
+                            s.hosts[h].write = Some(write.with_place(Place::InDoubt));
                         });
                     },
                 );
@@ -58,48 +58,48 @@
         }
     }
 
-    /// The transactions that a host may send.
-    fn kinds(&self, state: &State, h: usize) -> Vec<Kind> {
+    /// The kinds of transactions that a host may send.
+    fn possible_writes(&self, state: &State, h: usize) -> Vec<WriteKind> {
         let host = &state.hosts[h];
         let owner = state.rows[h].life == Some(host.life);
         let vacant = state.rows[h].life.is_none();
         let mut kinds = Vec::new();
         if owner && state.clock(h) + self.term > host.until {
-            kinds.push(Kind::Renew);
+            kinds.push(WriteKind::Renew);
         }
         if (owner || vacant) && state.pools[h] > 0 {
-            kinds.push(Kind::Grow);
+            kinds.push(WriteKind::Grow);
         }
         let lent = state.rows[h].units > host.units;
         let asked = state.surplus() > 0 || state.left.moves > 0;
         if owner && asked && (host.units > 0 || lent && self.has(Mutation::GiveBackWhileLent)) {
-            kinds.push(Kind::Shrink);
+            kinds.push(WriteKind::Shrink);
         }
         kinds.extend(self.takeovers(state, h));
         kinds
     }
 
-    fn takeovers<'a>(&'a self, state: &'a State, h: usize) -> impl Iterator<Item = Kind> + 'a {
+    fn takeovers<'a>(&'a self, state: &'a State, h: usize) -> impl Iterator<Item = WriteKind> + 'a {
         (0..HOSTS).filter_map(move |g| {
             let row = state.rows[g];
             let own = g == h && row.life == Some(state.hosts[h].life);
-            let lapsed = state.now >= row.written + self.term + self.margin();
-            let lapsed = lapsed || self.has(Mutation::TakeOverAtOnce);
-            let take = row.units > 0 && !own && lapsed;
-            take.then_some(Kind::TakeOver(g, row.version))
+            let expired = state.now >= row.written + self.term + self.margin();
+            let expired = expired || self.has(Mutation::TakeOverAtOnce);
+            let eligible = row.units > 0 && !own && expired;
+            eligible.then_some(WriteKind::TakeOver(g, row.version))
         })
     }
 
-    fn send(&self, state: &mut State, h: usize, kind: Kind) {
+    fn send(&self, state: &mut State, h: usize, kind: WriteKind) {
         let sent = state.clock(h);
         state.left.writes -= 1;
-        // Given up before the table may hand it to another.
-        if kind == Kind::Shrink {
-            state.left.moves -= u8::from(state.total() <= state.limit);
+        // The host stops using the unit before the table can allocate it to another host.
+        if kind == WriteKind::Shrink {
+            state.left.moves -= u8::from(state.allocated_units() <= state.limit);
             state.hosts[h].units = state.hosts[h].units.saturating_sub(1);
         }
         let host = &mut state.hosts[h];
-        if kind == Kind::Grow && self.has(Mutation::UseBeforeAnswer) {
+        if kind == WriteKind::Grow && self.has(Mutation::UseBeforeAnswer) {
             host.units += 1;
         }
         host.write = Some(Write {
@@ -119,35 +119,35 @@
             true => Place::Done,
             false => Place::NotDone,
         };
-        state.hosts[h].write = Some(write.at(place));
+        state.hosts[h].write = Some(write.with_place(place));
     }
 
     fn applies(&self, state: &State, h: usize, write: Write) -> bool {
-        let pool = write.kind != Kind::Grow || state.pools[h] > 0;
+        let pool = write.kind != WriteKind::Grow || state.pools[h] > 0;
         let other = match write.kind {
-            Kind::TakeOver(g, version) => state.rows[g].version == version,
+            WriteKind::TakeOver(g, version) => state.rows[g].version == version,
             _ => true,
         };
         let own = state.rows[h].version == write.version;
-        // Taking over the row of one's own former life needs no second condition.
-        let own = own || matches!(write.kind, Kind::TakeOver(g, _) if g == h);
+        // A takeover of the row of the host's own previous incarnation needs no second condition.
+        let own = own || matches!(write.kind, WriteKind::TakeOver(g, _) if g == h);
         pool && (own && other || self.has(Mutation::NoVersionCheck))
     }
 
     fn apply(&self, state: &mut State, h: usize, write: Write) {
         let mut gain = 0;
         match write.kind {
-            Kind::Renew => {}
-            Kind::Grow => {
+            WriteKind::Renew => {}
+            WriteKind::Grow => {
                 state.pools[h] -= 1;
                 gain = 1;
             }
-            Kind::Shrink => {
+            WriteKind::Shrink => {
                 let vanishes = state.surplus() > 0;
                 state.rows[h].units = state.rows[h].units.saturating_sub(1);
                 state.pools[h] += u8::from(!vanishes);
             }
-            Kind::TakeOver(g, _) => {
+            WriteKind::TakeOver(g, _) => {
                 let vanishes = state.surplus().min(state.rows[g].units);
                 gain = state.rows[g].units - vanishes;
                 state.rows[g].units = 0;
@@ -164,7 +164,7 @@
         row.sent = write.sent;
         row.written = now;
         row.gain = match write.kind {
-            Kind::Grow if self.has(Mutation::UseBeforeAnswer) => 0,
+            WriteKind::Grow if self.has(Mutation::UseBeforeAnswer) => 0,
             _ => gain,
         };
     }
@@ -176,14 +176,14 @@
             return;
         }
         let clock = state.clock(h);
-        self.adopt(state, h);
+        self.apply_last_write(state, h);
         if self.has(Mutation::TermFromAnswer) {
             state.hosts[h].until = clock + self.term;
         }
     }
 
-    /// Takes in what the last write to the host's own row did.
-    fn adopt(&self, state: &mut State, h: usize) {
+    /// Applies to the host the effect of the last write to its own row.
+    fn apply_last_write(&self, state: &mut State, h: usize) {
         let row = state.rows[h];
         let host = &mut state.hosts[h];
         host.version = row.version;
@@ -192,7 +192,8 @@
         state.rows[h].gain = 0;
     }
 
-    /// Reads the own row: whether the last write was done, or another host has the row now.
+    /// Reads the host's own row, which shows whether the last write took effect or the row has been
+    /// taken over.
     fn read_own(&self, state: &mut State, h: usize) {
         state.hosts[h].write = None;
         let row = state.rows[h];
@@ -202,13 +203,13 @@
             host.until = 0;
             host.version = row.version;
         } else if row.version > host.version {
-            self.adopt(state, h);
+            self.apply_last_write(state, h);
         }
     }
 }
 
 impl Write {
-    fn at(self, place: Place) -> Self {
+    fn with_place(self, place: Place) -> Self {
         Self { place, ..self }
     }
 }
