--- a/crates/model/src/specs/catalogue/mod.rs
+++ b/crates/model/src/specs/catalogue/mod.rs
@@ -1,12 +1,14 @@
-//! The catalogue: one order of changes by compare-and-set, and hosts that only go forward.
+//! The catalogue: a total order of changes by compare-and-set, and hosts whose revision never
+//! decreases.
 //!
-//! Operators propose a change on the head they read. Hosts fold changes from the store onto what
-//! they hold, or copy what a peer holds. The store may go back to an older state; then what was
-//! accepted since is gone, and somebody has to notice.
+//! An operator proposes a change on top of the head that it read. Hosts fold changes from the store
+//! onto the catalogue that they hold, or copy the catalogue of a peer. The store may revert to an
+//! older state; the changes accepted since are then lost, and a host or an operator must detect
+//! this and raise an alarm.
 //!
-//! Left out: entries and their checks (a catalogue is the sequence of its changes), trimming, and
-//! snapshots but for the one a restoration writes. A cut needs no fault of its own: each host's
-//! reads of the store, and of each peer, may come as late as can be.
+//! Not modelled: entries and their checks (a catalogue is the sequence of its changes), trimming,
+//! and snapshots except the one that a restoration writes. A partition needs no separate fault:
+//! each host's reads of the store and of each peer may be delayed arbitrarily.
 
 mod operators;
 mod scenarios;
@@ -17,51 +19,51 @@
 use super::successors::Successors;
 use crate::checker::{Bound, Property, Spec};
 
-/// A rule left out of the protocol.
+/// A mutation of the protocol: each removes one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// The store takes a change whatever its head is.
+    /// The store commits a change regardless of its head.
     CommitUnconditionally,
-    /// A lost answer is reported as a conflict.
+    /// An operator reports a lost answer as a conflict.
     AssumeConflict,
-    /// A lost answer is reported as accepted.
+    /// An operator reports a lost answer as accepted.
     AssumeAccepted,
-    /// A proposal in doubt is made again on the new head.
+    /// An operator retries a proposal with an unknown outcome on the new head.
     RebaseInDoubt,
-    /// A host takes what the store has, also when it is older.
+    /// A host loads the store's catalogue even if it is older than its own.
     FollowStoreBack,
-    /// A host takes what a peer has, also when it is older.
+    /// A host copies a peer's catalogue even if it is older than its own.
     FollowPeerBack,
-    /// A host folds a change onto a catalogue that it does not follow.
+    /// A host folds a change onto a catalogue that the change does not follow.
     FoldUnchecked,
-    /// A host copies from a peer a catalogue that does not follow its own.
+    /// A host copies a peer's catalogue that does not follow its own.
     CopyUnchecked,
-    /// Operators do not look again after a change was accepted.
+    /// Operators do not verify an accepted change later.
     NoSecondLook,
-    /// A restoration is numbered above the store's head alone.
+    /// The revision of a restoration is above the store's head but not above those of all hosts.
     RestoreAboveStore,
-    /// A restoration leaves the changes of the older state in place.
+    /// A restoration keeps the changes of the older state in the store.
     RestoreKeepsChanges,
 }
 
-/// The bounds, and the mutation if there is one.
+/// The bounds of the specification and its optional mutation.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Operators, with one change each; at most 3.
+    /// Operators, each with one change; at most 3.
     pub operators: usize,
-    /// Hosts, each in a data centre of its own; at most 3.
+    /// Hosts, each in a different data centre; at most 3.
     pub hosts: usize,
-    /// Tries of each proposal.
-    pub tries: u8,
-    /// Answers of the store that are lost, or slower than an operator waits.
+    /// Attempts of each proposal.
+    pub attempts: u8,
+    /// Answers from the store that are lost or arrive after the operator's timeout.
     pub losses: u8,
-    /// Hosts that crash, and begin again with nothing.
+    /// Host crashes; a crashed host restarts without state.
     pub crashes: u8,
-    /// Times the store goes back to an older state.
+    /// Reverts of the store to an older state.
     pub setbacks: u8,
-    /// Restorations by an operator, once an alarm is raised.
+    /// Restorations by an operator after an alarm.
     pub restorations: u8,
-    /// The rule left out.
+    /// The mutation, if any.
     pub mutation: Option<Mutation>,
 }
 
@@ -82,12 +84,12 @@
     fn successors(&self, state: &State) -> Vec<(Step, State)> {
         let mut next = Successors::of(state);
         for o in 0..self.operators {
-            self.operator(state, o, &mut next);
+            self.operator_steps(state, o, &mut next);
         }
         for h in 0..self.hosts {
-            self.host(state, h, &mut next);
+            self.host_steps(state, h, &mut next);
         }
-        self.store(state, &mut next);
+        self.store_steps(state, &mut next);
         next.into_steps()
     }
 
@@ -137,7 +139,7 @@
             Bound::new("operators", self.operators as u64),
             Bound::new("data centres", self.hosts as u64),
             Bound::new("changes", MAX_CHANGES as u64),
-            Bound::new("tries", self.tries),
+            Bound::new("tries", self.attempts),
             Bound::new("losses", self.losses),
             Bound::new("crashes", self.crashes),
             Bound::new("setbacks", self.setbacks),
@@ -164,19 +166,19 @@
 }
 
 fn all_accepted(state: &State) -> bool {
-    let told = |o: &usize| matches!(state.operators[*o].outcome, Some(Outcome::Accepted(_)));
-    let mut told = (0..state.operators.len()).filter(told);
-    told.all(|o| state.count(o) > 0)
+    let reported = |o: &usize| matches!(state.operators[*o].outcome, Some(Outcome::Accepted(_)));
+    let mut reported = (0..state.operators.len()).filter(reported);
+    reported.all(|o| state.occurrences(o) > 0)
 }
 
 fn conflicts_are_true(_: &Config, state: &State) -> bool {
-    let told = |o: &usize| state.operators[*o].outcome == Some(Outcome::Conflict);
-    let mut told = (0..state.operators.len()).filter(told);
-    state.went_back || told.all(|o| state.count(o) == 0)
+    let reported = |o: &usize| state.operators[*o].outcome == Some(Outcome::Conflict);
+    let mut reported = (0..state.operators.len()).filter(reported);
+    state.went_back || reported.all(|o| state.occurrences(o) == 0)
 }
 
 fn once_in_order(_: &Config, state: &State) -> bool {
-    (0..state.operators.len()).all(|o| state.count(o) <= 1)
+    (0..state.operators.len()).all(|o| state.occurrences(o) <= 1)
 }
 
 fn agree(cfg: &Config, state: &State) -> bool {
--- a/crates/model/src/specs/catalogue/scenarios.rs
+++ b/crates/model/src/specs/catalogue/scenarios.rs
@@ -1,13 +1,13 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
 use crate::report::{Case, SearchSuite, Size};
 
-/// Operators that race, with answers lost and hosts restarted.
+/// Racing operators, with lost answers and restarted hosts.
 const RACE: Config = Config {
     operators: 2,
     hosts: 2,
-    tries: 2,
+    attempts: 2,
     losses: 2,
     crashes: 1,
     setbacks: 0,
@@ -15,9 +15,9 @@
     mutation: None,
 };
 
-/// A store that goes back to an older state, and is brought forward again.
+/// A store that reverts to an older state and is restored by an operator.
 const SETBACK: Config = Config {
-    tries: 1,
+    attempts: 1,
     losses: 0,
     setbacks: 1,
     restorations: 1,
@@ -40,7 +40,7 @@
             Size::Large => Self {
                 operators: 3,
                 hosts: 3,
-                tries: 2,
+                attempts: 2,
                 ..config
             },
         };
--- a/crates/model/src/specs/catalogue/steps.rs
+++ b/crates/model/src/specs/catalogue/steps.rs
@@ -1,61 +1,62 @@
-//! The store, the hosts and what may happen to them.
+//! The state of the store, the operators and the hosts, and the steps of the store and the hosts.
 
 use super::{Config, Mutation};
 use crate::specs::successors::Successors;
 
-/// The most changes in the store.
+/// The maximum number of changes in the store.
 pub(super) const MAX_CHANGES: usize = 4;
 
-/// Who made the change that brings the store forward again.
+/// The author of the change that a restoration writes.
 const RESTORER: u8 = 9;
 
-/// What may happen; the number is that of the operator or the host.
+/// A step; a number is the index of the operator or the host, unless the variant says otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// An operator reads the head.
     ReadHead(usize),
-    /// An operator sends a proposal, or sends it again.
+    /// An operator sends a proposal, or retries it.
     Propose(usize),
-    /// The store takes or refuses a proposal.
+    /// The store commits or refuses a proposal.
     Commit(usize),
-    /// The store takes or refuses a proposal on which the operator waits no longer.
+    /// The store commits or refuses a proposal whose answer the operator no longer awaits.
     CommitLate(usize),
-    /// The answer comes.
+    /// The answer to a proposal arrives.
     Answer(usize),
-    /// An operator in doubt reads the changes since its base.
+    /// An operator that does not know the outcome of its proposal reads the store's changes.
     Settle(usize),
-    /// An operator whose change was accepted looks whether it still stands.
+    /// An operator whose change was accepted verifies that the change is still in the store.
     LookAgain(usize),
-    /// An operator brings the store forward again.
+    /// An operator restores the store after an alarm.
     Restore,
     /// A host reads the store.
     Poll(usize),
-    /// The first host copies what the second holds.
+    /// The first host copies the catalogue of the second, or detects that the two have diverged.
     Copy(usize, usize),
     /// Fault: the answer to a proposal is lost.
     LoseAnswer(usize),
-    /// Fault: an operator waits no longer for a proposal that is under way.
+    /// Fault: an operator stops waiting for a proposal that is still in flight.
     SlowCommit(usize),
-    /// Fault: a host crashes, and begins again with nothing.
+    /// Fault: a host crashes and restarts without state.
     Crash(usize),
-    /// Fault: the store goes back to this many changes.
+    /// Fault: the store reverts to its first changes, as many as the number says.
     GoBack(usize),
 }
 
-/// A catalogue, named by its newest change.
+/// A catalogue, identified by its newest change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) struct Version {
     pub(super) revision: u8,
-    /// Whose change; 0 for none.
+    /// The author of the change: the index of the operator plus 1, [`RESTORER`], or 0 for no
+    /// change.
     pub(super) author: u8,
-    /// The authors of all changes, one digit each.
+    /// The authors of all changes as decimal digits, the newest last.
     pub(super) content: u16,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) struct Host {
     pub(super) held: Version,
-    /// The highest revision that was in force in this life.
+    /// The highest revision that this incarnation of the host has held.
     pub(super) highest: u8,
 }
 
@@ -69,14 +70,14 @@
 pub(super) struct Operator {
     pub(super) base: Option<Version>,
     pub(super) place: Place,
-    /// The base of a proposal under way on which it waits no longer.
+    /// The base of a proposal in flight whose answer the operator no longer awaits.
     pub(super) late: Option<Version>,
     pub(super) tried: u8,
     pub(super) outcome: Option<Outcome>,
     pub(super) looked_again: bool,
 }
 
-/// Where a proposal is.
+/// The progress of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) enum Place {
     #[default]
@@ -87,18 +88,18 @@
     InDoubt,
 }
 
-/// A state.
+/// A state of the catalogue specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The changes in the store, each with the catalogue it makes.
+    /// The changes in the store, each with the catalogue that results from it.
     changes: [Version; MAX_CHANGES],
     len: usize,
     pub(super) operators: [Operator; 3],
     pub(super) hosts: [Host; 3],
     pub(super) alarm: bool,
-    /// Whether there ever was an alarm.
+    /// Whether an alarm was ever raised.
     pub(super) alarmed: bool,
-    /// Whether an operator brought the store forward again.
+    /// Whether an operator has restored the store.
     pub(super) restored: bool,
     pub(super) went_back: bool,
     pub(super) losses: u8,
@@ -110,12 +111,12 @@
 pub(super) type Steps<'a> = Successors<'a, Step, State>;
 
 impl Config {
-    pub(super) fn store(&self, state: &State, next: &mut Steps<'_>) {
+    pub(super) fn store_steps(&self, state: &State, next: &mut Steps<'_>) {
         next.add_faults(
             |s| &mut s.setbacks,
             |next| {
                 for len in 0..state.len {
-                    next.add(Step::GoBack(len), |s| s.go_back(len));
+                    next.add(Step::GoBack(len), |s| s.revert_to(len));
                 }
             },
         );
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Declares the whole catalogue anew, under a number that no host has.
+    /// Restores the store: writes the whole catalogue as one change whose revision is above that of
+    /// every host.
     fn restore(&self, state: &mut State) {
         let hosts = state.hosts.iter().map(|host| host.held.revision);
         let highest = hosts.max().unwrap_or(0).max(state.head().revision);
@@ -138,25 +140,25 @@
         state.alarm = false;
         state.restored = true;
         if !self.has(Mutation::RestoreKeepsChanges) {
-            // With the changes before it gone, no host looks for its own among them.
+            // Without the earlier changes, no host compares its own change with them.
             state.changes = [Version::default(); MAX_CHANGES];
             state.len = 0;
         }
         state.push(Version {
-            // One number is left out: no host can take this for the change after its own.
+            // One revision is skipped, so that no host can fold this as the successor of its own.
             revision: above + 2,
             author: RESTORER,
             content: u16::from(RESTORER),
         });
     }
 
-    pub(super) fn host(&self, state: &State, h: usize, next: &mut Steps<'_>) {
-        let poll = self.poll(state, h);
+    pub(super) fn host_steps(&self, state: &State, h: usize, next: &mut Steps<'_>) {
+        let poll = self.poll_result(state, h);
         if let Some(after) = poll.filter(|after| after != state) {
             next.add(Step::Poll(h), |s| *s = after);
         }
         for g in (0..self.hosts).filter(|g| *g != h) {
-            self.copy(state, h, g, next);
+            self.copy_steps(state, h, g, next);
         }
         if state.hosts[h].held.revision > 0 {
             next.add_faults(
@@ -166,34 +168,34 @@
         }
     }
 
-    /// What a read of the store leads to.
-    fn poll(&self, state: &State, h: usize) -> Option<State> {
+    /// The state after host `h` reads the store.
+    fn poll_result(&self, state: &State, h: usize) -> Option<State> {
         let mut after = *state;
         let held = state.hosts[h].held;
         let head = state.head();
         if self.has(Mutation::FollowStoreBack) && head.revision < held.revision {
-            after.hosts[h].take(head);
+            after.hosts[h].install(head);
             return Some(after);
         }
         if head.revision < held.revision {
             after.raise_alarm();
             return Some(after);
         }
-        let same = state.at(held.revision).map(|own| own.author);
+        let same = state.change_at(held.revision).map(|own| own.author);
         let follows = held.revision == 0 || same == Some(held.author);
-        let next = state.at(held.revision + 1);
+        let next = state.change_at(held.revision + 1);
         let fold = follows || self.has(Mutation::FoldUnchecked);
         if let Some(change) = next.filter(|_| fold) {
-            after.hosts[h].take(held.fold(change));
+            after.hosts[h].install(held.fold(change));
         } else if !follows && same.is_some() {
             after.raise_alarm();
         } else if head.revision > held.revision {
-            after.hosts[h].take(head);
+            after.hosts[h].install(head);
         }
         Some(after)
     }
 
-    fn copy(&self, state: &State, h: usize, g: usize, next: &mut Steps<'_>) {
+    fn copy_steps(&self, state: &State, h: usize, g: usize, next: &mut Steps<'_>) {
         let (own, other) = (state.hosts[h].held, state.hosts[g].held);
         let back = self.has(Mutation::FollowPeerBack) && own.revision > other.revision;
         let checked = !self.has(Mutation::CopyUnchecked);
@@ -203,20 +205,21 @@
                 next.add(Step::Copy(h, g), State::raise_alarm);
             }
         } else if own.revision < other.revision || back {
-            next.add(Step::Copy(h, g), |s| s.hosts[h].take(other));
+            next.add(Step::Copy(h, g), |s| s.hosts[h].install(other));
         }
     }
 }
 
 impl Version {
-    /// Whether this catalogue, as far back as its history goes, can have come from `earlier`.
+    /// Whether this catalogue can descend from `earlier`, as far as its history shows. `earlier`
+    /// must not have a higher revision.
     fn follows(self, earlier: Self) -> bool {
         let later = u32::from(self.revision - earlier.revision);
         let author = self.content / 10_u16.pow(later) % 10;
         author == 0 || author == u16::from(earlier.author)
     }
 
-    /// The catalogue after one more change.
+    /// The catalogue that results from applying `change` to this one.
     pub(super) fn fold(self, change: Self) -> Self {
         Self {
             content: self.content * 10 + u16::from(change.author),
@@ -226,7 +229,7 @@
 }
 
 impl Host {
-    fn take(&mut self, held: Version) {
+    fn install(&mut self, held: Version) {
         self.held = held;
         self.highest = self.highest.max(held.revision);
     }
@@ -250,20 +253,20 @@
         }
     }
 
-    /// The newest catalogue in the store.
+    /// The store's newest catalogue.
     pub(super) fn head(&self) -> Version {
         let newest = self.changes[..self.len].last();
         newest.copied().unwrap_or_default()
     }
 
     /// The change with this revision.
-    pub(super) fn at(&self, revision: u8) -> Option<Version> {
+    pub(super) fn change_at(&self, revision: u8) -> Option<Version> {
         let mut changes = self.changes[..self.len].iter();
         changes.find(|c| c.revision == revision).copied()
     }
 
-    /// How often the change of operator `o` is in the order.
-    pub(super) fn count(&self, o: usize) -> usize {
+    /// The number of times that the change of operator `o` is in the store.
+    pub(super) fn occurrences(&self, o: usize) -> usize {
         let changes = self.changes[..self.len].iter();
         changes.filter(|c| usize::from(c.author) == o + 1).count()
     }
@@ -282,7 +285,7 @@
         self.alarmed = true;
     }
 
-    fn go_back(&mut self, len: usize) {
+    fn revert_to(&mut self, len: usize) {
         self.changes[len..].fill(Version::default());
         self.len = len;
         self.went_back = true;
--- a/crates/model/src/specs/rights/loans.rs
+++ b/crates/model/src/specs/rights/loans.rs
@@ -62,8 +62,8 @@
     }
 
     /// Whether the lender may lend a unit: the loan, margin included, must end before the lender's
-    /// own right expires. Then a host that takes over the right of a dead lender finds no loan of it
-    /// in use.
+    /// own right expires. Then a host that takes over the right of a dead lender finds no loan of
+    /// it in use.
     fn can_lend(&self, state: &State) -> bool {
         let host = &state.hosts[LENDER];
         let clock = state.clock(LENDER);
--- a/crates/model/src/specs/successors.rs
+++ b/crates/model/src/specs/successors.rs
@@ -19,8 +19,8 @@
         self.steps.push((step, state));
     }
 
-    /// Adds the steps that `add_all` adds, as faults that each use one unit of `budget`. Adds nothing
-    /// if the budget is 0.
+    /// Adds the steps that `add_all` adds, as faults that each use one unit of `budget`. Adds
+    /// nothing if the budget is 0.
     pub(crate) fn add_faults(
         &mut self,
         budget: fn(&mut T) -> &mut u8,
