--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -174,11 +174,11 @@
 /// If so, a goal that holds in every state where only faults are enabled is reached by every run
 /// in which faults cease. The traversal is recursive, so it suits small bounds only.
 pub fn every_run_ends<S: Spec>(spec: &S) -> bool {
-    let successors = |state: &S::State| {
+    let next_states = |state: &S::State| {
         let next = spec.successors(state).into_iter();
         next.map(|(_, state)| state).collect::<Vec<_>>()
     };
-    prelude::topological_sort(&[spec.initial()], successors).is_ok()
+    prelude::topological_sort(&[spec.initial()], next_states).is_ok()
 }
 
 /// A node of the search graph. Equality and hash ignore the depth, so that a state is visited once.
--- a/crates/model/src/specs/catalogue/steps.rs
+++ b/crates/model/src/specs/catalogue/steps.rs
@@ -38,7 +38,7 @@
     SlowCommit(usize),
     /// Fault: a host crashes and restarts without state.
     Crash(usize),
-    /// Fault: the store reverts to its first changes, as many as the number says.
+    /// Fault: the store reverts to its first `n` changes, where `n` is the number.
     GoBack(usize),
 }
 
