--- a/crates/model/src/specs/catalogue/scenarios.rs
+++ b/crates/model/src/specs/catalogue/scenarios.rs
@@ -1,13 +1,13 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
-use crate::report::{Case, Family, Size};
+use crate::report::{Case, SearchSuite, Size};
 
-/// Operators that race, with answers lost and hosts restarted.
+/// Racing operators, with lost answers and restarted hosts.
 const RACE: Config = Config {
     operators: 2,
     hosts: 2,
-    tries: 2,
+    attempts: 2,
     losses: 2,
     crashes: 1,
     setbacks: 0,
@@ -15,21 +15,21 @@
     mutation: None,
 };
 
-/// A store that goes back to an older state, and is brought forward again.
+/// A store that reverts to an older state and is restored by an operator.
 const SETBACK: Config = Config {
-    tries: 1,
+    attempts: 1,
     losses: 0,
     setbacks: 1,
     restorations: 1,
     ..RACE
 };
 
-impl Family for Config {
+impl SearchSuite for Config {
     const NAME: &'static str = "catalogue";
 
     type Mutation = Mutation;
 
-    fn with(self, mutation: Mutation) -> Self {
+    fn with_mutation(self, mutation: Mutation) -> Self {
         let mutation = Some(mutation);
         Self { mutation, ..self }
     }
@@ -40,7 +40,7 @@
             Size::Large => Self {
                 operators: 3,
                 hosts: 3,
-                tries: 2,
+                attempts: 2,
                 ..config
             },
         };
--- a/crates/model/src/specs/rights/loans.rs
+++ b/crates/model/src/specs/rights/loans.rs
@@ -1,4 +1,4 @@
-//! What may happen: loans from one host to another.
+//! The steps of loans from one host to another.
 
 use super::{
     Config, Mutation,
@@ -7,32 +7,32 @@
 };
 
 impl Config {
-    pub(super) fn loan(&self, state: &State, id: usize, next: &mut Steps<'_>) {
-        if state.acts(LENDER) {
-            self.lend(state, id, next);
+    pub(super) fn loan_steps(&self, state: &State, id: usize, next: &mut Steps<'_>) {
+        if state.is_running(LENDER) {
+            self.lender_steps(state, id, next);
         }
-        if state.acts(BORROWER) {
-            self.borrow(state, id, next);
+        if state.is_running(BORROWER) {
+            self.borrower_steps(state, id, next);
         }
         let loan = &state.loans[id];
         if loan.grants == 1 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.duplicates,
-                |next| next.with(Step::DoubleGrant(id), |s| s.loans[id].grants += 1),
+                |next| next.add(Step::DoubleGrant(id), |s| s.loans[id].grants += 1),
             );
         }
         if loan.returns == 1 {
-            next.faults(
+            next.add_faults(
                 |s| &mut s.left.duplicates,
-                |next| next.with(Step::DoubleReturn(id), |s| s.loans[id].returns += 1),
+                |next| next.add(Step::DoubleReturn(id), |s| s.loans[id].returns += 1),
             );
         }
     }
 
-    fn lend(&self, state: &State, id: usize, next: &mut Steps<'_>) {
+    fn lender_steps(&self, state: &State, id: usize, next: &mut Steps<'_>) {
         let loan = &state.loans[id];
         if loan.request && self.can_lend(state) {
-            next.with(Step::Grant(id), |s| {
+            next.add(Step::Grant(id), |s| {
                 let clock = s.clock(LENDER);
                 let loan = &mut s.loans[id];
                 loan.request = false;
@@ -44,25 +44,26 @@
             });
         }
         if loan.returns > 0 {
-            next.with(Step::Returned(id), |s| {
+            next.add(Step::Returned(id), |s| {
                 let loan = &mut s.loans[id];
                 loan.returns -= 1;
-                let back = loan.back_at.take().is_some();
-                if back || self.has(Mutation::CountReturnTwice) {
+                let outstanding = loan.back_at.take().is_some();
+                if outstanding || self.has(Mutation::CountReturnTwice) {
                     s.hosts[LENDER].units += 1;
                 }
             });
         }
         if loan.back_at.is_some_and(|at| state.clock(LENDER) >= at) {
-            next.with(Step::Reclaim(id), |s| {
+            next.add(Step::Reclaim(id), |s| {
                 s.loans[id].back_at = None;
                 s.hosts[LENDER].units += 1;
             });
         }
     }
 
-    /// A unit may be lent if it is back before the lender's own right lapses: then whoever takes
-    /// over the right of a dead lender finds no loan of it in use.
+    /// Whether the lender may lend a unit: the loan, margin included, must end before the lender's
+    /// own right expires. Then a host that takes over the right of a dead lender finds no loan of
+    /// it in use.
     fn can_lend(&self, state: &State) -> bool {
         let host = &state.hosts[LENDER];
         let clock = state.clock(LENDER);
@@ -74,20 +75,20 @@
         host.units > 0 && end <= host.until
     }
 
-    fn borrow(&self, state: &State, id: usize, next: &mut Steps<'_>) {
+    fn borrower_steps(&self, state: &State, id: usize, next: &mut Steps<'_>) {
         let loan = &state.loans[id];
         let clock = state.clock(BORROWER);
         if loan.asked.is_none() && !loan.request && !loan.taken && loan.grants == 0 {
-            next.with(Step::Ask(id), |s| {
+            next.add(Step::Ask(id), |s| {
                 s.loans[id].asked = Some(clock);
                 s.loans[id].request = true;
             });
         }
         if loan.grants > 0 {
-            next.with(Step::Borrow(id), |s| self.borrowed(s, id));
+            next.add(Step::Borrow(id), |s| self.accept_grant(s, id));
         }
         if loan.held > 0 && clock < loan.until {
-            next.with(Step::Return(id), |s| {
+            next.add(Step::Return(id), |s| {
                 s.loans[id].held = 0;
                 s.loans[id].until = 0;
                 s.loans[id].returns += 1;
@@ -95,12 +96,12 @@
         }
     }
 
-    fn borrowed(&self, state: &mut State, id: usize) {
+    fn accept_grant(&self, state: &mut State, id: usize) {
         let clock = state.clock(BORROWER);
         let loan = &mut state.loans[id];
         loan.grants -= 1;
         let again = loan.taken && !self.has(Mutation::CountLoanTwice);
-        // A grant that this life did not ask for has no known term.
+        // The term of a grant that this incarnation did not request is unknown.
         let Some(asked) = loan.asked.filter(|_| !again) else {
             return;
         };
--- a/crates/model/src/specs/stream/scenarios.rs
+++ b/crates/model/src/specs/stream/scenarios.rs
@@ -1,9 +1,9 @@
-//! The configurations that are searched.
+//! The configurations to search.
 
 use super::{Config, Mutation};
-use crate::report::{Case, Family, Size};
+use crate::report::{Case, SearchSuite, Size};
 
-/// Stages that die or seem to, with messages lost, doubled and late.
+/// Failed and wrongly suspected stages, with lost, duplicated and late messages.
 const FAULTS: Config = Config {
     tokens: 2,
     deaths: 1,
@@ -14,7 +14,7 @@
     mutation: None,
 };
 
-/// Stages that are replaced from a checkpoint.
+/// Stages replaced from a checkpoint.
 const CHECKPOINTS: Config = Config {
     tokens: 3,
     losses: 0,
@@ -22,12 +22,12 @@
     ..FAULTS
 };
 
-impl Family for Config {
+impl SearchSuite for Config {
     const NAME: &'static str = "stream";
 
     type Mutation = Mutation;
 
-    fn with(self, mutation: Mutation) -> Self {
+    fn with_mutation(self, mutation: Mutation) -> Self {
         let mutation = Some(mutation);
         Self { mutation, ..self }
     }
