--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -5,7 +5,7 @@
 use super::{Backoff, StoreCall};
 use crate::{
     gateway::{Gateway, On},
-    ports::{CatalogueNews, Mark},
+    ports::{CatalogueUpdate, StoreRevision},
     settings::Settings,
 };
 use dragonflyrill_store::PlatformError;
@@ -80,12 +80,17 @@
 }
 
 /// Takes what a read has brought; gives where to go on.
-fn take(gateway: &Gateway, news: CatalogueNews, sent_at: Duration, before: Option<Mark>) -> Mark {
+fn take(
+    gateway: &Gateway,
+    news: CatalogueUpdate,
+    sent_at: Duration,
+    before: Option<StoreRevision>,
+) -> StoreRevision {
     if let Some(new) = news.catalogue {
         gateway.adopt(new);
     }
     if gateway.catalogue.borrow().is_some() {
         gateway.proven(sent_at);
     }
-    news.mark.max(before.unwrap_or(0))
+    news.revision.max(before.unwrap_or(0))
 }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -8,7 +8,7 @@
 use super::{Backoff, StoreCall, WholeRead};
 use crate::{
     gateway::{Gateway, On},
-    ports::{EndpointNews, Mark},
+    ports::{EndpointUpdate, StoreRevision},
 };
 
 /// The part of the time after which a leaving endpoint may get nothing more that lies between two
@@ -24,7 +24,7 @@
 
 struct Follower {
     gateway: Rc<Gateway>,
-    mark: Option<Mark>,
+    mark: Option<StoreRevision>,
     whole: WholeRead,
 }
 
@@ -79,17 +79,17 @@
         }
     }
 
-    fn take(&mut self, news: EndpointNews) {
+    fn take(&mut self, news: EndpointUpdate) {
         let now = self.gateway.now();
-        self.mark = Some(news.mark);
+        self.mark = Some(news.revision);
         self.gateway.heard(On::List, now);
         let known = self.gateway.list_mark.get();
-        self.gateway.list_mark.set(known.max(news.mark));
+        self.gateway.list_mark.set(known.max(news.revision));
         let mut gone = self.named(&news.removed);
         for fault in news.unusable {
             self.gateway.ignore_entry(fault);
         }
-        if news.whole {
+        if news.complete {
             let listed = news.changed.iter().map(|e| &*e.name);
             gone.extend(self.gateway.directory.borrow().ids_except(listed));
             self.gateway.endpoints_known.set(true);
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -15,7 +15,7 @@
 use super::{Backoff, StoreCall, held_requests, kept_limits};
 use crate::{
     gateway::Gateway,
-    ports::{HostRows, Row, Written},
+    ports::{HostRows, Row, RowWriteOutcome},
 };
 
 /// Before a host's name in its row's key.
@@ -269,11 +269,11 @@
         let key = format!("{HOST_ROW}{}", gateway.settings.host);
         let write = gateway.platform.store.write(&key, &row, Some(expected));
         match StoreCall::Write.made(gateway, CALL, write).await? {
-            Written::Done(version) => {
+            RowWriteOutcome::Done(version) => {
                 bounds.wrote(&draft, version, gateway.now());
                 gateway.quarantine.borrow_mut().mark_persisted(mark);
             }
-            Written::Conflict(row) => {
+            RowWriteOutcome::Conflict(row) => {
                 bounds.found_row(row.map_or(0, |r| r.version));
                 self.beat_at = Some(Duration::ZERO);
             }
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -22,7 +22,7 @@
 use crate::{
     gateway::Gateway,
     http::call::CallError,
-    ports::{EngineReport, Ordered},
+    ports::{EngineReport, OrderAnswer},
 };
 
 /// How long a call to an engine may take.
@@ -220,7 +220,7 @@
             let silent = || CallError::Unknown("no answer in time".to_owned());
             Some((order, outcome.unwrap_or_else(|_| Err(silent()))))
         };
-        let outcomes: Vec<(Order, Result<Ordered, CallError>)> = stream::iter(orders)
+        let outcomes: Vec<(Order, Result<OrderAnswer, CallError>)> = stream::iter(orders)
             .map(give)
             .buffer_unordered(AT_ONCE)
             .filter_map(async |outcome| outcome)
@@ -231,10 +231,10 @@
         }
     }
 
-    fn note(&mut self, order: &Order, outcome: &Result<Ordered, CallError>) {
+    fn note(&mut self, order: &Order, outcome: &Result<OrderAnswer, CallError>) {
         let (ended, label) = match outcome {
-            Ok(Ordered::Begun | Ordered::Holds) => (OrderOutcome::Accepted, "begun"),
-            Ok(Ordered::Refused(_)) | Err(CallError::NotSent(_)) => {
+            Ok(OrderAnswer::Begun | OrderAnswer::Holds) => (OrderOutcome::Accepted, "begun"),
+            Ok(OrderAnswer::Refused(_)) | Err(CallError::NotSent(_)) => {
                 (OrderOutcome::Refused, "refused")
             }
             Err(CallError::Unknown(_)) => (OrderOutcome::Unknown, "unknown"),
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -18,7 +18,7 @@
 };
 use crate::{
     gateway::Gateway,
-    ports::{Row, Written},
+    ports::{Row, RowWriteOutcome},
 };
 
 /// The row of the lease of placing layers.
@@ -234,8 +234,10 @@
         let written = StoreCall::Lease.made(gateway, CALL, write).await;
         let now = self.gateway.now();
         let (outcome, result) = match written {
-            Ok(Written::Done(version)) => (WriteOutcome::Done(version), Ok(())),
-            Ok(Written::Conflict(row)) => (WriteOutcome::Conflict(row.as_ref().map(seen)), Ok(())),
+            Ok(RowWriteOutcome::Done(version)) => (WriteOutcome::Done(version), Ok(())),
+            Ok(RowWriteOutcome::Conflict(row)) => {
+                (WriteOutcome::Conflict(row.as_ref().map(seen)), Ok(()))
+            }
             Err(e) => (WriteOutcome::Unknown, Err(e)),
         };
         self.lease.record_write(sent_at, now, outcome);
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -45,7 +45,7 @@
         let addr = connection.peer();
         gateway.keep(addr, connection, &admitted.service);
     }
-    gateway.platform.dialect.strip(&mut head.headers);
+    gateway.platform.dialect.strip_answer(&mut head.headers);
     let metrics = &gateway.metrics;
     metrics.answered(admitted.kind_label(), head.status);
     let headers = std::mem::take(&mut head.headers);
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -31,7 +31,7 @@
     gateway::Gateway,
     http::callers::{Handler, Received, Responder},
     metrics::Outcome,
-    ports::Incoming,
+    ports::RequestMetadata,
 };
 
 pub use ended::Looks;
@@ -50,7 +50,7 @@
 struct Admitted {
     head: RequestHead,
     body: Bytes,
-    incoming: Incoming,
+    incoming: RequestMetadata,
     route: Rc<Route>,
     service: Rc<Service>,
     workspace: Option<Rc<str>>,
@@ -146,19 +146,19 @@
 }
 
 /// The id of a request, as its caller gave it.
-fn id(incoming: &Incoming) -> &str {
+fn id(incoming: &RequestMetadata) -> &str {
     let id = incoming.attempt.as_ref();
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
 /// A request that was refused before it had a route.
 struct Denied {
-    incoming: Incoming,
+    incoming: RequestMetadata,
     refusal: Refusal,
 }
 
 impl Denied {
-    fn new(incoming: Incoming, refusal: Refusal) -> Box<Self> {
+    fn new(incoming: RequestMetadata, refusal: Refusal) -> Box<Self> {
         Box::new(Self { incoming, refusal })
     }
 }
@@ -178,14 +178,14 @@
         let Received { mut head, body, at } = received;
         let gateway = &self.gateway;
         if !gateway.takes_requests() {
-            let incoming = gateway.platform.dialect.incoming(&mut head);
+            let incoming = gateway.platform.dialect.read_request(&mut head);
             return Err(Denied::new(incoming.unwrap_or_default(), Refusal::Leaving));
         }
-        let incoming = match gateway.platform.dialect.incoming(&mut head) {
+        let incoming = match gateway.platform.dialect.read_request(&mut head) {
             Ok(incoming) => incoming,
             Err(fault) => {
                 let refusal = Refusal::Malformed(fault.to_string());
-                return Err(Denied::new(Incoming::default(), refusal));
+                return Err(Denied::new(RequestMetadata::default(), refusal));
             }
         };
         match self.find(&head, &incoming) {
@@ -226,7 +226,7 @@
     fn find(
         &self,
         head: &RequestHead,
-        incoming: &Incoming,
+        incoming: &RequestMetadata,
     ) -> Result<(Rc<Route>, Option<Workspace>), Refusal> {
         let gateway = &self.gateway;
         let catalogue = gateway.catalogue.borrow();
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -118,8 +118,8 @@
         let now = gateway.now();
         prober.schedule.borrow_mut().record_answer(&part.id, now);
         let mut directory = gateway.directory.borrow_mut();
-        if directory.record_slowdown(&part.id, report.pace, now) {
-            log::info!(target: "fleet", endpoint = &*part.id, pace = report.pace; "Endpoint is slow.");
+        if directory.record_slowdown(&part.id, report.slowdown_factor, now) {
+            log::info!(target: "fleet", endpoint = &*part.id, pace = report.slowdown_factor; "Endpoint is slow.");
             actix_rt::spawn(ask_until_well(gateway.clone(), Asked::of(part), BACK));
         }
         return;
@@ -228,7 +228,7 @@
                 pause = BACK;
             }
             Some(report) => {
-                directory.record_slowdown(&part.id, report.pace, now);
+                directory.record_slowdown(&part.id, report.slowdown_factor, now);
                 if lost {
                     log::info!(target: "fleet", endpoint = &*part.id; "Endpoint answers again.");
                     directory.record_success(&part.id);
--- a/crates/gateway/src/forward/refusal.rs
+++ b/crates/gateway/src/forward/refusal.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::Admitted;
-use crate::{gateway::Gateway, http::callers::Responder, metrics::Outcome, ports::Incoming};
+use crate::{gateway::Gateway, http::callers::Responder, metrics::Outcome, ports::RequestMetadata};
 
 /// When a refused caller may come back, at least, and the spread, so that callers don't return
 /// together. An engine that refused has room again in a few hundred ms.
@@ -86,7 +86,7 @@
 /// Gives the answer.
 pub(super) async fn answer(
     gateway: &Gateway,
-    incoming: &Incoming,
+    incoming: &RequestMetadata,
     kind: &str,
     refusal: &Refusal,
     out: &mut Responder<'_>,
@@ -94,7 +94,7 @@
     let status = refusal.status();
     gateway.metrics.answered(kind, status);
     let dialect = &gateway.platform.dialect;
-    let headers = dialect.own_answer(incoming, refusal.retry_after());
+    let headers = dialect.own_answer_headers(incoming, refusal.retry_after());
     out.whole(status, headers, Bytes::new()).await
 }
 
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -13,7 +13,7 @@
         connection::{self, Connection},
         request_head,
     },
-    ports::{AnswerFacts, Outgoing},
+    ports::{AnswerMetadata, DispatchMetadata},
 };
 
 /// How long a new connection to an endpoint may take. Endpoints are a fraction of a millisecond
@@ -122,7 +122,7 @@
         Ok(Err(e)) => return Err(Failed::BrokeOff(e.to_string())),
         Err(_) => return Err(Failed::MayHaveRun("no answer in time".to_owned())),
     };
-    let facts = gateway.platform.dialect.answer(&head);
+    let facts = gateway.platform.dialect.read_answer(&head);
     let answer = Begun { connection, head };
     check(gateway, admitted, target, answer, &facts, sent_at.elapsed())
 }
@@ -148,7 +148,7 @@
     admitted: &Admitted,
     target: &Target<'_>,
     answer: Begun,
-    facts: &AnswerFacts,
+    facts: &AnswerMetadata,
     after: Duration,
 ) -> Result<Begun, Failed> {
     let head = &answer.head;
@@ -158,7 +158,7 @@
     }
     gateway.note_limit(target.id, facts);
     if facts.not_run || facts.misdirected {
-        let at = facts.fault_at.unwrap_or(target.addr);
+        let at = facts.failed_endpoint.unwrap_or(target.addr);
         note_refusal(gateway, at, facts.misdirected, after);
         return Err(Failed::NotRun(format!("{} by {at}", head.status.as_u16())));
     }
@@ -199,7 +199,7 @@
 }
 
 fn outgoing_head(gateway: &Gateway, admitted: &Admitted, target: &Target<'_>) -> RequestHead {
-    let out = Outgoing {
+    let out = DispatchMetadata {
         deadline: admitted.left(),
         endpoint: target.name,
         workspace: admitted.workspace.as_deref(),
@@ -208,7 +208,7 @@
         after_event: target.after_event,
     };
     let mut headers = admitted.head.headers.clone();
-    gateway.platform.dialect.mark(&mut headers, &out);
+    gateway.platform.dialect.write_request(&mut headers, &out);
     let head = &admitted.head;
     request_head(head.method.clone(), head.uri.clone(), headers)
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -27,7 +27,7 @@
     tries::Tries,
     watch::Watch,
 };
-use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
+use crate::{gateway::Gateway, http::callers::Responder, ports::RequestMetadata};
 
 /// From this fill of its fullest part on a chain gets nothing more. Requests end early as often as
 /// late, so that a chain that looks full may have room.
@@ -209,9 +209,9 @@
 
     /// What the next run needs.
     fn want(&self, engine: &Engine) -> RequestDemand {
-        let Incoming {
+        let RequestMetadata {
             tokens,
-            answer_guess,
+            expected_answer_tokens,
             ..
         } = self.admitted.incoming;
         let prompt_tokens = tokens.map_or(engine.typical_prompt_tokens, |(prompt, _)| {
@@ -226,7 +226,7 @@
         let left = on_time.saturating_duration_since(Instant::now());
         RequestDemand {
             prompt_tokens,
-            answer_tokens: answer_guess
+            answer_tokens: expected_answer_tokens
                 .map_or(engine.typical_answer_tokens, f64::from)
                 .min(most),
             first_event_target_ms: ms(left.max(LEAST_LEFT)),
@@ -327,7 +327,7 @@
             return Ok(RunEnd::Failed(Failed::MayHaveRun(why)));
         }
         let mut headers = std::mem::take(&mut begun.head.headers);
-        self.gateway.platform.dialect.strip(&mut headers);
+        self.gateway.platform.dialect.strip_answer(&mut headers);
         out.whole(status, headers, body).await?;
         Ok(RunEnd::Complete(status))
     }
@@ -412,7 +412,7 @@
     ) -> Result<(), Ended> {
         if !out.started() {
             let mut headers = std::mem::take(&mut begun.head.headers);
-            self.gateway.platform.dialect.strip(&mut headers);
+            self.gateway.platform.dialect.strip_answer(&mut headers);
             out.begin(begun.head.status, headers)?;
         }
         self.gateway.metrics.relayed.inc_by(events.len() as u64);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -43,7 +43,7 @@
     http::{connection::Connection, pool::Idle},
     metrics::Metrics,
     peers::Peers,
-    ports::{Dialect, Engines, Mark, ReadCatalogue, Store},
+    ports::{Dialect, Engines, ReadCatalogue, Store, StoreRevision},
     settings::Settings,
 };
 
@@ -99,7 +99,7 @@
     /// Entries that name no endpoint to use, by the name that they stand under.
     ignored: RefCell<FxHashMap<Rc<str>, Ignored>>,
     /// The place in the store's history up to which the list of endpoints is known.
-    pub list_mark: Cell<Mark>,
+    pub list_mark: Cell<StoreRevision>,
     /// The newest catalogue known.
     pub catalogue: RefCell<Option<Rc<Catalogue>>>,
     /// The document that it was read from.
--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -5,11 +5,11 @@
 use dragonflyrill_fleet::endpoint_limits::{LimitChange, PooledShares, RequestRate};
 
 use super::Gateway;
-use crate::ports::{AnswerFacts, StatedLimit};
+use crate::ports::{AnswerMetadata, StatedLimit};
 
 impl Gateway {
     /// Takes what an endpoint's answer says of its limit.
-    pub fn note_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
+    pub fn note_limit(&self, id: &Rc<str>, facts: &AnswerMetadata) {
         let stated = match facts.limit {
             StatedLimit::Rate(rate) => Some(rate),
             // What the endpoint did not make itself shows nothing.
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -76,13 +76,14 @@
     /// over, and the engine is what it reports.
     pub fn reported(self: &Rc<Self>, id: &str, report: &EngineReport) {
         let known = self.directory.borrow().get(id).cloned();
-        let Some(known) = known.filter(|e| e.started_at.is_some() && report.born > e.started_at)
+        let Some(known) =
+            known.filter(|e| e.started_at.is_some() && report.started_at > e.started_at)
         else {
             return;
         };
         self.list_endpoint(Endpoint {
-            id: incarnations::id(&known.name, report.born),
-            started_at: report.born,
+            id: incarnations::id(&known.name, report.started_at),
+            started_at: report.started_at,
             layers: report.layers,
             draining: false,
             ..(*known).clone()
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -138,7 +138,7 @@
         let gateway = &self.0;
         let path = req.head.uri.path();
         let (status, body) = match path {
-            _ if gateway.platform.dialect.asks_ready(path) => match gateway.ready() {
+            _ if gateway.platform.dialect.is_readiness_path(path) => match gateway.ready() {
                 true => (StatusCode::OK, Bytes::new()),
                 false => (StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
             },
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -427,7 +427,7 @@
 fn adopt(gateway: &Gateway, told: Vec<u8>) -> Result<(), PlatformError> {
     let malformed = |e: std::io::Error| PlatformError::Malformed(e.to_string());
     let document = documents::unpack(told).map_err(malformed)?;
-    gateway.adopt(gateway.platform.store.decode(document)?);
+    gateway.adopt(gateway.platform.store.parse_catalogue(document)?);
     Ok(())
 }
 
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -111,9 +111,9 @@
         false => own_data_centre(gateway),
     };
     let (catalogue, follows) = match catalogue_news(gateway, offer) {
-        CatalogueNews::None => (None, false),
-        CatalogueNews::Told(version, document) => (Some((version, document.to_vec())), false),
-        CatalogueNews::Follows => (None, true),
+        CatalogueUpdate::None => (None, false),
+        CatalogueUpdate::Told(version, document) => (Some((version, document.to_vec())), false),
+        CatalogueUpdate::Follows => (None, true),
     };
     // What proves this host's catalogue says nothing of the older one that the other host keeps meanwhile.
     let age = gateway.freshness.get().proof_age(now).filter(|_| !follows);
@@ -144,7 +144,7 @@
 }
 
 /// What a host is told of the catalogue.
-enum CatalogueNews {
+enum CatalogueUpdate {
     /// It knows the newest.
     None,
     /// This version.
@@ -153,18 +153,18 @@
     Follows,
 }
 
-fn catalogue_news(gateway: &Gateway, offer: &Offer) -> CatalogueNews {
+fn catalogue_news(gateway: &Gateway, offer: &Offer) -> CatalogueUpdate {
     let version = gateway.catalogue_version();
     if version <= offer.catalogue {
-        return CatalogueNews::None;
+        return CatalogueUpdate::None;
     }
     if !offer.unpacks {
-        return CatalogueNews::Told(version, gateway.document.borrow().clone());
+        return CatalogueUpdate::Told(version, gateway.document.borrow().clone());
     }
     let documents = &gateway.peers.documents;
     match documents.tell(gateway, version, gateway.now()) {
-        Some(document) => CatalogueNews::Told(version, document),
-        None => CatalogueNews::Follows,
+        Some(document) => CatalogueUpdate::Told(version, document),
+        None => CatalogueUpdate::Follows,
     }
 }
 
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,5 +1,4 @@
-//! What the gateway needs of the platform that it runs on: implemented by an adapter, and by fakes
-//! in tests.
+//! Interfaces that the gateway needs from the platform. An adapter implements them; tests implement them with fakes.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -15,163 +14,167 @@
 
 use crate::http::call::CallError;
 
-/// What a caller said of its request, besides method, path and body.
+/// What the headers of a caller's request state.
 #[derive(Debug, Clone, Default)]
-pub struct Incoming {
-    /// The id of the caller's attempt, as it was sent.
+pub struct RequestMetadata {
+    /// The id of the caller's attempt, as received.
     pub attempt: Option<HeaderValue>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer, from when the request was received.
     pub deadline: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// Tokens of the prompt, and the most of the answer.
+    /// The number of tokens of the prompt, and the maximum number of tokens of the answer.
     pub tokens: Option<(u32, u32)>,
-    /// The caller's guess of the answer's tokens.
-    pub answer_guess: Option<u32>,
-    /// The last event that the caller has of an earlier attempt.
+    /// The caller's estimate of the number of tokens of the answer.
+    pub expected_answer_tokens: Option<u32>,
+    /// The id of the last event that the caller received in an earlier attempt.
     pub last_event: Option<u64>,
 }
 
-/// What the gateway says of a request to the endpoint that it sends it to.
+/// What the gateway writes into the headers of a request that it sends to an endpoint.
 #[derive(Debug)]
-pub struct Outgoing<'a> {
-    /// How long the caller still waits.
+pub struct DispatchMetadata<'a> {
+    /// How much longer the caller waits.
     pub deadline: Duration,
-    /// The name of the endpoint that is meant; any other refuses.
+    /// The name of the endpoint that is to run the request; any other endpoint refuses it.
     pub endpoint: &'a str,
-    /// Whose request it is.
+    /// The workspace that the request belongs to.
     pub workspace: Option<&'a str>,
-    /// Its rank, 0 is first.
+    /// The priority of the request; 0 is the highest.
     pub priority: u8,
-    /// The endpoints that run it and the layers of each.
+    /// The endpoints of the chain that runs the request, with the layers of each.
     pub chain: &'a [(SocketAddr, LayerRange)],
-    /// The answer is to go on after this event.
+    /// The id of the event after which the answer resumes.
     pub after_event: Option<u64>,
 }
 
-/// What an endpoint said with its answer.
+/// What the headers and the status of an endpoint's answer state.
 #[derive(Debug, Clone, Default)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// The id of the attempt that it answers.
     pub attempt: Option<HeaderValue>,
-    /// It vouches for the body.
+    /// The answer has a seal: the endpoint vouches for the body.
     pub sealed: bool,
-    /// It did not and will not run the request.
+    /// The endpoint did not run the request and will not run it.
     pub not_run: bool,
-    /// Another incarnation has the address, or a part does not hold its layers.
+    /// The address now belongs to another incarnation, or a stage of the chain does not hold its layers.
     pub misdirected: bool,
     /// The endpoint at fault, if it is not the one that answered.
-    pub fault_at: Option<SocketAddr>,
-    /// The body is not as the endpoint made it.
+    pub failed_endpoint: Option<SocketAddr>,
+    /// The body has a content encoding, so that it is not as the endpoint made it.
     pub encoded: bool,
-    /// What it said of the requests that it takes.
+    /// The request rate that the endpoint states it accepts.
     pub limit: StatedLimit,
 }
 
-/// What an answer says of how many requests a second its endpoint takes from all hosts together.
+/// The limit that an answer states on the requests a second that its endpoint accepts from all hosts together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum StatedLimit {
-    /// It names no limit.
+    /// The answer states no limit.
     #[default]
     None,
-    /// It takes so many.
+    /// The answer states this rate.
     Rate(RequestRate),
-    /// It names one that can't be read.
+    /// The answer states a limit that can't be parsed.
     Unreadable,
 }
 
-/// A header that can't be used; names it.
+/// A request header that can't be used.
 #[derive(Debug, thiserror::Error)]
 #[error("header {name}: {problem}")]
-pub struct HeaderFault {
-    /// The header.
+pub struct HeaderError {
+    /// The name of the header.
     pub name: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with its value.
     pub problem: String,
 }
 
-/// How requests and answers are marked on the wire.
+/// How the metadata of requests and answers is represented on the wire.
 pub trait Dialect {
-    /// Reads what a caller said, and takes out of the head what no endpoint may see.
-    fn incoming(&self, head: &mut RequestHead) -> Result<Incoming, HeaderFault>;
-    /// Marks a request for an endpoint.
-    fn mark(&self, headers: &mut HeaderMap, out: &Outgoing<'_>);
-    /// Reads what an endpoint said.
-    fn answer(&self, head: &ResponseHead) -> AnswerFacts;
-    /// Takes out of an answer's headers what is not for callers.
-    fn strip(&self, headers: &mut HeaderMap);
-    /// The headers of an answer of the gateway's own.
-    fn own_answer(&self, incoming: &Incoming, retry_after: Option<Duration>) -> HeaderMap;
-    /// Whether the path asks if this host takes new connections.
-    fn asks_ready(&self, path: &str) -> bool;
+    /// Reads the metadata of a caller's request, and removes from the head what must not reach an endpoint.
+    fn read_request(&self, head: &mut RequestHead) -> Result<RequestMetadata, HeaderError>;
+    /// Writes the metadata of a request for an endpoint into its headers.
+    fn write_request(&self, headers: &mut HeaderMap, out: &DispatchMetadata<'_>);
+    /// Reads the metadata of an endpoint's answer.
+    fn read_answer(&self, head: &ResponseHead) -> AnswerMetadata;
+    /// Removes from an answer's headers what is not meant for callers.
+    fn strip_answer(&self, headers: &mut HeaderMap);
+    /// The headers of an answer that the gateway makes itself.
+    fn own_answer_headers(
+        &self,
+        incoming: &RequestMetadata,
+        retry_after: Option<Duration>,
+    ) -> HeaderMap;
+    /// Whether a request for this path is the readiness check: whether the host accepts new connections.
+    fn is_readiness_path(&self, path: &str) -> bool;
 }
 
-/// A place in the store's history.
-pub type Mark = u64;
+/// A position in the store's sequence of changes.
+pub type StoreRevision = u64;
 
-/// A catalogue and the document that it was read from, which other hosts are given.
+/// A catalogue, and the document that it was parsed from, which is passed to other hosts.
 #[derive(Clone)]
 pub struct ReadCatalogue {
-    /// The catalogue.
+    /// The parsed catalogue.
     pub catalogue: Rc<Catalogue>,
-    /// Its document.
+    /// The document.
     pub document: Bytes,
 }
 
-/// The newest catalogue, if it is newer than what is known.
-pub struct CatalogueNews {
-    /// The catalogue.
+/// The result of a read of the catalogue.
+pub struct CatalogueUpdate {
+    /// The newest catalogue, if it is newer than the revision that the read started from.
     pub catalogue: Option<ReadCatalogue>,
-    /// Where to go on.
-    pub mark: Mark,
+    /// The revision from which the next read continues.
+    pub revision: StoreRevision,
 }
 
-/// What has changed among the endpoints.
-pub struct EndpointNews {
-    /// These are all there are.
-    pub whole: bool,
-    /// New and changed ones.
+/// The result of a read of the list of endpoints.
+pub struct EndpointUpdate {
+    /// `changed` is the complete list, not just the changes.
+    pub complete: bool,
+    /// New and changed endpoints.
     pub changed: Vec<Endpoint>,
-    /// Entries that name no endpoint to use.
+    /// Entries that describe no usable endpoint.
     pub unusable: Vec<UnusableEntry>,
-    /// Names of those whose entries were removed.
+    /// Names of endpoints whose entries were removed.
     pub removed: Vec<Rc<str>>,
-    /// Where to go on.
-    pub mark: Mark,
+    /// The revision from which the next read continues.
+    pub revision: StoreRevision,
 }
 
-/// An entry in the list of endpoints that was not written by an endpoint, or was harmed.
+/// An entry in the list of endpoints that was not written by an endpoint, or is corrupt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnusableEntry {
-    /// The name that it stands under.
+    /// The name under which the entry is listed.
     pub name: Rc<str>,
     /// The version of the entry.
     pub version: u64,
-    /// What is wrong with it.
+    /// The kind of fault.
     pub fault: EntryFault,
-    /// In words, and short.
+    /// A short description of the fault.
     pub why: String,
 }
 
-/// What is wrong with an entry.
+/// What is wrong with an entry in the list of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryFault {
-    /// The name can't be that of an endpoint.
+    /// The name is not a valid endpoint name.
     Name,
-    /// The bytes are no message.
+    /// The bytes can't be parsed as a message.
     Bytes,
-    /// A field is missing, or of another type.
+    /// A field is missing or has the wrong type.
     Field,
-    /// A value is beyond what it may be.
+    /// A value is out of range.
     Value,
-    /// The state is none that an endpoint has.
+    /// The state is not one that an endpoint can have.
     State,
-    /// The start is missing that the endpoint always says.
+    /// The start time is missing, though this endpoint always states it.
     Start,
 }
 
 impl EntryFault {
-    /// Its label in metrics and logs.
+    /// The label of this fault in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Name => "name",
@@ -184,7 +187,7 @@
     }
 }
 
-/// A row of the hosts' own.
+/// A row of the table that the hosts write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Its key.
@@ -195,88 +198,91 @@
     pub version: u64,
 }
 
-/// All rows of the hosts' own, as of one moment.
+/// All rows of the table that the hosts write, as of one moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostRows {
-    /// The rows, by key in order.
+    /// The rows, ordered by key.
     pub rows: Vec<Row>,
-    /// The store's version then: rows that are written later have a higher one.
+    /// The store's version at that moment: rows that are written later have a higher one.
     pub version: u64,
-    /// The store's clock then. It is steady, and that of no host.
+    /// The store's clock at that moment. It is monotonic and independent of the clocks of the hosts.
     pub clock: Duration,
 }
 
-/// How a conditional write ended.
+/// The outcome of a conditional write of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written {
-    /// Done; the version of the row now.
+pub enum RowWriteOutcome {
+    /// The row was written and now has this version.
     Done(u64),
-    /// Not done: the row is as given.
+    /// Nothing was written: this is the current row, if there is one.
     Conflict(Option<Row>),
 }
 
 /// The platform's store.
 pub trait Store {
-    /// Reads a catalogue's document that came from another host.
-    fn decode(&self, document: Bytes) -> Result<ReadCatalogue, PlatformError>;
-    /// The catalogue, read anew if `after` is `None`, else what comes within `wait`.
+    /// Parses a catalogue's document that was received from another host.
+    fn parse_catalogue(&self, document: Bytes) -> Result<ReadCatalogue, PlatformError>;
+    /// Reads the catalogue if `after` is `None`; else waits at most `wait` for a change after that revision.
     fn catalogue(
         &self,
-        after: Option<Mark>,
+        after: Option<StoreRevision>,
         wait: Duration,
-    ) -> LocalBoxFuture<'_, Result<CatalogueNews, PlatformError>>;
-    /// The endpoints, read anew if `after` is `None`, else what changes within `wait`.
+    ) -> LocalBoxFuture<'_, Result<CatalogueUpdate, PlatformError>>;
+    /// Reads the complete list of endpoints if `after` is `None`; else waits at most `wait` for changes after that
+    /// revision.
     fn endpoints(
         &self,
-        after: Option<Mark>,
+        after: Option<StoreRevision>,
         wait: Duration,
-    ) -> LocalBoxFuture<'_, Result<EndpointNews, PlatformError>>;
-    /// All rows of the hosts' own.
+    ) -> LocalBoxFuture<'_, Result<EndpointUpdate, PlatformError>>;
+    /// Reads all rows of the table that the hosts write.
     fn rows(&self) -> LocalBoxFuture<'_, Result<HostRows, PlatformError>>;
-    /// Writes a row if it has that version, 0 if there is none; `None` writes in any case.
+    /// Writes a row of that table if the row has the `expected` version, 0 if it must not exist; `None` writes
+    /// unconditionally.
     fn write(
         &self,
         key: &str,
         value: &str,
         expected: Option<u64>,
-    ) -> LocalBoxFuture<'_, Result<Written, PlatformError>>;
+    ) -> LocalBoxFuture<'_, Result<RowWriteOutcome, PlatformError>>;
 }
 
-/// How an order ended.
+/// An engine's answer to an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ordered {
-    /// Begun.
+pub enum OrderAnswer {
+    /// The engine has started to carry it out.
     Begun,
-    /// It was so already.
+    /// The engine already holds the layers.
     Holds,
-    /// Refused; says why.
+    /// The engine refused it, for this reason.
     Refused(String),
 }
 
-/// What a model engine says of itself.
+/// The state that a model engine reports.
 #[derive(Debug, Clone, Default)]
 pub struct EngineReport {
     /// The layers that it holds.
     pub layers: Option<LayerRange>,
-    /// An order is being carried out.
+    /// It is carrying out an order.
     pub busy: bool,
-    /// Orders that it has begun since it started.
+    /// The number of orders that it has started to carry out in this incarnation.
     pub orders: u64,
     /// How many times slower it is than its accelerator should be.
-    pub pace: f64,
-    /// When it started, if it says so.
-    pub born: Option<StartTime>,
+    pub slowdown_factor: f64,
+    /// When it started, if it reports that.
+    pub started_at: Option<StartTime>,
 }
 
-/// Orders to model engines.
+/// Calls to model engines.
 pub trait Engines {
-    /// Has an engine hold just these layers; `orders` is how many orders it must have begun.
+    /// Orders an engine to hold exactly these layers. If `orders` is set, the engine refuses unless it has started that
+    /// many orders.
     fn place(
         &self,
         addr: SocketAddr,
         layers: LayerRange,
         orders: Option<u64>,
-    ) -> LocalBoxFuture<'_, Result<Ordered, CallError>>;
-    /// Asks an engine for its state.
+    ) -> LocalBoxFuture<'_, Result<OrderAnswer, CallError>>;
+    /// Reads an engine's state.
     fn report(&self, addr: SocketAddr) -> LocalBoxFuture<'_, Result<EngineReport, CallError>>;
 }
