--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -42,14 +42,14 @@
         mut head,
     } = whole.begun;
     if connection.reusable() {
-        let addr = connection.peer();
+        let addr = connection.peer_addr();
         gateway.keep(addr, connection, &admitted.service);
     }
     gateway.platform.dialect.strip_answer(&mut head.headers);
     let metrics = &gateway.metrics;
     metrics.answered(admitted.kind_label(), head.status);
     let headers = std::mem::take(&mut head.headers);
-    out.whole(head.status, headers, whole.body).await?;
+    out.send_complete(head.status, headers, whole.body).await?;
     admitted.trail.answered(head.status);
     Ok(())
 }
@@ -153,7 +153,7 @@
     let until = time::Instant::now() + limit;
     let asked = async {
         let mut begun = send::send(gateway, admitted, &target, limit).await?;
-        let body = time::timeout_at(until, begun.connection.whole_body(MOST_ANSWER)).await;
+        let body = time::timeout_at(until, begun.connection.read_body(MOST_ANSWER)).await;
         match body {
             Ok(Ok(body)) => Ok(Whole { begun, body }),
             Ok(Err(e)) => Err(Failed::BrokeOff(e.to_string())),
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -256,7 +256,7 @@
             .map_or_else(CallerLimits::default, |c| c.caller_limits)
     }
 
-    fn leaving(&self) -> bool {
+    fn shutting_down(&self) -> bool {
         self.gateway.leaving()
     }
 
--- a/crates/gateway/src/forward/refusal.rs
+++ b/crates/gateway/src/forward/refusal.rs
@@ -95,7 +95,7 @@
     gateway.metrics.answered(kind, status);
     let dialect = &gateway.platform.dialect;
     let headers = dialect.own_answer_headers(incoming, refusal.retry_after());
-    out.whole(status, headers, Bytes::new()).await
+    out.send_complete(status, headers, Bytes::new()).await
 }
 
 /// Writes a line on a request that got no route.
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -117,7 +117,7 @@
         Ok(Err((_, e))) => return Err(Failed::BrokeOff(format!("sending failed: {e}"))),
         Err(_) => return Err(Failed::MayHaveRun("sending took too long".to_owned())),
     }
-    let head = match time::timeout(limit, connection.head()).await {
+    let head = match time::timeout(limit, connection.read_head()).await {
         Ok(Ok(head)) => head,
         Ok(Err(e)) => return Err(Failed::BrokeOff(e.to_string())),
         Err(_) => return Err(Failed::MayHaveRun("no answer in time".to_owned())),
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -318,7 +318,7 @@
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, Ended> {
         let status = begun.head.status;
-        let body = match begun.connection.whole_body(MOST_FAILURE).await {
+        let body = match begun.connection.read_body(MOST_FAILURE).await {
             Ok(body) => body,
             Err(e) => return Ok(RunEnd::Failed(Failed::MayHaveRun(e.to_string()))),
         };
@@ -328,7 +328,7 @@
         }
         let mut headers = std::mem::take(&mut begun.head.headers);
         self.gateway.platform.dialect.strip_answer(&mut headers);
-        out.whole(status, headers, body).await?;
+        out.send_complete(status, headers, body).await?;
         Ok(RunEnd::Complete(status))
     }
 
@@ -345,7 +345,7 @@
         loop {
             let piece = tokio::select! {
                 biased;
-                piece = begun.connection.chunk() => piece,
+                piece = begun.connection.read_chunk() => piece,
                 given_up = watch.until_given_up(since) => {
                     // What has ended sends nothing more, and its caller may as well know.
                     if out.started() && !given_up.over && !self.may_go_on_elsewhere() {
@@ -376,7 +376,7 @@
             let now = self.gateway.now();
             self.gateway.prober.event(watch.chain, now);
         }
-        out.end().await?;
+        out.finish().await?;
         if begun.connection.reusable() {
             let addr = watch.chain.first_stage().addr;
             self.gateway
@@ -413,10 +413,10 @@
         if !out.started() {
             let mut headers = std::mem::take(&mut begun.head.headers);
             self.gateway.platform.dialect.strip_answer(&mut headers);
-            out.begin(begun.head.status, headers)?;
+            out.start_stream(begun.head.status, headers)?;
         }
         self.gateway.metrics.relayed.inc_by(events.len() as u64);
-        out.piece(events).await?;
+        out.send_chunk(events).await?;
         self.admitted.trail.events();
         Ok(())
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -40,7 +40,7 @@
 use crate::{
     bounds::Bounds,
     forward::{LineBudget, Looks, Prober},
-    http::{connection::Connection, pool::Idle},
+    http::{connection::Connection, pool::IdleConnections},
     metrics::Metrics,
     peers::Peers,
     ports::{Dialect, Engines, ReadCatalogue, Store, StoreRevision},
@@ -115,7 +115,7 @@
     /// Hosts that are alive, this one included.
     pub hosts: Cell<u32>,
     /// Idle connections to endpoints.
-    pub idle: Idle,
+    pub idle: IdleConnections,
     /// Counters.
     pub metrics: Metrics,
     /// This host's part of the bounds that all hosts keep together.
@@ -172,7 +172,7 @@
             endpoints_known: Cell::new(false),
             loads: RefCell::default(),
             hosts: Cell::new(1),
-            idle: Idle::default(),
+            idle: IdleConnections::default(),
             metrics: Metrics::default(),
             bounds,
             found: RefCell::default(),
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -67,7 +67,7 @@
         self.endpoint_over(&endpoint.id);
         self.loads.borrow_mut().forget(&endpoint.id);
         self.limits.borrow_mut().remove(&endpoint.id);
-        self.idle.drop_all(endpoint.addr);
+        self.idle.close_all(endpoint.addr);
         self.prober.changed();
         self.metrics.endpoint_restarts.inc();
     }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -130,7 +130,7 @@
         Default::default()
     }
 
-    fn leaving(&self) -> bool {
+    fn shutting_down(&self) -> bool {
         false
     }
 
@@ -148,7 +148,7 @@
             }
             _ => (StatusCode::NOT_FOUND, Bytes::new()),
         };
-        out.whole(status, Default::default(), body).await
+        out.send_complete(status, Default::default(), body).await
     }
 
     fn abandoned(&self) {}
--- a/crates/gateway/src/http/call.rs
+++ b/crates/gateway/src/http/call.rs
@@ -1,4 +1,4 @@
-//! One small call to the store or to an endpoint's control interface, answered whole.
+//! A client for small calls to the store or to an endpoint's control interface, which reads each answer into memory.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,40 +8,40 @@
 use tokio::time;
 
 use super::{
-    connection::{Broken, Connection},
-    pool::Idle,
+    connection::{AnswerError, Connection},
+    pool::IdleConnections,
     request_head,
 };
 
-/// The largest answer that is read.
-const MOST_ANSWER: usize = 16 * 1024 * 1024;
+/// The maximum size of an answer's body.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent: it has no effect.
+    /// Nothing was sent: the call has no effect.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// It may have had its effect, or may have it later.
+    /// The call may have taken effect, or may take effect later.
     #[error("no answer: {0}")]
     Unknown(String),
 }
 
-/// A call.
+/// A request to a server.
 #[derive(Debug)]
 pub struct Call {
-    /// Its method.
+    /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// JSON or an object's bytes; may be empty.
     pub body: Bytes,
-    /// It is to be done only if there is nothing of that name yet.
+    /// The server is to refuse the call if an object of this name exists (`If-None-Match: *`).
     pub if_absent: bool,
 }
 
 impl Call {
-    /// A call that reads.
+    /// A GET without a body.
     pub fn get(uri: Uri) -> Self {
         Self {
             method: Method::GET,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A call that posts JSON.
+    /// A POST of a JSON body.
     pub fn post(uri: Uri, body: Bytes) -> Self {
         Self {
             method: Method::POST,
@@ -78,7 +78,7 @@
     }
 }
 
-/// An answer.
+/// The answer to a call.
 #[derive(Debug)]
 pub struct Answer {
     /// Its status.
@@ -87,22 +87,22 @@
     pub body: Bytes,
 }
 
-/// A client for small calls, with its idle connections.
+/// A client for small calls, with a pool of idle connections.
 pub struct Client {
     config: ServiceConfig,
-    idle: Idle,
+    idle: IdleConnections,
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(config: ServiceConfig) -> Self {
         Self {
             config,
-            idle: Idle::default(),
+            idle: IdleConnections::default(),
         }
     }
 
-    /// Makes a call, which ends within `limit`.
+    /// Makes a call and reads its answer. Fails with [`CallError::Unknown`] after `limit`.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -132,9 +132,12 @@
                     _ => CallError::Unknown(why),
                 }
             })?;
-        let unknown = |e: Broken| CallError::Unknown(e.to_string());
-        let head = connection.head().await.map_err(unknown)?;
-        let body = connection.whole_body(MOST_ANSWER).await.map_err(unknown)?;
+        let unknown = |e: AnswerError| CallError::Unknown(e.to_string());
+        let head = connection.read_head().await.map_err(unknown)?;
+        let body = connection
+            .read_body(MAX_ANSWER_BYTES)
+            .await
+            .map_err(unknown)?;
         if connection.reusable() {
             self.idle.put(addr, connection, usize::MAX);
         }
--- a/crates/gateway/src/http/callers.rs
+++ b/crates/gateway/src/http/callers.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: requests in, answers out, and a watch on whether the caller is still there.
+//! The server side of a connection: reads requests, writes answers, and detects when the caller closes the connection.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -24,36 +24,37 @@
 
 use super::request_head;
 
-/// How much is read at once.
-const READ_BYTES: usize = 4 * 1024;
-/// How many bytes of further requests are taken in while one is answered.
-const MOST_AHEAD: usize = 64 * 1024;
-/// How long bytes are still read after the last answer, so that closing does not reset it.
-const LINGER: Duration = Duration::from_millis(500);
+/// The minimum free capacity of the buffer before each read.
+const READ_CHUNK_BYTES: usize = 4 * 1024;
+/// The maximum number of bytes of further requests that are buffered while one is answered.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+/// How long received bytes are discarded after the last answer, so that closing the connection does not reset it
+/// before the caller has read the answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request that was read whole.
+/// A request that was read completely.
 pub struct Received {
-    /// Its head.
+    /// The head.
     pub head: RequestHead,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When it had been read.
+    /// When the last byte of the request had been read.
     pub at: Instant,
 }
 
-/// What answers requests.
+/// Answers requests.
 pub trait Handler {
-    /// What callers may send now.
+    /// The limits on requests and connections that apply now.
     fn limits(&self) -> CallerLimits;
-    /// Whether connections are to be closed after the answer.
-    fn leaving(&self) -> bool;
-    /// Answers a request. An error closes the connection in the middle of the answer.
+    /// Whether the connection is to be closed after the next answer.
+    fn shutting_down(&self) -> bool;
+    /// Answers a request. An error closes the connection, which truncates the answer.
     fn handle(
         &self,
         req: Received,
         out: &mut Responder<'_>,
     ) -> impl Future<Output = io::Result<()>>;
-    /// The caller closed its connection before the answer was complete.
+    /// Called if the caller closed its connection before the answer was complete.
     fn abandoned(&self);
 }
 
@@ -67,13 +68,13 @@
 }
 
 impl Responder<'_> {
-    /// Whether a part of the answer has been sent.
+    /// Whether the answer has been started.
     pub fn started(&self) -> bool {
         self.started
     }
 
-    /// Sends a whole answer.
-    pub async fn whole(
+    /// Sends a complete answer.
+    pub async fn send_complete(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
@@ -87,20 +88,20 @@
         self.flush().await
     }
 
-    /// Begins an answer of unknown length; it goes out with its first piece.
-    pub fn begin(&mut self, status: StatusCode, headers: HeaderMap) -> io::Result<()> {
+    /// Starts an answer of unknown length. Its head is sent with the first chunk.
+    pub fn start_stream(&mut self, status: StatusCode, headers: HeaderMap) -> io::Result<()> {
         self.head(status, headers, BodySize::Stream)
     }
 
-    /// Sends a piece of the answer.
-    pub async fn piece(&mut self, piece: Bytes) -> io::Result<()> {
+    /// Sends a chunk of an answer of unknown length.
+    pub async fn send_chunk(&mut self, chunk: Bytes) -> io::Result<()> {
         self.codec
-            .encode(Message::Chunk(Some(piece)), &mut self.buf)?;
+            .encode(Message::Chunk(Some(chunk)), &mut self.buf)?;
         self.flush().await
     }
 
-    /// Ends an answer of unknown length as complete.
-    pub async fn end(&mut self) -> io::Result<()> {
+    /// Marks an answer of unknown length as complete.
+    pub async fn finish(&mut self) -> io::Result<()> {
         self.codec.encode(Message::Chunk(None), &mut self.buf)?;
         self.flush().await
     }
@@ -125,15 +126,15 @@
     }
 }
 
-/// Why no request was read.
-enum NoRequest {
-    /// The connection ended, or was idle too long.
+/// Why no complete request was read.
+enum ReadFailure {
+    /// The connection was closed or failed, or was idle for too long.
     Ended,
-    /// What came can't be served; the answer says why.
+    /// The request is refused with this status.
     Refused(StatusCode),
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it is closed. A `true` in `closing` closes it while it is idle.
 pub async fn serve<H: Handler>(
     mut io: TcpStream,
     handler: Rc<H>,
@@ -147,29 +148,29 @@
         let read = tokio::select! {
             biased;
             read = read_request(&mut io, &mut buf, &mut codec, &limits) => read,
-            () = idle_and_closing(&mut closing) => return,
+            () = until_closing(&mut closing) => return,
         };
         let received = match read {
             Ok(received) => received,
-            Err(NoRequest::Ended) => return,
-            Err(NoRequest::Refused(status)) => {
+            Err(ReadFailure::Ended) => return,
+            Err(ReadFailure::Refused(status)) => {
                 refuse(&mut io, &mut codec, status).await;
                 return;
             }
         };
-        let keep = codec.keep_alive();
+        let keep_alive = codec.keep_alive();
         let (mut reader, writer) = io.split();
         let mut out = Responder {
             io: writer,
             codec: &mut codec,
             buf: BytesMut::new(),
-            close: !keep || handler.leaving(),
+            close: !keep_alive || handler.shutting_down(),
             started: false,
         };
         let answered = tokio::select! {
             biased;
             answered = handler.handle(received, &mut out) => answered,
-            () = closed(&mut reader, &mut buf) => {
+            () = until_closed(&mut reader, &mut buf) => {
                 handler.abandoned();
                 return;
             }
@@ -185,8 +186,8 @@
     }
 }
 
-/// Ends when idle connections are to be closed.
-async fn idle_and_closing(closing: &mut watch::Receiver<bool>) {
+/// Waits until idle connections are to be closed.
+async fn until_closing(closing: &mut watch::Receiver<bool>) {
     if closing.wait_for(|closing| *closing).await.is_err() {
         std::future::pending::<()>().await;
     }
@@ -197,21 +198,21 @@
     buf: &mut BytesMut,
     codec: &mut Codec,
     limits: &CallerLimits,
-) -> Result<Received, NoRequest> {
+) -> Result<Received, ReadFailure> {
     if buf.is_empty() {
         fill(io, buf, limits.idle_timeout).await?;
     }
     let until = Instant::now() + limits.head_timeout;
-    let too_large = NoRequest::Refused(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+    let too_large = ReadFailure::Refused(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     let request = loop {
-        let came = buf.len();
+        let buffered = buf.len();
         match codec.decode(buf) {
-            Ok(Some(Message::Item(_))) if came - buf.len() > limits.max_head_bytes => {
+            Ok(Some(Message::Item(_))) if buffered - buf.len() > limits.max_head_bytes => {
                 return Err(too_large);
             }
             Ok(Some(Message::Item(request))) => break request,
             Ok(_) => {}
-            Err(_) => return Err(NoRequest::Refused(StatusCode::BAD_REQUEST)),
+            Err(_) => return Err(ReadFailure::Refused(StatusCode::BAD_REQUEST)),
         }
         if buf.len() > limits.max_head_bytes {
             return Err(too_large);
@@ -219,20 +220,20 @@
         match fill(io, buf, until.saturating_duration_since(Instant::now())).await {
             Ok(()) => {}
             Err(_) if Instant::now() >= until => {
-                return Err(NoRequest::Refused(StatusCode::REQUEST_TIMEOUT));
+                return Err(ReadFailure::Refused(StatusCode::REQUEST_TIMEOUT));
             }
             Err(e) => return Err(e),
         }
     };
     let body = read_body(io, buf, codec, &request, limits).await?;
     Ok(Received {
-        head: own_head(request),
+        head: into_head(request),
         body,
         at: Instant::now(),
     })
 }
 
-fn own_head(mut request: Request) -> RequestHead {
+fn into_head(mut request: Request) -> RequestHead {
     let headers = std::mem::take(request.headers_mut());
     request_head(request.method().clone(), request.uri().clone(), headers)
 }
@@ -243,55 +244,55 @@
     codec: &mut Codec,
     request: &Request,
     limits: &CallerLimits,
-) -> Result<Bytes, NoRequest> {
+) -> Result<Bytes, ReadFailure> {
     if matches!(codec.message_type(), actix_http::h1::MessageType::None) {
         return Ok(Bytes::new());
     }
     let length = request.head().headers.get(header::CONTENT_LENGTH);
     let length: Option<usize> = length.and_then(|l| l.to_str().ok()?.trim().parse().ok());
-    let too_large = Err(NoRequest::Refused(StatusCode::PAYLOAD_TOO_LARGE));
+    let too_large = Err(ReadFailure::Refused(StatusCode::PAYLOAD_TOO_LARGE));
     if length.is_some_and(|l| l > limits.max_body_bytes) {
         return too_large;
     }
     if request.head().expect() && buf.is_empty() {
-        let go_on = io.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        go_on.map_err(|_| NoRequest::Ended)?;
+        let written = io.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        written.map_err(|_| ReadFailure::Ended)?;
     }
-    let mut whole = BytesMut::new();
+    let mut body = BytesMut::new();
     loop {
-        // Also with nothing to read: the codec tells of the end by a call of its own.
-        let piece = codec.decode(buf);
-        match piece.map_err(|_| NoRequest::Refused(StatusCode::BAD_REQUEST))? {
-            Some(Message::Chunk(Some(piece))) => {
-                if whole.len() + piece.len() > limits.max_body_bytes {
+        // Called even if the buffer is empty: the codec reports the end of the body in a separate call.
+        let chunk = codec.decode(buf);
+        match chunk.map_err(|_| ReadFailure::Refused(StatusCode::BAD_REQUEST))? {
+            Some(Message::Chunk(Some(chunk))) => {
+                if body.len() + chunk.len() > limits.max_body_bytes {
                     return too_large;
                 }
-                whole.extend_from_slice(&piece);
+                body.extend_from_slice(&chunk);
             }
-            Some(_) => return Ok(whole.freeze()),
+            Some(_) => return Ok(body.freeze()),
             None => fill(io, buf, limits.idle_timeout).await?,
         }
     }
 }
 
-async fn fill(io: &mut TcpStream, buf: &mut BytesMut, limit: Duration) -> Result<(), NoRequest> {
-    buf.reserve(READ_BYTES);
+async fn fill(io: &mut TcpStream, buf: &mut BytesMut, limit: Duration) -> Result<(), ReadFailure> {
+    buf.reserve(READ_CHUNK_BYTES);
     match time::timeout(limit, io.read_buf(buf)).await {
         Ok(Ok(n)) if n > 0 => Ok(()),
-        _ => Err(NoRequest::Ended),
+        _ => Err(ReadFailure::Ended),
     }
 }
 
-/// Ends when the caller has closed its side; bytes of its next requests are kept meanwhile.
-async fn closed(io: &mut ReadHalf<'_>, buf: &mut BytesMut) {
+/// Waits until the caller has closed its side of the connection; buffers the bytes of further requests meanwhile.
+async fn until_closed(io: &mut ReadHalf<'_>, buf: &mut BytesMut) {
     loop {
-        if buf.len() > MOST_AHEAD {
+        if buf.len() > MAX_READ_AHEAD_BYTES {
             std::future::pending::<()>().await;
         }
         if io.readable().await.is_err() {
             return;
         }
-        buf.reserve(READ_BYTES);
+        buf.reserve(READ_CHUNK_BYTES);
         match io.try_read_buf(buf) {
             Ok(0) => return,
             Ok(_) => {}
@@ -313,13 +314,14 @@
     }
 }
 
-/// Reads on for a moment, so that closing does not reset what was sent.
+/// Discards received bytes for up to [`LINGER_TIMEOUT`], so that closing the connection does not reset it before the
+/// caller has read the answer.
 async fn linger(io: &mut TcpStream) {
     if io.shutdown().await.is_err() {
         return;
     }
     let mut rest = [0; 1024];
     let drained = async { while io.read(&mut rest).await.is_ok_and(|n| n > 0) {} };
-    // Whoever has not closed by then is reset: that is what the bound is for.
-    let _ = time::timeout(LINGER, drained).await;
+    // If the caller has not closed its side by then, closing the connection resets it; the limit bounds the wait.
+    let _ = time::timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint or to the store, on which one request runs at a time.
+//! A client connection to an endpoint or to the store, which carries one request at a time.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -13,37 +13,37 @@
 use tokio::{io::Interest, net::TcpStream, time};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// How long a peer may leave sent bytes unacknowledged before the connection counts as broken.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
-/// The header by which a server states for how long it keeps an idle connection.
+/// How long sent bytes may remain unacknowledged by the peer before the connection fails.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The header in which a server states how long it keeps an idle connection open.
 const KEEP_ALIVE: &str = "keep-alive";
-/// How much is read at once.
-const READ_BYTES: usize = 8 * 1024;
-/// The largest chunk of a body that is waited for whole; the codec hands out smaller ones.
-const MOST_BUFFERED: usize = 256 * 1024;
+/// The minimum free capacity of the buffer before each read.
+const READ_CHUNK_BYTES: usize = 8 * 1024;
+/// The maximum number of received bytes that the codec has not decoded. The codec decodes the body in smaller pieces.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Why an answer did not come whole.
+/// Why an answer could not be read to its end.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum AnswerError {
     /// The connection failed.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The connection ended before the answer did.
+    /// The peer closed the connection before the end of the answer.
     #[error("closed before the end of the answer")]
     Closed,
-    /// What came is no answer.
+    /// The received bytes are not a valid answer.
     #[error("not an answer: {0}")]
     Malformed(String),
 }
 
-/// How the body of an answer ends.
+/// How the end of an answer's body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Body {
-    /// No more is due.
+    /// The body has been read to its end, or there is none.
     Done,
-    /// The codec knows where it ends.
+    /// By its length or its chunks, which the codec decodes.
     Framed,
-    /// With the connection. Nobody can tell whether it is whole.
+    /// By the end of the connection: a truncated body can't be detected.
     UntilClose,
 }
 
@@ -54,16 +54,16 @@
     buf: BytesMut,
     codec: Codec,
     body: Body,
-    /// Whether a request was sent, or a part of it, and its answer was not read to the end.
-    under_way: bool,
-    /// Whether the request that was sent was sent whole.
-    sent_whole: bool,
-    /// Whether the request asked for no body.
+    /// Whether a request was sent, at least in part, and its answer was not read to the end.
+    in_progress: bool,
+    /// Whether the last request was sent completely.
+    fully_sent: bool,
+    /// Whether the method of the request is HEAD, so that its answer has no body.
     head_only: bool,
-    /// Whether the server lets another request follow.
-    keep: bool,
-    /// For how long the server keeps the connection while it is idle, if it says so.
-    kept_for: Option<Duration>,
+    /// Whether the server allows another request on this connection.
+    keep_alive: bool,
+    /// How long the server keeps the connection open while it is idle, if it states that.
+    idle_timeout: Option<Duration>,
     config: ServiceConfig,
 }
 
@@ -77,41 +77,42 @@
     pub async fn open(addr: SocketAddr, config: &ServiceConfig) -> io::Result<Self> {
         let io = TcpStream::connect(addr).await?;
         io.set_nodelay(true)?;
-        socket2::SockRef::from(&io).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        socket2::SockRef::from(&io).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         Ok(Self {
             addr,
             io,
             buf: BytesMut::new(),
             codec: Codec::Head(ClientCodec::new(config.clone())),
             body: Body::Done,
-            under_way: false,
-            sent_whole: true,
+            in_progress: false,
+            fully_sent: true,
             head_only: false,
-            keep: true,
-            kept_for: None,
+            keep_alive: true,
+            idle_timeout: None,
             config: config.clone(),
         })
     }
 
-    /// The address at the other end.
-    pub fn peer(&self) -> SocketAddr {
+    /// The address of the server.
+    pub fn peer_addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Whether the connection can take another request: the last answer was read to its end,
-    /// nothing followed it, and the peer has not closed.
+    /// Whether the connection can carry another request: the last answer was read to its end,
+    /// nothing followed it, and the peer has not closed the connection.
     pub fn reusable(&mut self) -> bool {
-        let done = self.body == Body::Done && self.keep && self.sent_whole && self.buf.is_empty();
-        done && self.quiet()
+        let done =
+            self.body == Body::Done && self.keep_alive && self.fully_sent && self.buf.is_empty();
+        done && self.open_and_idle()
     }
 
-    /// For how long the server keeps the connection while it is idle, if it has said so.
-    pub fn kept_for(&self) -> Option<Duration> {
-        self.kept_for
+    /// How long the server keeps the connection open while it is idle, if it has stated that.
+    pub fn idle_timeout(&self) -> Option<Duration> {
+        self.idle_timeout
     }
 
-    /// Whether the peer has neither sent anything nor closed.
-    fn quiet(&self) -> bool {
+    /// Whether the peer has neither sent anything nor closed the connection.
+    fn open_and_idle(&self) -> bool {
         let mut byte = [0];
         match self.io.try_read(&mut byte) {
             Err(e) => e.kind() == io::ErrorKind::WouldBlock,
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Sends a request. An error says that the connection failed, with how many bytes had left.
+    /// Sends a request. If the connection fails, the error contains the number of bytes that were sent.
     ///
-    /// Returns early if the server answers before it has the whole request.
+    /// Returns early if the server answers before it has received the complete request.
     pub async fn send(&mut self, head: RequestHead, body: Bytes) -> Result<(), (usize, io::Error)> {
         let mut out = BytesMut::with_capacity(1024 + body.len());
         let mut codec = ClientCodec::new(self.config.clone());
@@ -140,8 +141,8 @@
             encoded.map_err(|e| (0, e))?;
         }
         self.codec = Codec::Head(codec);
-        self.under_way = true;
-        self.sent_whole = false;
+        self.in_progress = true;
+        self.fully_sent = false;
         self.head_only = head_only;
         let mut sent = 0;
         while sent < out.len() {
@@ -162,25 +163,27 @@
                 }
             }
         }
-        self.sent_whole = true;
+        self.fully_sent = true;
         Ok(())
     }
 
-    /// Reads the head of the answer.
-    pub async fn head(&mut self) -> Result<ResponseHead, Broken> {
+    /// Reads the head of the answer; informational answers (1xx) are skipped.
+    pub async fn read_head(&mut self) -> Result<ResponseHead, AnswerError> {
         loop {
             let Codec::Head(codec) = &mut self.codec else {
-                return Err(Broken::Malformed("an answer is still being read".into()));
+                return Err(AnswerError::Malformed(
+                    "an answer is still being read".into(),
+                ));
             };
             let head = match self.buf.is_empty() {
                 true => None,
                 false => codec
                     .decode(&mut self.buf)
-                    .map_err(|e| Broken::Malformed(e.to_string()))?,
+                    .map_err(|e| AnswerError::Malformed(e.to_string()))?,
             };
             let Some(head) = head else {
                 if self.fill().await? == 0 {
-                    return Err(Broken::Closed);
+                    return Err(AnswerError::Closed);
                 }
                 continue;
             };
@@ -193,8 +196,8 @@
     }
 
     fn begin_body(&mut self, head: &ResponseHead) {
-        self.keep = head.connection_type() == ConnectionType::KeepAlive;
-        self.kept_for = kept_for(head);
+        self.keep_alive = head.connection_type() == ConnectionType::KeepAlive;
+        self.idle_timeout = idle_timeout(head);
         let next = self.new_codec();
         let Codec::Head(codec) = std::mem::replace(&mut self.codec, next) else {
             return;
@@ -214,28 +217,28 @@
         };
         match self.body {
             Body::Framed => self.codec = Codec::Payload(codec.into_payload_codec()),
-            Body::UntilClose => self.keep = false,
-            Body::Done => self.under_way = false,
+            Body::UntilClose => self.keep_alive = false,
+            Body::Done => self.in_progress = false,
         }
     }
 
     fn end_body(&mut self) {
         self.body = Body::Done;
-        self.under_way = false;
+        self.in_progress = false;
     }
 
     fn new_codec(&self) -> Codec {
         Codec::Head(ClientCodec::new(self.config.clone()))
     }
 
-    /// Reads the next piece of the body; `None` at its end.
-    pub async fn chunk(&mut self) -> Result<Option<Bytes>, Broken> {
+    /// Reads the next chunk of the body; `None` at its end.
+    pub async fn read_chunk(&mut self) -> Result<Option<Bytes>, AnswerError> {
         loop {
             match (self.body, &mut self.codec) {
                 (Body::Framed, Codec::Payload(codec)) => {
-                    // Also with nothing to read: the codec tells of the end by a call of its own.
+                    // Called even if the buffer is empty: the codec reports the end of the body in a separate call.
                     let piece = codec.decode(&mut self.buf);
-                    match piece.map_err(|e| Broken::Malformed(e.to_string()))? {
+                    match piece.map_err(|e| AnswerError::Malformed(e.to_string()))? {
                         Some(Some(bytes)) => return Ok(Some(bytes)),
                         Some(None) => {
                             self.end_body();
@@ -245,7 +248,7 @@
                         None => {}
                     }
                     if self.fill().await? == 0 {
-                        return Err(Broken::Closed);
+                        return Err(AnswerError::Closed);
                     }
                 }
                 (Body::UntilClose, _) => {
@@ -262,12 +265,14 @@
         }
     }
 
-    /// Reads the whole body, unless it is longer than `most` bytes.
-    pub async fn whole_body(&mut self, most: usize) -> Result<Bytes, Broken> {
+    /// Reads the complete body. Fails if it is longer than `max_bytes`.
+    pub async fn read_body(&mut self, max_bytes: usize) -> Result<Bytes, AnswerError> {
         let mut whole = BytesMut::new();
-        while let Some(piece) = self.chunk().await? {
-            if whole.len() + piece.len() > most {
-                return Err(Broken::Malformed(format!("body over {most} bytes")));
+        while let Some(piece) = self.read_chunk().await? {
+            if whole.len() + piece.len() > max_bytes {
+                return Err(AnswerError::Malformed(format!(
+                    "body over {max_bytes} bytes"
+                )));
             }
             whole.extend_from_slice(&piece);
         }
@@ -277,10 +282,10 @@
     async fn fill(&mut self) -> io::Result<usize> {
         loop {
             self.io.readable().await?;
-            if self.buf.len() > MOST_BUFFERED {
+            if self.buf.len() > MAX_BUFFERED_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
-            self.buf.reserve(READ_BYTES);
+            self.buf.reserve(READ_CHUNK_BYTES);
             match self.io.try_read_buf(&mut self.buf) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 other => return other,
@@ -290,19 +295,19 @@
 }
 
 impl Drop for Connection {
-    /// A request that is given up is taken back: without a reset the system goes on sending what a
-    /// link holds up, and the endpoint gets it seconds later, when nobody waits for it any more and
-    /// others have been sent in its place.
+    /// Resets the connection if its request was abandoned. Without the reset the operating system continues to send
+    /// buffered bytes over a slow link, and the endpoint receives the request seconds later, when no caller waits for
+    /// it and other requests have been sent in its place.
     fn drop(&mut self) {
-        if self.under_way {
-            // If that fails the connection is broken already.
+        if self.in_progress {
+            // If this fails, the connection has already failed.
             let _ = socket2::SockRef::from(&self.io).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// The idle timeout that an answer states, in whole seconds.
-fn kept_for(head: &ResponseHead) -> Option<Duration> {
+/// The idle timeout that an answer states, in seconds.
+fn idle_timeout(head: &ResponseHead) -> Option<Duration> {
     let stated = head.headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parameters = stated.split(',').filter_map(|p| p.split_once('='));
     let timeout = parameters.find(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"));
@@ -310,7 +315,7 @@
     Some(Duration::from_secs(seconds))
 }
 
-/// Opens a connection within a time.
+/// Opens a connection. Fails with [`io::ErrorKind::TimedOut`] after `limit`.
 pub async fn open_within(
     addr: SocketAddr,
     config: &ServiceConfig,
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 on sockets, by the codec of `actix-http`.
 //!
-//! The codec is used without its dispatcher and without `awc`, because forwarding needs to see what
-//! those hide: whether a byte of a request has left, whether a peer sent more than its answer,
-//! whether an answer without a length ended or broke off, and when a caller closes its connection.
+//! The codec is used without its dispatcher and without `awc`, because forwarding needs facts that those hide: whether
+//! any byte of a request was sent, whether a peer sent more than its answer, whether an answer without a length is
+//! complete or was truncated, and when a caller closes its connection.
 
 pub mod call;
 pub mod callers;
@@ -12,7 +12,7 @@
 use actix_http::{KeepAlive, RequestHead, ServiceConfig, ServiceConfigBuilder, header::HeaderMap};
 use http::{Method, Uri};
 
-/// A head made of its parts.
+/// Builds a request head.
 pub(crate) fn request_head(method: Method, uri: Uri, headers: HeaderMap) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = method;
@@ -21,7 +21,7 @@
     head
 }
 
-/// The codec's settings, one for the whole process: it keeps a task of its own for the date.
+/// The codec's configuration. A process uses one, as each has its own task that updates the date.
 pub fn codec_config() -> ServiceConfig {
     ServiceConfigBuilder::new()
         .keep_alive(KeepAlive::Os)
--- a/crates/gateway/src/http/pool.rs
+++ b/crates/gateway/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, by address.
+//! A pool of idle connections, by address.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -7,78 +7,80 @@
 
 use super::connection::Connection;
 
-/// How long a connection may be idle and still be used, if its server states no timeout: below the
-/// shortest that servers usually have, so that a request rarely meets a connection that is being closed.
-const MOST_IDLE: Duration = Duration::from_millis(2500);
-/// The same if the server states a longer one: what went silent meanwhile shows only with a request.
-const MOST_IDLE_STATED: Duration = Duration::from_secs(15);
-/// What is kept back of a timeout that a server states, for the way there and a host that is busy.
-const BEFORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Idle connections kept to one address.
-const MOST_KEPT: usize = 16;
+/// How long a connection may be idle and still be reused, if its server states no idle timeout. It is below the
+/// shortest timeout that servers usually have, so that a request is rarely sent on a connection that is being closed.
+const MAX_IDLE: Duration = Duration::from_millis(2500);
+/// The maximum if the server states a longer timeout: a peer that has become unreachable meanwhile is noticed only
+/// when a request is sent.
+const MAX_IDLE_STATED: Duration = Duration::from_secs(15);
+/// How long before the timeout that a server states a connection is no longer reused, to allow for network latency
+/// and delays on a busy host.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// The maximum number of idle connections to one address.
+const MAX_KEPT_PER_ADDR: usize = 16;
 
-/// An idle connection.
-struct Kept {
-    /// Until when it can be used.
+/// An idle connection and how long it can be reused.
+struct IdleConnection {
+    /// When it stops being reusable.
     until: Instant,
     connection: Connection,
 }
 
-impl Kept {
+impl IdleConnection {
     fn new(connection: Connection) -> Self {
-        let stated = connection.kept_for();
-        let most = stated.map_or(MOST_IDLE, |t| {
-            t.saturating_sub(BEFORE_TIMEOUT).min(MOST_IDLE_STATED)
+        let stated = connection.idle_timeout();
+        let max = stated.map_or(MAX_IDLE, |t| {
+            t.saturating_sub(TIMEOUT_MARGIN).min(MAX_IDLE_STATED)
         });
         Self {
-            until: Instant::now() + most,
+            until: Instant::now() + max,
             connection,
         }
     }
 
-    fn lives(&self) -> bool {
+    fn is_usable(&self) -> bool {
         Instant::now() < self.until
     }
 }
 
-/// Idle connections.
+/// A pool of idle connections.
 #[derive(Default)]
-pub struct Idle {
-    by_addr: RefCell<FxHashMap<SocketAddr, Vec<Kept>>>,
+pub struct IdleConnections {
+    by_addr: RefCell<FxHashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
-impl Idle {
-    /// The connection to an address that was used last, if it can still be used.
+impl IdleConnections {
+    /// Removes and returns the most recently used connection to an address that can still be reused.
     pub fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut by_addr = self.by_addr.borrow_mut();
         let kept = by_addr.get_mut(&addr)?;
         while let Some(mut kept) = kept.pop() {
-            if kept.lives() && kept.connection.reusable() {
+            if kept.is_usable() && kept.connection.reusable() {
                 return Some(kept.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection that can be used again, if fewer than `most` are kept to its address.
-    pub fn put(&self, addr: SocketAddr, connection: Connection, most: usize) {
+    /// Adds a reusable connection, if fewer than `max` to its address are in the pool; closes it otherwise.
+    pub fn put(&self, addr: SocketAddr, connection: Connection, max: usize) {
         let mut by_addr = self.by_addr.borrow_mut();
         let kept = by_addr.entry(addr).or_default();
-        if kept.len() < most.min(MOST_KEPT) {
-            kept.push(Kept::new(connection));
+        if kept.len() < max.min(MAX_KEPT_PER_ADDR) {
+            kept.push(IdleConnection::new(connection));
         }
     }
 
     /// Closes all connections to an address.
-    pub fn drop_all(&self, addr: SocketAddr) {
+    pub fn close_all(&self, addr: SocketAddr) {
         self.by_addr.borrow_mut().remove(&addr);
     }
 
-    /// Closes what has been idle too long.
+    /// Closes the connections that have been idle for too long.
     pub fn sweep(&self) {
         let mut by_addr = self.by_addr.borrow_mut();
         by_addr.retain(|_, kept| {
-            kept.retain(Kept::lives);
+            kept.retain(IdleConnection::is_usable);
             !kept.is_empty()
         });
     }
--- a/crates/gateway/tests/connection.rs
+++ b/crates/gateway/tests/connection.rs
@@ -4,7 +4,7 @@
 
 use actix_http::RequestHead;
 use bytes::Bytes;
-use dragonflyrill_gateway::http::{codec_config, connection::Connection, pool::Idle};
+use dragonflyrill_gateway::http::{codec_config, connection::Connection, pool::IdleConnections};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -48,8 +48,8 @@
     let (mut connection, mut peer) = asked().await;
     let part = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart";
     peer.write_all(part).await.expect("it is read");
-    connection.head().await.expect("an answer");
-    connection.chunk().await.expect("a part of it");
+    connection.read_head().await.expect("an answer");
+    connection.read_chunk().await.expect("a part of it");
     drop(connection);
     assert_eq!(next(peer).await, Err(io::ErrorKind::ConnectionReset));
 }
@@ -59,8 +59,8 @@
     let (mut connection, mut peer) = asked().await;
     let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     peer.write_all(whole).await.expect("it is read");
-    connection.head().await.expect("an answer");
-    connection.whole_body(10).await.expect("all of it");
+    connection.read_head().await.expect("an answer");
+    connection.read_body(10).await.expect("all of it");
     drop(connection);
     assert_eq!(next(peer).await, Ok(0));
 }
@@ -71,10 +71,10 @@
     let (mut connection, mut peer) = asked().await;
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n{headers}\r\nbody");
     peer.write_all(answer.as_bytes()).await.expect("it is read");
-    connection.head().await.expect("an answer");
-    connection.whole_body(4).await.expect("a body");
-    let addr = connection.peer();
-    let idle = Idle::default();
+    connection.read_head().await.expect("an answer");
+    connection.read_body(4).await.expect("a body");
+    let addr = connection.peer_addr();
+    let idle = IdleConnections::default();
     idle.put(addr, connection, 1);
     time::pause();
     time::advance(after).await;
