--- a/crates/gateway/src/bounds.rs
+++ b/crates/gateway/src/bounds.rs
@@ -1,8 +1,7 @@
-//! Bounds that all hosts keep together, as this host holds its part of them.
+//! This host's portion of the bounds that apply to all hosts together.
 //!
-//! What may be taken is decided in [`dragonflyrill_fleet::share`] and [`dragonflyrill_fleet::budget`];
-//! here their state is kept and spelled as the host's row in the store has it. The row is written by
-//! [`crate::control::host_row`].
+//! [`dragonflyrill_fleet::share`] and [`dragonflyrill_fleet::budget`] decide how much this host may use. This module
+//! holds their state and converts it to and from the host's row in the store, which [`crate::control::host_row`] writes.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,60 +18,60 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// The parts of a row that are being written.
+/// The claim and the recorded retries of a row that is being written.
 pub struct RowDraft {
     share: ClaimDraft,
     recorded: Vec<RecordedRetries>,
 }
 
 impl RowDraft {
-    /// The claim as the row spells it.
+    /// The claim in the form that the row stores.
     pub fn claim(&self) -> ShareClaim {
         claim_to_wire(&self.share.claim)
     }
 
-    /// The repeats as the row spells them.
-    pub fn repeats(&self) -> Vec<RecordedRepeats> {
-        let one = |r: &RecordedRetries| RecordedRepeats {
+    /// The recorded retries in the form that the row stores.
+    pub fn retries(&self) -> Vec<RecordedRepeats> {
+        let to_wire = |r: &RecordedRetries| RecordedRepeats {
             service: r.service.to_string(),
             repeats: r.retries,
         };
-        self.recorded.iter().map(one).collect()
+        self.recorded.iter().map(to_wire).collect()
     }
 }
 
-/// This host's part of the bounds over all hosts.
-pub struct Bounds {
+/// This host's portion of the bounds over all hosts.
+pub struct SharedBounds {
     share: RefCell<Share>,
     budgets: RefCell<RetryBudgets>,
-    /// The version of this host's row as far as it is known, 0 if there is none; `None` until the
-    /// rows were read, and with it what a process before this one may have taken.
-    row: Cell<Option<u64>>,
-    /// How old the row was that an earlier process of this host has written, when this one read it.
-    found_age: Cell<Option<Duration>>,
-    /// The last write of the row failed: it is not waited for.
-    failing: Cell<bool>,
-    wanted: Notify,
+    /// The last known version of this host's row, 0 if there is none; `None` until the rows were read, and with them
+    /// the claim and the retries of an earlier process of this host.
+    row_version: Cell<Option<u64>>,
+    /// The age of the row of an earlier process of this host when this process read it.
+    inherited_row_age: Cell<Option<Duration>>,
+    /// The last write of the row failed, so that no request waits for the next one.
+    write_failing: Cell<bool>,
+    write_request: Notify,
     written: watch::Sender<()>,
 }
 
-impl Bounds {
-    /// Nothing may be taken of a shared bound before the rows were read.
-    pub fn new(terms: BudgetConfig) -> Self {
+impl SharedBounds {
+    /// Creates the state of a host that has not read the rows. Until it has, it may use nothing of a shared bound.
+    pub fn new(config: BudgetConfig) -> Self {
         Self {
-            share: RefCell::new(Share::new(terms.span())),
-            budgets: RefCell::new(RetryBudgets::new(terms)),
-            row: Cell::new(None),
-            found_age: Cell::new(None),
-            failing: Cell::new(false),
-            wanted: Notify::new(),
+            share: RefCell::new(Share::new(config.span())),
+            budgets: RefCell::new(RetryBudgets::new(config)),
+            row_version: Cell::new(None),
+            inherited_row_age: Cell::new(None),
+            write_failing: Cell::new(false),
+            write_request: Notify::new(),
             written: watch::Sender::new(()),
         }
     }
 
-    /// Takes the rows of all hosts, read by a call sent at `sent_at`, as of a version and a time of
-    /// the store's clock; `own` is this host's row, with its version.
-    pub fn read(
+    /// Merges the rows of all hosts, read by a call sent at `sent_at`, as of a version and a time of the store's clock;
+    /// `own` is this host's row, with its version. The first call inherits the claim and the retries of `own`.
+    pub fn merge_rows(
         &self,
         rows: &[(u64, HostRow)],
         own: Option<&(u64, HostRow)>,
@@ -80,79 +79,85 @@
         sent_at: Duration,
         now: Duration,
     ) {
-        let claims: Vec<ClaimRow> = rows.iter().filter_map(claimed).collect();
-        let view = ClaimsSnapshot::of(&claims, version, clock);
+        let claims: Vec<ClaimRow> = rows.iter().filter_map(claim_row).collect();
+        let snapshot = ClaimsSnapshot::of(&claims, version, clock);
         let mut share = self.share.borrow_mut();
-        if self.row.get().is_none() {
-            self.row.set(Some(own.map_or(0, |(version, _)| *version)));
-            if let Some(row) = own.and_then(claimed) {
-                share.take_over(&row, &view, sent_at);
-                self.found_age.set(clock.checked_sub(row.claim.read_at));
+        if self.row_version.get().is_none() {
+            self.row_version
+                .set(Some(own.map_or(0, |(version, _)| *version)));
+            if let Some(row) = own.and_then(claim_row) {
+                share.take_over(&row, &snapshot, sent_at);
+                self.inherited_row_age
+                    .set(clock.checked_sub(row.claim.read_at));
             }
-            let before: Vec<RecordedRetries> =
-                own.into_iter().flat_map(|(_, r)| recorded(r)).collect();
-            self.budgets.borrow_mut().inherit(&before, now);
+            let inherited: Vec<RecordedRetries> = own
+                .into_iter()
+                .flat_map(|(_, r)| recorded_retries(r))
+                .collect();
+            self.budgets.borrow_mut().inherit(&inherited, now);
             log::info!(
                 target: "roster",
-                hosts = view.hosts,
+                hosts = snapshot.hosts,
                 claimed = own.is_some(),
-                repeats = before.iter().map(|r| r.retries).sum::<u32>();
-                "What an earlier process has claimed is taken over."
+                repeats = inherited.iter().map(|r| r.retries).sum::<u32>();
+                "Claims of an earlier process of this host are inherited."
             );
         }
-        share.merge_snapshot(view, sent_at, now);
+        share.merge_snapshot(snapshot, sent_at, now);
     }
 
-    /// Takes the claims as another host told them, who was asked at `sent_at`.
-    pub fn told(&self, told: &ClaimsView, sent_at: Duration, now: Duration) {
-        let age = Duration::from_micros(told.age_us);
-        // Before this process started: it has read the rows itself since.
+    /// Merges the claims that another host reported in answer to a poll sent at `sent_at`.
+    pub fn merge_report(&self, report: &ClaimsView, sent_at: Duration, now: Duration) {
+        let age = Duration::from_micros(report.age_us);
+        // The report is older than this process, which has read the rows itself since it started.
         let Some(sent_at) = sent_at.checked_sub(age) else {
             return;
         };
-        let view = ClaimsSnapshot {
-            version: told.version,
-            clock: Duration::from_millis(told.clock_ms),
-            hosts: told.hosts,
-            newest: told.newest,
-            counted_by_all: told.counted_by_all,
-            first_held: told.first_held,
+        let snapshot = ClaimsSnapshot {
+            version: report.version,
+            clock: Duration::from_millis(report.clock_ms),
+            hosts: report.hosts,
+            newest: report.newest,
+            counted_by_all: report.counted_by_all,
+            first_held: report.first_held,
         };
-        self.share.borrow_mut().merge_snapshot(view, sent_at, now);
+        self.share
+            .borrow_mut()
+            .merge_snapshot(snapshot, sent_at, now);
     }
 
-    /// The claims as other hosts are told them.
-    pub fn to_tell(&self, now: Duration) -> Option<ClaimsView> {
+    /// The claims as they are reported to other hosts; `None` until they are known.
+    pub fn report(&self, now: Duration) -> Option<ClaimsView> {
         let share = self.share.borrow();
-        let (view, age) = (share.snapshot()?, share.snapshot_age(now)?);
+        let (snapshot, age) = (share.snapshot()?, share.snapshot_age(now)?);
         Some(ClaimsView {
-            version: view.version,
-            clock_ms: millis(view.clock),
+            version: snapshot.version,
+            clock_ms: millis(snapshot.clock),
             age_us: age.as_micros() as u64,
-            hosts: view.hosts,
-            newest: view.newest,
-            counted_by_all: view.counted_by_all,
-            first_held: view.first_held,
+            hosts: snapshot.hosts,
+            newest: snapshot.newest,
+            counted_by_all: snapshot.counted_by_all,
+            first_held: snapshot.first_held,
         })
     }
 
-    /// What the store's clock says now, as far as a read of the rows tells.
+    /// The current time of the store's clock, extrapolated from the last read of the rows.
     pub fn store_clock(&self, now: Duration) -> Option<Duration> {
         let share = self.share.borrow();
         Some(share.snapshot()?.clock + share.snapshot_age(now)?)
     }
 
-    /// Hosts that may use bounds over all of them; `None` until that is known.
+    /// The number of hosts that may use the shared bounds; `None` until that is known.
     pub fn hosts(&self) -> Option<u32> {
         self.share.borrow().snapshot().map(|v| v.hosts)
     }
 
-    /// By how many this host may divide such a bound now; `None` if it has no part of it.
+    /// The number by which this host divides a shared bound now; `None` if it may use none of it.
     pub fn divisor(&self, now: Duration) -> Option<u32> {
         self.share.borrow_mut().divisor(now)
     }
 
-    /// A request for a service came in.
+    /// Counts a request for a service.
     pub fn count_request(&self, service: &Rc<str>, now: Duration) {
         self.budgets
             .borrow_mut()
@@ -160,19 +165,19 @@
             .count_request(now);
     }
 
-    /// Takes one repeat of a request; false if none is left.
-    pub fn take_repeat(&self, service: &Rc<str>, now: Duration) -> bool {
+    /// Uses one retry of the budget of a service; false if none is left.
+    pub fn acquire_retry(&self, service: &Rc<str>, now: Duration) -> bool {
         let divisor = self.divisor(now);
         let mut budgets = self.budgets.borrow_mut();
-        let taken = budgets.service(service).try_acquire(now, divisor);
+        let acquired = budgets.service(service).try_acquire(now, divisor);
         if budgets.service(service).record_due(now, divisor) {
-            self.wanted.notify_one();
+            self.write_request.notify_one();
         }
-        taken
+        acquired
     }
 
-    /// How the budget of a service stands.
-    pub fn standing(&self, service: &Rc<str>, now: Duration) -> BudgetState {
+    /// The state of the retry budget of a service.
+    pub fn budget_state(&self, service: &Rc<str>, now: Duration) -> BudgetState {
         let divisor = self.divisor(now);
         self.budgets
             .borrow_mut()
@@ -181,32 +186,32 @@
     }
 
     /// The version of this host's row, 0 if there is none; `None` until the rows were read.
-    pub fn row(&self) -> Option<u64> {
-        self.row.get()
+    pub fn row_version(&self) -> Option<u64> {
+        self.row_version.get()
     }
 
-    /// How old the row of an earlier process of this host was when it was read, if there was one.
-    pub fn found_age(&self) -> Option<Duration> {
-        self.found_age.get()
+    /// The age of the row of an earlier process of this host when it was read; `None` if there was no such row.
+    pub fn inherited_row_age(&self) -> Option<Duration> {
+        self.inherited_row_age.get()
     }
 
-    /// Whether another host waits for this one's row to count it.
+    /// Whether another host waits for this host's row to count it.
     pub fn awaited(&self) -> bool {
         self.share.borrow().awaited()
     }
 
-    /// Whether the row is to allow more repeats than it does.
+    /// Whether the row is to permit more retries of any service before its next regular write.
     pub fn record_due(&self, now: Duration) -> bool {
         let divisor = self.divisor(now);
         self.budgets.borrow_mut().record_due(now, divisor)
     }
 
-    /// This host is about to end.
-    pub fn leave(&self) {
+    /// Marks this host as shutting down.
+    pub fn begin_shutdown(&self) {
         self.budgets.borrow_mut().begin_shutdown();
     }
 
-    /// What the row is to say; from now on the store may hold it.
+    /// Drafts the next content of the row. From now on the store may contain it.
     pub fn draft(
         &self,
         services: impl Iterator<Item = Rc<str>>,
@@ -223,81 +228,81 @@
         Some(RowDraft { share, recorded })
     }
 
-    /// The store holds the draft as that version of the row.
-    pub fn wrote(&self, draft: &RowDraft, version: u64, now: Duration) {
-        self.row.set(Some(version));
+    /// Records that the store contains the draft as this version of the row.
+    pub fn confirm_write(&self, draft: &RowDraft, version: u64, now: Duration) {
+        self.row_version.set(Some(version));
         self.share
             .borrow_mut()
             .confirm_write(&draft.share, version, now);
         self.budgets.borrow_mut().confirm_record(&draft.recorded);
-        self.failing.set(false);
+        self.write_failing.set(false);
         self.written.send_replace(());
     }
 
-    /// The row was found to have another version, 0 if it is gone: a write of this host without an
-    /// answer has taken effect after all.
-    pub fn found_row(&self, version: u64) {
-        self.row.set(Some(version));
+    /// Records that the row has another version than expected, 0 if it does not exist: a write of this host that was
+    /// not answered has taken effect.
+    pub fn set_row_version(&self, version: u64) {
+        self.row_version.set(Some(version));
     }
 
-    /// The row could not be written.
-    pub fn write_failed(&self) {
-        self.failing.set(true);
+    /// Records that the row could not be written.
+    pub fn record_write_failure(&self) {
+        self.write_failing.set(true);
         self.written.send_replace(());
     }
 
-    /// The row can be written again, as far as is known.
-    pub fn write_again(&self) {
-        self.failing.set(false);
+    /// Records that writes of the row are expected to succeed again.
+    pub fn clear_write_failure(&self) {
+        self.write_failing.set(false);
     }
 
-    /// Whether a write of the row is worth waiting for.
-    pub fn writes_row(&self) -> bool {
-        self.row.get().is_some() && !self.failing.get()
+    /// Whether a write of the row is expected to succeed, so that a request may wait for it.
+    pub fn can_write_row(&self) -> bool {
+        self.row_version.get().is_some() && !self.write_failing.get()
     }
 
-    /// A request waits for a repeat to be written down until what is given is dropped.
-    pub fn wait<'a>(&'a self, service: &'a Rc<str>) -> Waiting<'a> {
+    /// Counts a request that waits until its retry is recorded, until the returned guard is dropped.
+    pub fn begin_retry_wait<'a>(&'a self, service: &'a Rc<str>) -> RetryWait<'a> {
         self.budgets.borrow_mut().service(service).begin_wait();
         let bounds = self;
-        Waiting { bounds, service }
+        RetryWait { bounds, service }
     }
 
-    /// Has the row written; changes when that has ended.
-    pub fn write_row(&self) -> watch::Receiver<()> {
+    /// Requests a write of the row. The receiver changes when the write has ended.
+    pub fn request_write(&self) -> watch::Receiver<()> {
         let written = self.written.subscribe();
-        self.wanted.notify_one();
+        self.write_request.notify_one();
         written
     }
 
-    /// Waits until somebody wants the row to be written.
-    pub async fn row_wanted(&self) {
-        self.wanted.notified().await;
+    /// Waits until a write of the row is requested.
+    pub async fn write_requested(&self) {
+        self.write_request.notified().await;
     }
 }
 
-/// A request that waits for a repeat to be written down.
-pub struct Waiting<'a> {
-    bounds: &'a Bounds,
+/// Guard of a request that waits until its retry is recorded in the row.
+pub struct RetryWait<'a> {
+    bounds: &'a SharedBounds,
     service: &'a Rc<str>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for RetryWait<'_> {
     fn drop(&mut self) {
         let mut budgets = self.bounds.budgets.borrow_mut();
         budgets.service(self.service).end_wait();
     }
 }
 
-/// The claim of a row, as it stands in the store.
-fn claimed((version, row): &(u64, HostRow)) -> Option<ClaimRow> {
+/// The claim of a row, with the row's version; `None` if the row has no claim.
+fn claim_row((version, row): &(u64, HostRow)) -> Option<ClaimRow> {
     Some(ClaimRow {
         version: *version,
         claim: claim_from_wire(row.claim.as_ref()?),
     })
 }
 
-fn recorded(row: &HostRow) -> impl Iterator<Item = RecordedRetries> {
+fn recorded_retries(row: &HostRow) -> impl Iterator<Item = RecordedRetries> {
     row.repeats.iter().map(|r| RecordedRetries {
         service: r.service.as_str().into(),
         retries: r.repeats,
@@ -305,7 +310,7 @@
 }
 
 fn claim_to_wire(claim: &Claim) -> ShareClaim {
-    let held = |held: ShareHolding| HeldShare {
+    let to_wire = |held: ShareHolding| HeldShare {
         version: held.version,
         whole_at_ms: millis(held.usable_at),
     };
@@ -313,12 +318,12 @@
         since: claim.since,
         counted_to: claim.counted_to,
         read_at_ms: millis(claim.read_at),
-        held: claim.held.map(held),
+        held: claim.held.map(to_wire),
     }
 }
 
 fn claim_from_wire(claim: &ShareClaim) -> Claim {
-    let held = |held: HeldShare| ShareHolding {
+    let from_wire = |held: HeldShare| ShareHolding {
         version: held.version,
         usable_at: Duration::from_millis(held.whole_at_ms),
     };
@@ -326,6 +331,6 @@
         since: claim.since,
         counted_to: claim.counted_to,
         read_at: Duration::from_millis(claim.read_at_ms),
-        held: claim.held.map(held),
+        held: claim.held.map(from_wire),
     }
 }
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -71,12 +71,12 @@
     let me = &gateway.settings.host;
     let own = hosts.iter().find(|(_, row)| row.host.host == *me);
     let as_of = (read.version, read.clock);
-    if gateway.bounds.row().is_none() {
+    if gateway.bounds.row_version().is_none() {
         kept_limits::take(gateway, &hosts, read.clock);
     }
     gateway
         .bounds
-        .read(&hosts, own, as_of, sent_at, gateway.now());
+        .merge_rows(&hosts, own, as_of, sent_at, gateway.now());
     held_requests::take(gateway, &hosts, read.clock);
     Ok(AllRows {
         rows: read.rows,
@@ -137,7 +137,7 @@
             match keeper.write().await {
                 Ok(()) => backoff.succeeded(&gateway),
                 Err(e) => {
-                    gateway.bounds.write_failed();
+                    gateway.bounds.record_write_failure();
                     keeper.beat_at = Some(gateway.now() + keeper.beat().mul_f64(RETRY_PART));
                     log::warn!(target: "roster", why:% = e; "This host's row can't be written.");
                     backoff.failed(&gateway).await;
@@ -148,7 +148,7 @@
         } else {
             tokio::select! {
                 () = time::sleep(TICK) => {}
-                () = gateway.bounds.row_wanted() => {}
+                () = gateway.bounds.write_requested() => {}
             }
         }
         keeper.observe();
@@ -159,11 +159,11 @@
     fn due(&mut self) -> bool {
         let (gateway, bounds) = (&self.gateway, &self.gateway.bounds);
         let now = gateway.now();
-        if bounds.row().is_none() {
+        if bounds.row_version().is_none() {
             return false;
         }
         if gateway.leaving() && !self.left {
-            bounds.leave();
+            bounds.begin_shutdown();
             self.left = true;
             return true;
         }
@@ -202,9 +202,9 @@
         let gateway = &self.gateway;
         let away = gateway.store_away();
         match (self.away, away) {
-            (false, true) => gateway.bounds.write_failed(),
+            (false, true) => gateway.bounds.record_write_failure(),
             (true, false) => {
-                gateway.bounds.write_again();
+                gateway.bounds.clear_write_failure();
                 let spread = gateway.now() + self.join_pause();
                 self.beat_at = self.beat_at.map(|at| at.max(spread));
             }
@@ -226,7 +226,7 @@
     /// When the row is written for the first time: what a process of this host wrote before stands until
     /// it would have written it again, so that hosts that were all killed do not all write at once.
     fn first_beat(&self) -> Duration {
-        let found = self.gateway.bounds.found_age();
+        let found = self.gateway.bounds.inherited_row_age();
         found.map_or(Duration::ZERO, |age| self.beat().saturating_sub(age))
     }
 
@@ -244,7 +244,7 @@
         let names = services.map(|s| s.name.clone());
         let now = gateway.now();
         let (Some(expected), Some(draft), Some(clock)) = (
-            bounds.row(),
+            bounds.row_version(),
             bounds.draft(names, now),
             bounds.store_clock(now),
         ) else {
@@ -254,7 +254,7 @@
         let row = HostRow {
             host: myself(gateway),
             claim: Some(draft.claim()),
-            repeats: draft.repeats(),
+            repeats: draft.retries(),
             held_requests: held_requests::spelled(&holds, clock),
             endpoint_limits: kept_limits::to_keep(gateway, clock),
         };
@@ -270,11 +270,11 @@
         let write = gateway.platform.store.write(&key, &row, Some(expected));
         match StoreCall::Write.made(gateway, CALL, write).await? {
             RowWriteOutcome::Done(version) => {
-                bounds.wrote(&draft, version, gateway.now());
+                bounds.confirm_write(&draft, version, gateway.now());
                 gateway.quarantine.borrow_mut().mark_persisted(mark);
             }
             RowWriteOutcome::Conflict(row) => {
-                bounds.found_row(row.map_or(0, |r| r.version));
+                bounds.set_row_version(row.map_or(0, |r| r.version));
                 self.beat_at = Some(Duration::ZERO);
             }
         }
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -186,7 +186,7 @@
     /// Notes after a read of the rows whether the others are known.
     fn note_others(&mut self, now: Duration) {
         let gateway = &self.gateway;
-        let new = gateway.bounds.row() == Some(0);
+        let new = gateway.bounds.row_version() == Some(0);
         let one_before = gateway.peers.one_before(&gateway.settings, now);
         match self.newcomer {
             Newcomer::Blind if new && !one_before => self.newcomer = Newcomer::Alone,
@@ -202,7 +202,11 @@
 
     /// Whether a host that was alone reads the rows once more.
     fn looks_once_more(&self, now: Duration) -> bool {
-        let written = self.gateway.bounds.row().is_some_and(|version| version > 0);
+        let written = self
+            .gateway
+            .bounds
+            .row_version()
+            .is_some_and(|version| version > 0);
         self.newcomer == Newcomer::Alone && (written || now >= NEWCOMER_WAIT)
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -38,7 +38,7 @@
 
 use self::listing::Ignored;
 use crate::{
-    bounds::Bounds,
+    bounds::SharedBounds,
     forward::{LineBudget, Looks, Prober},
     http::{connection::Connection, pool::IdleConnections},
     metrics::Metrics,
@@ -119,7 +119,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// This host's part of the bounds that all hosts keep together.
-    pub bounds: Bounds,
+    pub bounds: SharedBounds,
     found: RefCell<FxHashMap<Rc<str>, FoundChains>>,
     epoch: Instant,
     /// When this host was asked to stop.
@@ -153,7 +153,7 @@
     pub fn new(settings: Settings, platform: Platform, codec: ServiceConfig) -> Rc<Self> {
         let freshness = Freshness::new(settings.key_revocation);
         let lines = LineBudget::new(settings.logged_per_s);
-        let bounds = Bounds::new(settings.retries);
+        let bounds = SharedBounds::new(settings.retries);
         let quarantine = Quarantine::new(settings.request_hold);
         let outage = StoreOutage::new(settings.endpoint_heartbeat);
         Rc::new(Self {
@@ -316,7 +316,7 @@
 
     /// Takes one repeat of a request out of the budget, and counts it; false if none is left.
     pub fn take_repeat(&self, service: &Rc<str>) -> bool {
-        let taken = self.bounds.take_repeat(service, self.now());
+        let taken = self.bounds.acquire_retry(service, self.now());
         let metrics = &self.metrics;
         match taken {
             true => metrics.repeats.inc(),
@@ -329,9 +329,9 @@
     pub async fn until_recorded(&self, service: &Rc<str>) {
         let until = Instant::now() + RECORDED_WITHIN;
         let mut waiting = None;
-        while self.repeats_standing(service).needs_record() && self.bounds.writes_row() {
-            waiting.get_or_insert_with(|| self.bounds.wait(service));
-            let mut written = self.bounds.write_row();
+        while self.repeats_standing(service).needs_record() && self.bounds.can_write_row() {
+            waiting.get_or_insert_with(|| self.bounds.begin_retry_wait(service));
+            let mut written = self.bounds.request_write();
             if time::timeout_at(until, written.changed()).await.is_err() {
                 return;
             }
@@ -340,13 +340,13 @@
 
     /// How this host's part of a service's budget of repeats stands.
     pub fn repeats_standing(&self, service: &Rc<str>) -> BudgetState {
-        self.bounds.standing(service, self.now())
+        self.bounds.budget_state(service, self.now())
     }
 
     /// Whether a repeat of a request is left in the budget.
     pub fn may_repeat(&self, service: &Rc<str>) -> bool {
         let standing = self.repeats_standing(service);
-        standing.retry_left() || (standing.needs_record() && self.bounds.writes_row())
+        standing.retry_left() || (standing.needs_record() && self.bounds.can_write_row())
     }
 
     /// Takes the hosts that are alive, this one included.
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -114,7 +114,7 @@
     /// How this host comes by its first news.
     async fn begin(&mut self, near: &str, me: &str) -> Beginning {
         let gateway = self.gateway.clone();
-        let starts_again = gateway.bounds.found_age().is_some();
+        let starts_again = gateway.bounds.inherited_row_age().is_some();
         let has_news = gateway.heard_age().is_some();
         match self.beginning {
             _ if has_news || !starts_again || gateway.store_away() => Beginning::Usual,
@@ -294,7 +294,7 @@
             gateway.set_fleet(fleet);
         }
         if let Some(claims) = news.claims {
-            gateway.bounds.told(&claims, sent_at, now);
+            gateway.bounds.merge_report(&claims, sent_at, now);
         }
         if news.lease.is_some() {
             peers.set_lease(news.lease);
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -132,7 +132,7 @@
             .and_then(|mark| list_news(gateway, mark, offer.list_known_to)),
         fleet: (offer.fleet != peers.fleet_hash.get()).then(|| peers.fleet()),
         lease: peers.lease(),
-        claims: gateway.bounds.to_tell(now),
+        claims: gateway.bounds.report(now),
         loads: to_wire(&loads),
         avoided: match same {
             true => avoided_to_wire(&avoided_but(gateway, from)),
