--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,8 +1,8 @@
-//! Structured logs: one JSON object a line.
+//! Structured logs: one JSON object per line.
 //!
-//! Lines go through a bounded queue to a thread that writes them, so that a reader that stalls never
-//! holds a request. What does not fit is dropped, counted and told. A process that ends waits a moment for
-//! its last lines ([`Written`]), which tell why it does.
+//! Lines pass through a bounded queue to a thread that writes them, so that a stalled reader of the output never blocks
+//! a request. Lines that do not fit into the queue are dropped; their number is logged later. A process that exits
+//! waits a short time for its last lines ([`FlushHandle`]), which state why it exits.
 
 use std::{
     io::{self, Write},
@@ -18,38 +18,38 @@
 use log::kv::{Key, Value, VisitSource};
 use serde_json::{Map, json};
 
-/// What is logged if `RUST_LOG` is unset. The library of calls between hosts has lines for each
-/// call, several a second and host.
-const USUAL: &str = "info,tarpc=warn";
-/// Lines that wait to be written: some seconds of a host in the worst trouble, below 1 MB.
-const QUEUE: usize = 2048;
-/// How often it is tried to ask, while the queue is full, whether all was written.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+/// The filter if `RUST_LOG` is unset. `tarpc`, the library of the calls between hosts, logs each call at level info,
+/// which is several lines per second and host.
+const DEFAULT_FILTER: &str = "info,tarpc=warn";
+/// The maximum number of queued lines: what a host logs in some seconds of the worst failures, below 1 MB.
+const MAX_QUEUED_LINES: usize = 2048;
+/// The pause between attempts to queue a flush request while the queue is full.
+const FULL_QUEUE_PAUSE: Duration = Duration::from_millis(5);
 
-/// What the thread that writes gets, in order.
+/// An item of the queue, processed in order.
 enum Item {
     Line(Vec<u8>),
-    /// All before it is to be written; whoever asks is told then.
-    Asked(SyncSender<()>),
+    /// A flush request: the sender is notified when all lines before it have been written.
+    Flush(SyncSender<()>),
 }
 
-/// Takes lines, each in one call, and never waits.
-pub struct Lines {
+/// Queues lines to be written by a thread. Each call of `write` must contain one line; it never blocks.
+pub struct LogWriter {
     tx: SyncSender<Item>,
     dropped: Arc<AtomicU64>,
 }
 
-/// Tells whether lines have been written.
-pub struct Written {
+/// Waits until queued lines have been written.
+pub struct FlushHandle {
     tx: SyncSender<Item>,
 }
 
-impl Written {
-    /// Waits until all lines so far have been written, for a while at most: false if they have not.
-    pub fn wait(&self, longest: Duration) -> bool {
-        let until = Instant::now() + longest;
+impl FlushHandle {
+    /// Waits until all lines queued so far have been written; false if they have not been after `limit`.
+    pub fn wait(&self, limit: Duration) -> bool {
+        let until = Instant::now() + limit;
         let (done, written) = mpsc::sync_channel(1);
-        let mut item = Item::Asked(done);
+        let mut item = Item::Flush(done);
         loop {
             item = match self.tx.try_send(item) {
                 Ok(()) => break,
@@ -59,17 +59,17 @@
             if Instant::now() >= until {
                 return false;
             }
-            thread::sleep(FULL_PAUSE);
+            thread::sleep(FULL_QUEUE_PAUSE);
         }
         let left = until.saturating_duration_since(Instant::now());
         written.recv_timeout(left).is_ok()
     }
 }
 
-impl Lines {
-    /// Lines for an output, written by a thread of its own.
-    pub fn to(output: impl Write + Send + 'static) -> io::Result<Self> {
-        let (tx, rx) = mpsc::sync_channel(QUEUE);
+impl LogWriter {
+    /// Starts a thread that writes the lines to `output`.
+    pub fn spawn(output: impl Write + Send + 'static) -> io::Result<Self> {
+        let (tx, rx) = mpsc::sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = dropped.clone();
         thread::Builder::new()
@@ -78,14 +78,14 @@
         Ok(Self { tx, dropped })
     }
 
-    /// To ask whether they have been written.
-    pub fn written(&self) -> Written {
+    /// A handle to wait until queued lines have been written.
+    pub fn flush_handle(&self) -> FlushHandle {
         let tx = self.tx.clone();
-        Written { tx }
+        FlushHandle { tx }
     }
 }
 
-impl Write for Lines {
+impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match self.tx.try_send(Item::Line(line.to_vec())) {
             Ok(()) => {}
@@ -101,13 +101,13 @@
     }
 }
 
-/// Writes lines until nobody can send any more, or the output is gone.
+/// Writes lines until all senders have been dropped or the output fails.
 fn write_all(rx: &mpsc::Receiver<Item>, dropped: &AtomicU64, mut output: impl Write) {
     for item in rx {
         let line = match item {
             Item::Line(line) => line,
-            Item::Asked(done) => {
-                // Whoever asked may have given up.
+            Item::Flush(done) => {
+                // The receiver may have timed out.
                 let _ = done.try_send(());
                 continue;
             }
@@ -117,11 +117,11 @@
         }
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
-            let told = json!({
+            let notice = json!({
                 "t": now_ms(), "level": "WARN", "part": "logs", "m": "Lines were dropped.",
                 "dropped": lost,
             });
-            if output.write_all(format!("{told}\n").as_bytes()).is_err() {
+            if output.write_all(format!("{notice}\n").as_bytes()).is_err() {
                 return;
             }
         }
@@ -147,15 +147,15 @@
     since.unwrap_or_default().as_millis() as u64
 }
 
-/// Sets up logging on standard output; `RUST_LOG` chooses what is logged.
+/// Sets up logging to standard output, filtered by `RUST_LOG`.
 ///
-/// A line has the time since the epoch in ms (`t`), the `level`, the `part` of the program, the
-/// message (`m`) and the fields of the event. Before the process ends it waits for what is given: lines
-/// that were not written by then are lost.
-pub fn init() -> io::Result<Written> {
-    let lines = Lines::to(io::stdout())?;
-    let written = lines.written();
-    let env = env_logger::Env::default().default_filter_or(USUAL);
+/// A line contains the time since the Unix epoch in ms (`t`), the `level`, the `part` of the program, the message (`m`)
+/// and the fields of the event. The process must wait on the returned handle before it exits: lines that have not been
+/// written by then are lost.
+pub fn init() -> io::Result<FlushHandle> {
+    let lines = LogWriter::spawn(io::stdout())?;
+    let written = lines.flush_handle();
+    let env = env_logger::Env::default().default_filter_or(DEFAULT_FILTER);
     env_logger::Builder::from_env(env)
         .target(env_logger::Target::Pipe(Box::new(lines)))
         .format(|out, record| {
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs never hold whoever writes them, and tell what was lost.
+//! Writing a log line never blocks, lost lines are counted in the log, and the last lines before an exit are written.
 
 use std::{
     io::{self, Write},
@@ -6,20 +6,20 @@
     time::Duration,
 };
 
-use dragonflyrill_gateway::logs::Lines;
+use dragonflyrill_gateway::logs::LogWriter;
 
-/// How long a test waits for what comes about.
-const LONG: Duration = Duration::from_secs(30);
+/// The maximum time that a test waits for an expected event.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// An output whose reader stalls until it is told to go on, once for each line.
-struct Stalling {
-    go_on: Receiver<()>,
+/// An output that blocks before each line until it is resumed once.
+struct StallingOutput {
+    resume_rx: Receiver<()>,
     written: Sender<String>,
 }
 
-impl Write for Stalling {
+impl Write for StallingOutput {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.go_on.recv().map_err(io::Error::other)?;
+        self.resume_rx.recv().map_err(io::Error::other)?;
         let text = String::from_utf8_lossy(line).into_owned();
         self.written.send(text).map_err(io::Error::other)?;
         Ok(line.len())
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn a_reader_that_stalls_costs_lines_and_not_time() {
-    let (go, go_on) = channel();
+fn a_stalled_reader_loses_lines_and_does_not_block() {
+    let (resume, resume_rx) = channel();
     let (written, rx) = channel();
-    let mut lines = Lines::to(Stalling { go_on, written }).expect("a thread");
-    // Far more than fit; none of these calls may wait for the reader.
+    let mut lines = LogWriter::spawn(StallingOutput { resume_rx, written }).expect("a thread");
+    // Far more lines than the queue holds; none of these calls may wait for the reader.
     for i in 0..50_000 {
         let line = format!("line {i}\n");
         lines.write_all(line.as_bytes()).expect("never fails");
     }
-    // The reader goes on: what was kept comes in order, and what was dropped is told.
-    (0..10_000).for_each(|_| go.send(()).expect("it still writes"));
+    // When the reader resumes, it receives the queued lines in order and the number of dropped lines.
+    (0..10_000).for_each(|_| resume.send(()).expect("it still writes"));
     let mut kept = 0;
     let dropped = loop {
         let line = rx.recv().expect("it tells what was dropped");
@@ -53,32 +53,35 @@
     };
     assert_eq!(
         kept, 1,
-        "the loss is told after the next line that is written"
+        "the loss is logged after the next line that is written"
     );
     assert!(dropped > 40_000 && dropped < 50_000, "{dropped}");
 }
 
-/// Hosts that could not listen at their addresses ended without a word on why: the thread that writes had not
-/// come to the line yet when the process ended.
+/// A process that exits right after it logs an error, such as that it can't listen at its address, must wait for the
+/// thread that writes: otherwise the process ends before the thread has written the line, and the error is lost.
 #[test]
 fn the_last_lines_are_waited_for() {
-    let (go, go_on) = channel();
+    let (resume, resume_rx) = channel();
     let (written, rx) = channel();
-    let mut lines = Lines::to(Stalling { go_on, written }).expect("a thread");
-    let ends = lines.written();
+    let mut lines = LogWriter::spawn(StallingOutput { resume_rx, written }).expect("a thread");
+    let flush = lines.flush_handle();
     lines.write_all(b"it can't listen\n").expect("never fails");
-    assert!(!ends.wait(Duration::from_millis(20)), "the reader stalls");
-    go.send(()).expect("it still writes");
-    assert!(ends.wait(LONG));
+    assert!(
+        !flush.wait(Duration::from_millis(20)),
+        "the reader is stalled"
+    );
+    resume.send(()).expect("it still writes");
+    assert!(flush.wait(MAX_WAIT));
     assert_eq!(rx.try_recv().as_deref(), Ok("it can't listen\n"));
 }
 
 #[test]
-fn a_reader_that_stalls_does_not_keep_a_process_from_ending() {
-    let (_go, go_on) = channel();
+fn a_stalled_reader_does_not_keep_a_process_from_exiting() {
+    let (_resume, resume_rx) = channel();
     let (written, _rx) = channel();
-    let mut lines = Lines::to(Stalling { go_on, written }).expect("a thread");
-    let ends = lines.written();
+    let mut lines = LogWriter::spawn(StallingOutput { resume_rx, written }).expect("a thread");
+    let flush = lines.flush_handle();
     (0..10_000).for_each(|_| lines.write_all(b"a line\n").expect("never fails"));
-    assert!(!ends.wait(Duration::from_millis(20)), "the queue is full");
+    assert!(!flush.wait(Duration::from_millis(20)), "the queue is full");
 }
