--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -154,7 +154,7 @@
         let freshness = Freshness::new(settings.key_revocation);
         let lines = LineBudget::new(settings.logged_per_s);
         let bounds = SharedBounds::new(settings.retries);
-        let quarantine = Quarantine::new(settings.request_hold);
+        let quarantine = Quarantine::new(settings.request_quarantine);
         let outage = StoreOutage::new(settings.endpoint_heartbeat);
         Rc::new(Self {
             settings,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -17,58 +17,58 @@
 pub struct Settings {
     /// This host's name, unique in the fleet.
     pub host: String,
-    /// Where it is.
+    /// The data centre of this host.
     pub data_centre: Rc<str>,
-    /// What its link carries.
+    /// The capacity of this host's network link, in bytes per second.
     pub link_bytes_per_s: f64,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this host takes new connections.
+    /// The address at which the load balancer checks whether this host accepts new connections.
     pub readiness: SocketAddr,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub metrics: SocketAddr,
-    /// Where other hosts call.
+    /// The address at which this host serves calls of other hosts.
     pub peers: SocketAddr,
-    /// The address that other hosts are told for it, where it differs.
+    /// The address for such calls that is announced to other hosts; equal to `peers` unless it is set.
     pub peers_announced: SocketAddr,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// How long after a key was taken away it may still be honoured.
+    /// How long after a key was revoked it may still be accepted.
     pub key_revocation: Duration,
     /// How long after a change of the catalogue the old version may still be used.
     pub config_apply: Duration,
-    /// How long after an endpoint said that it is leaving it may still get requests.
+    /// How long after an endpoint announced that it is draining it may still receive requests.
     pub endpoint_drain: Duration,
-    /// How often an endpoint writes its entry in the list, about.
+    /// The approximate interval at which an endpoint writes its entry in the list.
     pub endpoint_heartbeat: Duration,
-    /// How long after a termination signal the process is killed.
+    /// The time from a termination signal until the process is killed.
     pub grace: Duration,
-    /// The budget of repeats of one service.
+    /// The retry budget of one service.
     pub retries: BudgetConfig,
-    /// For how long a request under which endpoints ended is not sent any more, the first time.
-    pub request_hold: Duration,
-    /// How many requests that go well are logged whole in a second.
+    /// The duration of the first quarantine of a request that endpoints terminated under.
+    pub request_quarantine: Duration,
+    /// The maximum number of successful requests a second that are logged in full.
     pub logged_per_s: f64,
 }
 
-/// Some 60 lines and 20 KB a second.
-const LOGGED_PER_S: &str = "20";
+/// The default of `requests_per_second`: some 60 lines and 20 KB a second.
+const DEFAULT_LOGGED_PER_S: &str = "20";
 
-/// A narrow link.
-const LINK_MBPS: &str = "20";
+/// The default of `link_mbps`, in Mbit/s: a narrow link.
+const DEFAULT_LINK_MBPS: &str = "20";
 
 const BYTES_PER_MBIT: f64 = 1e6 / 8.0;
 
-/// As the platform's settings have it.
-const ENDPOINT_HEARTBEAT_MS: &str = "1200";
+/// The default of `endpoint_heartbeat_ms`, as in the platform's settings.
+const DEFAULT_ENDPOINT_HEARTBEAT_MS: &str = "1200";
 
-/// An hour: long enough that a request which comes again and again ends one endpoint in it, and short
-/// enough for one that was held by a coincidence.
-const REQUEST_HOLD_S: &str = "3600";
+/// The default of `hold_s`: one hour. A request that is sent again and again terminates at most one endpoint in that
+/// time, and a request that was quarantined by coincidence is not refused for too long.
+const DEFAULT_REQUEST_QUARANTINE_S: &str = "3600";
 
-/// The keys, by section; each must be there but for `link_mbps`, `peers_announced`, `endpoint_heartbeat_ms`,
+/// The known keys, by section. All are required except `link_mbps`, `peers_announced`, `endpoint_heartbeat_ms`,
 /// `hold_s` and those of `logs`.
-const KNOWN: settings::Known = &[
+const KNOWN_KEYS: settings::Known = &[
     ("host", &["name", "address", "data_centre", "link_mbps"]),
     (
         "listen",
@@ -96,16 +96,16 @@
 ];
 
 impl Settings {
-    /// Reads a file.
+    /// Reads and parses a file.
     pub fn read(path: &Path) -> Result<Self, Vec<SettingError>> {
         let text = dragonflyrill_settings::read(path)?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses a file's text; `file` names it in errors. All errors are given at once.
+    /// Parses the text of a file; `file` is its name in errors. Returns all errors, not just the first.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<SettingError>> {
         let mut p = Parser::new(file, text)?;
-        p.refuse_unknown(KNOWN);
+        p.refuse_unknown(KNOWN_KEYS);
         let settings = Self::checked(&mut p);
         p.finish(settings)
     }
@@ -114,7 +114,7 @@
         let host = p.required("host", "name", settings::text);
         let ip = p.required("host", "address", ip);
         let data_centre = p.required("host", "data_centre", settings::text);
-        let link = p.optional("host", "link_mbps", LINK_MBPS, link);
+        let link = p.optional("host", "link_mbps", DEFAULT_LINK_MBPS, link);
         let callers = p.required("listen", "callers", settings::address);
         let readiness = p.required("listen", "readiness", settings::address);
         let metrics_port = p.required("listen", "metrics_port", port);
@@ -122,9 +122,14 @@
         let peers = ip
             .zip(peers_port)
             .map(|(ip, port)| SocketAddr::new(ip, port));
-        // Without a valid address nothing is announced; the error says which part is wrong.
-        let usual = peers.map_or("0.0.0.0:0".to_owned(), |peers| peers.to_string());
-        let announced = p.optional("listen", "peers_announced", &usual, settings::address);
+        // If the host's address or the port is invalid, the parser has recorded that error, and this default is unused.
+        let default_announced = peers.map_or("0.0.0.0:0".to_owned(), |peers| peers.to_string());
+        let announced = p.optional(
+            "listen",
+            "peers_announced",
+            &default_announced,
+            settings::address,
+        );
         let store = p.required("store", "address", settings::address);
         let key_revocation = p.required("bounds", "key_revocation_ms", settings::fine_millis);
         let config_apply = p.required("bounds", "config_apply_ms", settings::fine_millis);
@@ -132,18 +137,23 @@
         let heartbeat = p.optional(
             "bounds",
             "endpoint_heartbeat_ms",
-            ENDPOINT_HEARTBEAT_MS,
+            DEFAULT_ENDPOINT_HEARTBEAT_MS,
             settings::fine_millis,
         );
         let grace = p.required("bounds", "grace_s", settings::seconds);
         let ratio = p.required("retries", "ratio", settings::decimal);
         let burst = p.required("retries", "burst", settings::decimal);
         let window = p.required("retries", "window_s", settings::seconds);
-        let hold = p.optional("retries", "hold_s", REQUEST_HOLD_S, settings::seconds);
+        let quarantine = p.optional(
+            "retries",
+            "hold_s",
+            DEFAULT_REQUEST_QUARANTINE_S,
+            settings::seconds,
+        );
         let logged = p.optional(
             "logs",
             "requests_per_second",
-            LOGGED_PER_S,
+            DEFAULT_LOGGED_PER_S,
             settings::decimal,
         );
         Some(Self {
@@ -166,15 +176,15 @@
                 burst: burst?,
                 window: window?,
             },
-            request_hold: hold?,
+            request_quarantine: quarantine?,
             logged_per_s: logged?,
         })
     }
 }
 
 fn ip(value: &str) -> Result<IpAddr, String> {
-    let right = "an IP number is needed, such as 10.1.0.40";
-    value.trim().parse().map_err(|_| right.to_owned())
+    let expected = "an IP number is needed, such as 10.1.0.40";
+    value.trim().parse().map_err(|_| expected.to_owned())
 }
 
 fn link(value: &str) -> Result<f64, String> {
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked as a whole, and each error names its place.
+//! All settings are checked at once, and each error names its file, section and key.
 
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn all_errors_are_told_at_once() {
+fn all_errors_are_returned_at_once() {
     let found = errors(
         "callers = 10.1.0.40:8227\nreadiness",
         "callers = x\nreadyness",
@@ -74,10 +74,13 @@
 }
 
 #[test]
-fn requests_that_end_endpoints_are_held_for_an_hour_unless_the_settings_say_otherwise() {
-    let usual = Settings::parse("file.ini", TEXT).expect("valid");
-    assert_eq!(usual.request_hold, Duration::from_secs(3600));
+fn a_request_is_quarantined_for_an_hour_unless_the_settings_say_otherwise() {
+    let default_settings = Settings::parse("file.ini", TEXT).expect("valid");
+    assert_eq!(
+        default_settings.request_quarantine,
+        Duration::from_secs(3600)
+    );
     let text = TEXT.replace("window_s = 10", "window_s = 10\nhold_s = 60");
     let shorter = Settings::parse("file.ini", &text).expect("valid");
-    assert_eq!(shorter.request_hold, Duration::from_secs(60));
+    assert_eq!(shorter.request_quarantine, Duration::from_secs(60));
 }
