--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -1,4 +1,4 @@
-//! Follows the catalogue in the store, and proves again and again that what is known is the newest.
+//! Follows the catalogue in the store, and renews the freshness proof: that the known catalogue is the newest one.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,57 +10,57 @@
 };
 use dragonflyrill_store::PlatformError;
 
-/// The part of the time for which a proof holds that a read waits for news at most: with it a proof
-/// is at most twice as old, and two reads in a row may be lost before it runs out.
-const PROOF_PART: f64 = 0.2;
-/// The part of the time in which a change must be in force that a read waits for news at most: the
-/// other hosts must notice that this one no longer hears of changes, and still be in time.
-const APPLY_PART: f64 = 0.3;
-/// How long the store may be silent to another host beyond the wait of its reads, as a part of the
-/// time in which a change must be in force, before its news are no longer fresh.
-const SILENT_PART: f64 = 0.2;
-/// How much longer than it waits a read may take.
-const SLACK: Duration = Duration::from_millis(900);
+/// The maximum time that a read waits for a change, as a fraction of the validity of a freshness proof. With it a proof
+/// is at most twice this fraction old while no read fails, and two reads in a row may fail before it expires.
+const PROOF_WAIT_FRACTION: f64 = 0.2;
+/// The maximum time that a read waits for a change, as a fraction of the time within which a change must be in force.
+/// The remainder lets other hosts notice that this host receives no changes any more, and still apply them in time.
+const APPLY_WAIT_FRACTION: f64 = 0.3;
+/// How much longer than its reads wait a host may have no answer of the store before its data count as stale, as a
+/// fraction of the time within which a change must be in force.
+const SILENCE_FRACTION: f64 = 0.2;
+/// How much longer than its wait for a change a read may take.
+const READ_MARGIN: Duration = Duration::from_millis(900);
 
-/// Follows the catalogue for as long as the process lives.
+/// Follows the catalogue until the process exits.
 pub async fn follow(gateway: Rc<Gateway>) {
-    let wait = wait(&gateway.settings);
-    let mut mark = None;
+    let wait = read_wait(&gateway.settings);
+    let mut revision = None;
     let mut backoff = Backoff::default();
     loop {
         if !gateway.reads_store() {
-            mark = None;
+            revision = None;
             gateway.until_reading().await;
         }
         let sent_at = gateway.now();
-        // While the store is away this is the one call that shows that it is back, so that it does
-        // not wait for news.
+        // While the store is unavailable, this is the only call that shows that it is available again, so that it does
+        // not wait for a change.
         let wait = match gateway.store_away() {
             true => Duration::ZERO,
             false => wait,
         };
-        let read = gateway.platform.store.catalogue(mark, wait);
+        let read = gateway.platform.store.catalogue(revision, wait);
         let read = StoreCall::Catalogue
-            .made(&gateway, wait + SLACK, read)
+            .run(&gateway, wait + READ_MARGIN, read)
             .await;
         match read {
-            Ok(news) => {
-                backoff.succeeded(&gateway);
+            Ok(update) => {
+                backoff.reset(&gateway);
                 gateway.heard(On::Catalogue, gateway.now());
-                mark = Some(take(&gateway, news, sent_at, mark));
+                revision = Some(apply_update(&gateway, update, sent_at, revision));
             }
             Err(PlatformError::HistoryGone) => {
-                log::info!(target: "catalogue", "History is gone; the catalogue is read anew.");
-                mark = None;
+                log::info!(target: "catalogue", "The store's history is truncated; the catalogue is read in full.");
+                revision = None;
             }
             Err(e) => {
-                log::warn!(target: "catalogue", why:% = e, fresh = gateway.fresh(); "No news of the catalogue.");
+                log::warn!(target: "catalogue", why:% = e, fresh = gateway.fresh(); "The catalogue could not be read.");
                 if matches!(e, PlatformError::Malformed(_)) {
-                    mark = None;
+                    revision = None;
                 }
-                // The next turn to try may come before the pause is over.
+                // This host may be granted the store probe slot before the pause is over.
                 tokio::select! {
-                    () = backoff.failed(&gateway) => {}
+                    () = backoff.pause(&gateway) => {}
                     () = gateway.until_told() => {}
                 }
             }
@@ -68,29 +68,29 @@
     }
 }
 
-/// How long a read waits for news.
-fn wait(settings: &Settings) -> Duration {
-    let by_proof = settings.key_revocation.mul_f64(PROOF_PART);
-    by_proof.min(settings.config_apply.mul_f64(APPLY_PART))
+/// The maximum time that a read waits for a change.
+fn read_wait(settings: &Settings) -> Duration {
+    let by_proof = settings.key_revocation.mul_f64(PROOF_WAIT_FRACTION);
+    by_proof.min(settings.config_apply.mul_f64(APPLY_WAIT_FRACTION))
 }
 
-/// For how long a host that reads the store may have no answer before its news are no longer fresh.
-pub(crate) fn longest_silence(settings: &Settings) -> Duration {
-    wait(settings) + settings.config_apply.mul_f64(SILENT_PART)
+/// How long a host that reads the store may have no answer before its data count as stale.
+pub(crate) fn max_store_silence(settings: &Settings) -> Duration {
+    read_wait(settings) + settings.config_apply.mul_f64(SILENCE_FRACTION)
 }
 
-/// Takes what a read has brought; gives where to go on.
-fn take(
+/// Applies the result of a read; returns the revision from which the next read continues.
+fn apply_update(
     gateway: &Gateway,
-    news: CatalogueUpdate,
+    update: CatalogueUpdate,
     sent_at: Duration,
-    before: Option<StoreRevision>,
+    known: Option<StoreRevision>,
 ) -> StoreRevision {
-    if let Some(new) = news.catalogue {
+    if let Some(new) = update.catalogue {
         gateway.adopt(new);
     }
     if gateway.catalogue.borrow().is_some() {
         gateway.proven(sent_at);
     }
-    news.revision.max(before.unwrap_or(0))
+    update.revision.max(known.unwrap_or(0))
 }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -5,71 +5,80 @@
 use dragonflyrill_store::PlatformError;
 use tokio::time;
 
-use super::{Backoff, StoreCall, WholeRead};
+use super::{Backoff, ReadLimit, StoreCall};
 use crate::{
     gateway::{Gateway, On},
     ports::{EndpointUpdate, StoreRevision},
 };
 
-/// The part of the time after which a leaving endpoint may get nothing more that lies between two
-/// reads at least. Entries change all the time, so that reads are paced and not held open.
-const PACE_PART: f64 = 0.25;
-/// The longest that a read waits for news.
-const WAIT: Duration = Duration::from_millis(500);
-/// How much longer than it waits a read may take.
-const SLACK: Duration = Duration::from_millis(900);
-/// For how long after the store's return an entry that was removed may come back: entries lapse
-/// while endpoints can't reach the store, and are written anew within this time when they can.
-const DOUBT: Duration = Duration::from_secs(2);
+/// The minimum interval between reads, as a fraction of the time after which a draining endpoint must receive no more
+/// requests. Entries change constantly, so that reads are paced rather than held open.
+const READ_INTERVAL_FRACTION: f64 = 0.25;
+/// The maximum time that a read waits for changes.
+const MAX_WAIT: Duration = Duration::from_millis(500);
+/// How much longer than its wait for changes a read may take.
+const READ_MARGIN: Duration = Duration::from_millis(900);
+/// How long after the store has become available again a removed entry may reappear before its endpoint is forgotten.
+/// Entries lapse while endpoints can't reach the store; the endpoints write them again within this time once they can.
+const LAPSED_ENTRY_GRACE: Duration = Duration::from_secs(2);
 
 struct Follower {
     gateway: Rc<Gateway>,
-    mark: Option<StoreRevision>,
-    whole: WholeRead,
+    revision: Option<StoreRevision>,
+    read_limit: ReadLimit,
 }
 
-/// Follows the endpoints for as long as the process lives.
+/// Follows the list of endpoints until the process exits.
 pub async fn follow(gateway: Rc<Gateway>) {
-    let pace = gateway.settings.endpoint_drain.mul_f64(PACE_PART);
+    let interval = gateway
+        .settings
+        .endpoint_drain
+        .mul_f64(READ_INTERVAL_FRACTION);
     let mut follower = Follower {
         gateway,
-        mark: None,
-        whole: WholeRead::default(),
+        revision: None,
+        read_limit: ReadLimit::default(),
     };
     let mut backoff = Backoff::default();
     loop {
         if !follower.gateway.reads_store() {
-            follower.mark = None;
+            follower.revision = None;
         }
         follower.gateway.until_store_answers().await;
-        let began = time::Instant::now();
+        let started_at = time::Instant::now();
         match follower.read().await {
-            Ok(()) => backoff.succeeded(&follower.gateway),
+            Ok(()) => backoff.reset(&follower.gateway),
             Err(e) => {
-                log::warn!(target: "fleet", why:% = e; "No news of the endpoints.");
-                backoff.failed(&follower.gateway).await;
+                log::warn!(target: "fleet", why:% = e; "The list of endpoints could not be read.");
+                backoff.pause(&follower.gateway).await;
             }
         }
-        follower.drop_doubted();
-        time::sleep_until(began + pace).await;
+        follower.forget_lapsed();
+        time::sleep_until(started_at + interval).await;
     }
 }
 
 impl Follower {
     async fn read(&mut self) -> Result<(), PlatformError> {
-        let read = self.gateway.platform.store.endpoints(self.mark, WAIT);
+        let read = self
+            .gateway
+            .platform
+            .store
+            .endpoints(self.revision, MAX_WAIT);
         let sent_at = self.gateway.now();
-        let limit = self.whole.limit(self.mark.is_none(), WAIT + SLACK);
-        let read = StoreCall::List.made(&self.gateway, limit, read).await;
-        self.whole.ended(&read);
+        let limit = self
+            .read_limit
+            .limit(self.revision.is_none(), MAX_WAIT + READ_MARGIN);
+        let read = StoreCall::List.run(&self.gateway, limit, read).await;
+        self.read_limit.record(&read);
         match read {
-            Ok(news) => {
+            Ok(update) => {
                 self.gateway.list_known(sent_at);
-                self.take(news);
+                self.apply_update(update);
                 Ok(())
             }
             Err(PlatformError::HistoryGone) => {
-                self.mark = None;
+                self.revision = None;
                 Ok(())
             }
             Err(e) => {
@@ -79,30 +88,33 @@
         }
     }
 
-    fn take(&mut self, news: EndpointUpdate) {
+    fn apply_update(&mut self, update: EndpointUpdate) {
         let now = self.gateway.now();
-        self.mark = Some(news.revision);
+        self.revision = Some(update.revision);
         self.gateway.heard(On::List, now);
         let known = self.gateway.list_mark.get();
-        self.gateway.list_mark.set(known.max(news.revision));
-        let mut gone = self.named(&news.removed);
-        for fault in news.unusable {
+        self.gateway.list_mark.set(known.max(update.revision));
+        let mut removed = self.ids_of(&update.removed);
+        for fault in update.unusable {
             self.gateway.ignore_entry(fault);
         }
-        if news.complete {
-            let listed = news.changed.iter().map(|e| &*e.name);
-            gone.extend(self.gateway.directory.borrow().ids_except(listed));
+        if update.complete {
+            let listed = update.changed.iter().map(|e| &*e.name);
+            removed.extend(self.gateway.directory.borrow().ids_except(listed));
             self.gateway.endpoints_known.set(true);
         }
-        for endpoint in news.changed {
+        for endpoint in update.changed {
             self.gateway.doubted.borrow_mut().remove(&endpoint.id);
             self.gateway.list_endpoint(endpoint);
         }
-        // Entries lapse while the store is away, whether or not a read of the list has met that. When it was
-        // back counts, and not when this host reads again: what is removed later is gone.
-        let returned_at = self.gateway.outage.borrow().recovered_at();
-        let until = returned_at.map(|at| at + DOUBT).filter(|t| *t > now);
-        for id in gone {
+        // Entries lapse while the store is unavailable, whether or not a read of the list failed meanwhile. The grace
+        // time starts when the store is available again, not when this host reads the list again: an entry that is
+        // removed after the grace time belongs to an endpoint that has ended.
+        let recovered_at = self.gateway.outage.borrow().recovered_at();
+        let until = recovered_at
+            .map(|at| at + LAPSED_ENTRY_GRACE)
+            .filter(|t| *t > now);
+        for id in removed {
             match until {
                 Some(until) => {
                     let mut doubted = self.gateway.doubted.borrow_mut();
@@ -117,15 +129,15 @@
             .record_revision(self.gateway.list_mark.get());
     }
 
-    /// The ids of the starts that are listed under names.
-    fn named(&self, names: &[Rc<str>]) -> Vec<Rc<str>> {
+    /// The ids of the incarnations that are listed under these names.
+    fn ids_of(&self, names: &[Rc<str>]) -> Vec<Rc<str>> {
         let directory = self.gateway.directory.borrow();
         let listed = names.iter().filter_map(|name| directory.by_name(name));
         listed.map(|e| e.id.clone()).collect()
     }
 
-    /// Forgets endpoints whose entries have not come back in time.
-    fn drop_doubted(&self) {
+    /// Forgets endpoints whose entries have lapsed and have not reappeared in time.
+    fn forget_lapsed(&self) {
         let now = self.gateway.now();
         let mut doubted = self.gateway.doubted.borrow_mut();
         for (id, _) in doubted.extract_if(|_, until| *until <= now) {
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -1,9 +1,9 @@
-//! Keeps this host's row in the store: that it is alive, its claim of a share of the bounds over all
-//! hosts, what the process that starts next on it must count as taken, and the requests that this host
-//! found no host should send any more.
+//! Writes this host's row in the store. The row shows that the host is alive, and contains its claim of a share of the
+//! bounds over all hosts, the retries that the next process of this host must count as used, the requests that this host
+//! has quarantined, and the limits that endpoints state.
 //!
-//! The row is written only at the version that this process knows, so that no late write of an
-//! earlier process, or of its own, can take the place of a newer row.
+//! The row is written only on condition that it has the version that this process knows, so that no late write of an
+//! earlier process, or of this one, can replace a newer row.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,80 +12,80 @@
 use rand::Rng;
 use tokio::time;
 
-use super::{Backoff, StoreCall, held_requests, kept_limits};
+use super::{Backoff, StoreCall, limit_rows, quarantine_rows};
 use crate::{
     gateway::Gateway,
     ports::{HostRows, Row, RowWriteOutcome},
 };
 
-/// Before a host's name in its row's key.
+/// The prefix of a host's name in the key of its row.
 const HOST_ROW: &str = "host/";
-/// How often a host writes its row: so often that all hosts together write four rows a second, a
-/// hundredth of what the store takes, within bounds for small and large fleets.
-const BEAT_PER_HOST: Duration = Duration::from_millis(250);
-const SHORTEST_BEAT: Duration = Duration::from_secs(8);
-const LONGEST_BEAT: Duration = Duration::from_secs(30);
-/// The part of a beat over which the hosts spread the writes that a host that joins waits for.
-const JOIN_PART: f64 = 0.1;
-/// The part of that which passes before the first of them: hosts that join together are counted by one
-/// write.
-const JOIN_PAUSE: f64 = 0.5;
-/// The part of a beat after which a beat that failed is tried again.
-const RETRY_PART: f64 = 0.25;
-/// How long a call to the store may take.
-pub(super) const CALL: Duration = Duration::from_millis(800);
-/// How often it is looked whether anything is due.
-const TICK: Duration = Duration::from_millis(100);
-/// The least time between two writes: a surge of repeats writes a few times, not for each.
-const PAUSE: Duration = Duration::from_millis(20);
-/// How much of the store's time a host leaves to each other one before it writes for a surge. The rows
-/// are of one part of a table, which takes 5 ms for each write, and the leader lease is in it: all
-/// hosts together take half of it at the most.
-const PAUSE_PER_HOST: Duration = Duration::from_millis(10);
-/// The least time between two writes for limits that endpoints begin or end to name.
-const LIMITS_PAUSE: Duration = Duration::from_secs(1);
-/// Up to so many hosts write at once in a surge; more spread their writes.
-const AT_ONCE: u32 = 16;
+/// The interval between a host's writes of its row, per host of the fleet: all hosts together write four rows a second,
+/// a hundredth of what the store accepts. The interval is clamped for small and large fleets.
+const HEARTBEAT_PER_HOST: Duration = Duration::from_millis(250);
+const MIN_HEARTBEAT: Duration = Duration::from_secs(8);
+const MAX_HEARTBEAT: Duration = Duration::from_secs(30);
+/// The time over which the hosts spread the writes that a joining host waits for, as a fraction of the heartbeat
+/// interval.
+const JOIN_SPREAD_FRACTION: f64 = 0.1;
+/// The time that passes before the first of those writes, as a fraction of the time over which they are spread: hosts
+/// that join together are counted by one write.
+const MIN_JOIN_PAUSE_FRACTION: f64 = 0.5;
+/// The pause before a failed write is retried, as a fraction of the heartbeat interval.
+const RETRY_FRACTION: f64 = 0.25;
+/// The time limit of a call to the store.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// How often the task checks whether a write is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum pause between two writes: a burst of retries causes a few writes, not one for each retry.
+const MIN_WRITE_PAUSE: Duration = Duration::from_millis(20);
+/// The additional pause between writes in a burst, per other host. All rows, and the row of the leader lease, are in one
+/// part of a table, in which each write takes 5 ms: with this pause all hosts together use at most half of its capacity.
+const WRITE_PAUSE_PER_HOST: Duration = Duration::from_millis(10);
+/// The minimum time between two writes that are caused by endpoints that start or stop stating a limit.
+const MIN_LIMITS_WRITE_PAUSE: Duration = Duration::from_secs(1);
+/// The maximum number of hosts that write without the additional pause in a burst; larger fleets spread their writes.
+const MAX_CONCURRENT_WRITERS: u32 = 16;
 
-/// How often a host of a fleet of so many writes its row.
-pub fn beat(hosts: usize) -> Duration {
-    let together = BEAT_PER_HOST * hosts.try_into().unwrap_or(u32::MAX);
-    together.clamp(SHORTEST_BEAT, LONGEST_BEAT)
+/// The interval at which a host writes its row in a fleet of `hosts` hosts.
+pub fn heartbeat_interval(hosts: usize) -> Duration {
+    let interval = HEARTBEAT_PER_HOST * hosts.try_into().unwrap_or(u32::MAX);
+    interval.clamp(MIN_HEARTBEAT, MAX_HEARTBEAT)
 }
 
-/// All rows of the hosts' own.
+/// All rows of the table that the hosts write.
 pub struct AllRows {
-    /// As they are.
+    /// All rows, unparsed.
     pub(super) rows: Vec<Row>,
-    /// Those of hosts, each with its version.
+    /// The parsed rows of hosts, each with its version.
     pub(super) hosts: Vec<(u64, HostRow)>,
 }
 
-/// Reads all rows and takes the claims among them; the first time, also what an earlier process of
-/// this host has written in its own.
+/// Reads all rows and merges the claims and the quarantined requests in them. The first read also inherits what an
+/// earlier process of this host has written, and the limits of endpoints.
 pub async fn read_all(gateway: &Gateway) -> Result<AllRows, PlatformError> {
     let sent_at = gateway.now();
     let read = gateway.platform.store.rows();
-    let read = StoreCall::Rows.made(gateway, CALL, read).await?;
-    let hosts = host_rows(&read);
-    let me = &gateway.settings.host;
-    let own = hosts.iter().find(|(_, row)| row.host.host == *me);
+    let read = StoreCall::Rows.run(gateway, CALL_TIMEOUT, read).await?;
+    let hosts = parse_host_rows(&read);
+    let own_name = &gateway.settings.host;
+    let own = hosts.iter().find(|(_, row)| row.host.host == *own_name);
     let as_of = (read.version, read.clock);
     if gateway.bounds.row_version().is_none() {
-        kept_limits::take(gateway, &hosts, read.clock);
+        limit_rows::merge(gateway, &hosts, read.clock);
     }
     gateway
         .bounds
         .merge_rows(&hosts, own, as_of, sent_at, gateway.now());
-    held_requests::take(gateway, &hosts, read.clock);
+    quarantine_rows::merge(gateway, &hosts, read.clock);
     Ok(AllRows {
         rows: read.rows,
         hosts,
     })
 }
 
-/// The hosts' rows among all. One that can't be read is left out.
-fn host_rows(read: &HostRows) -> Vec<(u64, HostRow)> {
+/// Parses the rows of hosts. A row that can't be parsed is logged and skipped.
+fn parse_host_rows(read: &HostRows) -> Vec<(u64, HostRow)> {
     let rows = read.rows.iter().filter(|r| r.key.starts_with(HOST_ROW));
     let parsed = rows.filter_map(|row| match serde_json::from_str(&row.value) {
         Ok(found) => Some((row.version, found)),
@@ -97,148 +97,162 @@
     parsed.collect()
 }
 
-struct Keeper {
+struct RowWriter {
     gateway: Rc<Gateway>,
-    /// When the row is written next although nothing has changed; `None` until the rows were read.
-    beat_at: Option<Duration>,
-    /// When it is written for a host that waits to be counted.
+    /// The time of the next regular write; `None` until the rows were read.
+    heartbeat_at: Option<Duration>,
+    /// The time of the next write for a host that waits to be counted.
     join_at: Option<Duration>,
-    /// When it is written for repeats, if it is to allow more.
+    /// The time of the next write that permits more retries.
     record_at: Option<Duration>,
-    /// This host has said that it is about to end.
-    left: bool,
-    /// By how many it last divided.
+    /// The shutdown of this host has been noticed, and the write for it has been triggered.
+    shutdown_recorded: bool,
+    /// The last logged number of hosts by which the bounds are divided.
     divisor: Option<u32>,
-    /// The store was away when it was last looked.
-    away: bool,
-    /// The endpoints whose limits the row keeps.
-    limited: Vec<String>,
-    /// Not before then is the row written for other limits.
+    /// Whether the store was unavailable at the last check.
+    store_unavailable: bool,
+    /// The endpoints whose limits the row contains.
+    limited_endpoints: Vec<String>,
+    /// The earliest time of the next write that is caused by changed limits.
     limits_at: Duration,
 }
 
-/// Keeps the row for as long as the process lives.
+/// Writes the row whenever that is due, until the process exits.
 pub async fn keep(gateway: Rc<Gateway>) {
-    let mut keeper = Keeper {
+    let mut writer = RowWriter {
         gateway: gateway.clone(),
-        beat_at: None,
+        heartbeat_at: None,
         join_at: None,
         record_at: None,
-        left: false,
+        shutdown_recorded: false,
         divisor: None,
-        away: false,
-        limited: Vec::new(),
+        store_unavailable: false,
+        limited_endpoints: Vec::new(),
         limits_at: Duration::ZERO,
     };
     let mut backoff = Backoff::default();
     loop {
-        keeper.see_store();
-        if keeper.due() {
-            match keeper.write().await {
-                Ok(()) => backoff.succeeded(&gateway),
+        writer.check_store();
+        if writer.due() {
+            match writer.write().await {
+                Ok(()) => backoff.reset(&gateway),
                 Err(e) => {
                     gateway.bounds.record_write_failure();
-                    keeper.beat_at = Some(gateway.now() + keeper.beat().mul_f64(RETRY_PART));
+                    writer.heartbeat_at =
+                        Some(gateway.now() + writer.heartbeat_interval().mul_f64(RETRY_FRACTION));
                     log::warn!(target: "roster", why:% = e; "This host's row can't be written.");
-                    backoff.failed(&gateway).await;
+                    backoff.pause(&gateway).await;
                 }
             }
             let hosts = gateway.hosts.get();
-            time::sleep(PAUSE.max(PAUSE_PER_HOST * hosts.saturating_sub(AT_ONCE))).await;
+            time::sleep(
+                MIN_WRITE_PAUSE
+                    .max(WRITE_PAUSE_PER_HOST * hosts.saturating_sub(MAX_CONCURRENT_WRITERS)),
+            )
+            .await;
         } else {
             tokio::select! {
-                () = time::sleep(TICK) => {}
+                () = time::sleep(CHECK_INTERVAL) => {}
                 () = gateway.bounds.write_requested() => {}
             }
         }
-        keeper.observe();
+        writer.observe();
     }
 }
 
-impl Keeper {
+impl RowWriter {
     fn due(&mut self) -> bool {
         let (gateway, bounds) = (&self.gateway, &self.gateway.bounds);
         let now = gateway.now();
         if bounds.row_version().is_none() {
             return false;
         }
-        if gateway.leaving() && !self.left {
+        if gateway.leaving() && !self.shutdown_recorded {
             bounds.begin_shutdown();
-            self.left = true;
+            self.shutdown_recorded = true;
             return true;
         }
-        if self.away {
+        if self.store_unavailable {
             return false;
         }
-        let first_beat = self.first_beat();
+        let initial_delay = self.initial_delay();
         self.join_at = match (bounds.awaited(), self.join_at) {
             (false, _) => None,
             (true, Some(at)) => Some(at),
             (true, None) => Some(now + self.join_pause()),
         };
-        let joins = self.join_at.is_some_and(|at| at <= now);
+        let join = self.join_at.is_some_and(|at| at <= now);
         self.record_at = match (bounds.record_due(now), self.record_at) {
             (false, _) => None,
             (true, Some(at)) => Some(at),
             (true, None) => Some(now + self.record_spread()),
         };
-        let records = self.record_at.is_some_and(|at| at <= now);
-        let beat_at = *self.beat_at.get_or_insert(now + first_beat);
-        // Each moment counts in which the hosts may all end.
-        let holds = gateway.quarantine.borrow().persist_due();
-        let limits = self.limits_at <= now && self.limited_now() != self.limited;
-        records || holds || (!self.left && (beat_at <= now || joins || limits))
+        let record = self.record_at.is_some_and(|at| at <= now);
+        let heartbeat_at = *self.heartbeat_at.get_or_insert(now + initial_delay);
+        // Written without delay, as all hosts may end at any moment.
+        let quarantined = gateway.quarantine.borrow().persist_due();
+        let limits =
+            self.limits_at <= now && self.current_limited_endpoints() != self.limited_endpoints;
+        record
+            || quarantined
+            || (!self.shutdown_recorded && (heartbeat_at <= now || join || limits))
     }
 
-    /// The endpoints whose limits the row is to keep.
-    fn limited_now(&self) -> Vec<String> {
-        let kept = kept_limits::to_keep(&self.gateway, Duration::ZERO);
-        kept.into_iter().map(|limit| limit.endpoint).collect()
+    /// The endpoints whose limits the row is to contain.
+    fn current_limited_endpoints(&self) -> Vec<String> {
+        let limits = limit_rows::to_rows(&self.gateway, Duration::ZERO);
+        limits.into_iter().map(|limit| limit.endpoint).collect()
     }
 
-    /// Looks whether the store is away: nothing is written then, and nothing waits for it. What has
-    /// become due meanwhile is spread when it is back, as it is due on all hosts.
-    fn see_store(&mut self) {
+    /// Checks whether the store is unavailable. While it is, nothing is written and no request waits for a write. Writes
+    /// that have become due meanwhile are spread once the store is available, as they are due on all hosts.
+    fn check_store(&mut self) {
         let gateway = &self.gateway;
-        let away = gateway.store_away();
-        match (self.away, away) {
+        let store_unavailable = gateway.store_away();
+        match (self.store_unavailable, store_unavailable) {
             (false, true) => gateway.bounds.record_write_failure(),
             (true, false) => {
                 gateway.bounds.clear_write_failure();
-                let spread = gateway.now() + self.join_pause();
-                self.beat_at = self.beat_at.map(|at| at.max(spread));
+                let earliest = gateway.now() + self.join_pause();
+                self.heartbeat_at = self.heartbeat_at.map(|at| at.max(earliest));
             }
             _ => {}
         }
-        self.away = away;
+        self.store_unavailable = store_unavailable;
     }
 
     fn record_spread(&self) -> Duration {
-        let others = self.gateway.hosts.get().saturating_sub(AT_ONCE);
-        (PAUSE_PER_HOST * others).mul_f64(rand::rng().random())
+        let others = self
+            .gateway
+            .hosts
+            .get()
+            .saturating_sub(MAX_CONCURRENT_WRITERS);
+        (WRITE_PAUSE_PER_HOST * others).mul_f64(rand::rng().random())
     }
 
     fn join_pause(&self) -> Duration {
-        let longest = self.beat().mul_f64(JOIN_PART);
-        longest.mul_f64(rand::rng().random_range(JOIN_PAUSE..1.0))
+        let max = self.heartbeat_interval().mul_f64(JOIN_SPREAD_FRACTION);
+        max.mul_f64(rand::rng().random_range(MIN_JOIN_PAUSE_FRACTION..1.0))
     }
 
-    /// When the row is written for the first time: what a process of this host wrote before stands until
-    /// it would have written it again, so that hosts that were all killed do not all write at once.
-    fn first_beat(&self) -> Duration {
-        let found = self.gateway.bounds.inherited_row_age();
-        found.map_or(Duration::ZERO, |age| self.beat().saturating_sub(age))
+    /// The delay of the first write. The row of an earlier process of this host remains valid until that process would
+    /// have written it again, so that hosts that were all killed at once do not all write at once.
+    fn initial_delay(&self) -> Duration {
+        let age = self.gateway.bounds.inherited_row_age();
+        age.map_or(Duration::ZERO, |age| {
+            self.heartbeat_interval().saturating_sub(age)
+        })
     }
 
-    /// How often this host writes its row.
-    fn beat(&self) -> Duration {
-        beat(self.gateway.hosts.get() as usize)
+    /// The interval at which this host writes its row.
+    fn heartbeat_interval(&self) -> Duration {
+        heartbeat_interval(self.gateway.hosts.get() as usize)
     }
 
     async fn write(&mut self) -> Result<(), PlatformError> {
         let gateway = &self.gateway;
         let bounds = &gateway.bounds;
-        self.beat_at = Some(gateway.now() + self.beat());
+        self.heartbeat_at = Some(gateway.now() + self.heartbeat_interval());
         let catalogue = gateway.catalogue.borrow().clone();
         let services = catalogue.iter().flat_map(|c| c.services());
         let names = services.map(|s| s.name.clone());
@@ -250,32 +264,32 @@
         ) else {
             return Ok(());
         };
-        let (mark, holds) = gateway.holds_to_keep();
+        let (revision, records) = gateway.holds_to_keep();
         let row = HostRow {
-            host: myself(gateway),
+            host: own_host(gateway),
             claim: Some(draft.claim()),
             repeats: draft.retries(),
-            held_requests: held_requests::spelled(&holds, clock),
-            endpoint_limits: kept_limits::to_keep(gateway, clock),
+            held_requests: quarantine_rows::to_rows(&records, clock),
+            endpoint_limits: limit_rows::to_rows(gateway, clock),
         };
-        self.limited = row
+        self.limited_endpoints = row
             .endpoint_limits
             .iter()
             .map(|l| l.endpoint.clone())
             .collect();
-        self.limits_at = now + LIMITS_PAUSE;
+        self.limits_at = now + MIN_LIMITS_WRITE_PAUSE;
         let row = serde_json::to_string(&row);
         let row = row.map_err(|e| PlatformError::Malformed(e.to_string()))?;
         let key = format!("{HOST_ROW}{}", gateway.settings.host);
         let write = gateway.platform.store.write(&key, &row, Some(expected));
-        match StoreCall::Write.made(gateway, CALL, write).await? {
+        match StoreCall::Write.run(gateway, CALL_TIMEOUT, write).await? {
             RowWriteOutcome::Done(version) => {
                 bounds.confirm_write(&draft, version, gateway.now());
-                gateway.quarantine.borrow_mut().mark_persisted(mark);
+                gateway.quarantine.borrow_mut().mark_persisted(revision);
             }
             RowWriteOutcome::Conflict(row) => {
                 bounds.set_row_version(row.map_or(0, |r| r.version));
-                self.beat_at = Some(Duration::ZERO);
+                self.heartbeat_at = Some(Duration::ZERO);
             }
         }
         self.join_at = None;
@@ -283,7 +297,7 @@
         Ok(())
     }
 
-    /// Writes a line when this host's share has changed.
+    /// Logs a change of this host's share.
     fn observe(&mut self) {
         let gateway = &self.gateway;
         let divisor = gateway.bounds.divisor(gateway.now());
@@ -300,8 +314,8 @@
     }
 }
 
-/// This host as others are told of it.
-pub(crate) fn myself(gateway: &Gateway) -> FleetHost {
+/// The description of this host that other hosts receive.
+pub(crate) fn own_host(gateway: &Gateway) -> FleetHost {
     let settings = &gateway.settings;
     FleetHost {
         host: settings.host.clone(),
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,12 +1,12 @@
-//! What an entry host does besides answering requests: follows the catalogue and the endpoints,
-//! tells that it is alive, and, on one host at a time, places layers.
+//! The background tasks of an entry host: they follow the catalogue and the list of endpoints, maintain this host's
+//! row in the store, which shows that the host is alive, and, on one host at a time, place layers on engines.
 
 pub mod catalogue;
 pub mod endpoints;
-mod held_requests;
 pub mod host_row;
-mod kept_limits;
+mod limit_rows;
 mod placing;
+mod quarantine_rows;
 pub mod roster;
 mod tenure;
 
@@ -18,62 +18,64 @@
 
 use crate::gateway::Gateway;
 
-/// The first pause after the store could not be reached.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between tries of the hosts that read for others: a store that is back is
-/// noticed within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
-/// The longest pause of the others, who read for themselves only while nobody has news.
-const LONGEST_PAUSE_OF_OTHERS: Duration = Duration::from_millis(1800);
+/// The pause after the first failed call to the store.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The maximum pause between attempts of a host that reads the store for others: it notices within this time that the
+/// store is available again.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// The maximum pause of other hosts, which read the store themselves only while no host that they can poll has current
+/// data.
+const MAX_RETRY_PAUSE_OF_OTHERS: Duration = Duration::from_millis(1800);
 
-/// Pauses between tries at a store that is away: longer each time, and spread.
+/// Exponential backoff, with jitter, between calls to an unavailable store.
 #[derive(Debug, Default)]
 struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// The store has answered. After trouble the other hosts may have it back as well.
-    fn succeeded(&mut self, gateway: &Gateway) {
+    /// Resets the pause after the store has answered. If calls have failed before, hosts that this host has stopped
+    /// polling may be polled again, as the store may be available to them too.
+    fn reset(&mut self, gateway: &Gateway) {
         if self.failures > 0 {
             gateway.peers.forgive();
         }
         self.failures = 0;
     }
 
-    async fn failed(&mut self, gateway: &Gateway) {
-        let longest = match gateway.peers.reads_for_others(&gateway.settings) {
-            true => LONGEST_PAUSE,
-            false => LONGEST_PAUSE_OF_OTHERS,
+    async fn pause(&mut self, gateway: &Gateway) {
+        let max = match gateway.peers.reads_for_others(&gateway.settings) {
+            true => MAX_RETRY_PAUSE,
+            false => MAX_RETRY_PAUSE_OF_OTHERS,
         };
-        let pause = FIRST_PAUSE * 2u32.pow(self.failures.min(5));
+        let pause = MIN_RETRY_PAUSE * 2u32.pow(self.failures.min(5));
         self.failures += 1;
-        let spread = rand::rng().random_range(0.5..1.0);
-        tokio::time::sleep(pause.min(longest).mul_f64(spread)).await;
+        let jitter = rand::rng().random_range(0.5..1.0);
+        tokio::time::sleep(pause.min(max).mul_f64(jitter)).await;
     }
 }
 
-/// How long a read of all there is may take: as long as any read at first, and twice as long each time that
-/// it failed, as a long list takes longer on a narrow link: with the same limit each time, a read that
-/// does not fit into it would be begun again for ever.
+/// The time limit of reads of the complete list. It starts at the limit of any other read and is doubled after each
+/// failure, as a long list takes longer on a narrow link: with a constant limit, a read that takes longer than the limit
+/// would be retried for ever.
 #[derive(Debug, Default)]
-struct WholeRead {
+struct ReadLimit {
     failures: u32,
 }
 
-impl WholeRead {
-    /// How often the limit is doubled at most: 1.4 s become 11 s.
-    const MOST_DOUBLED: u32 = 3;
+impl ReadLimit {
+    /// The maximum number of times that the limit is doubled: 1.4 s become 11 s.
+    const MAX_DOUBLINGS: u32 = 3;
 
-    /// The limit of a read, whole or not, that usually takes less than `usual`.
-    fn limit(&self, whole: bool, usual: Duration) -> Duration {
-        match whole {
-            true => usual * 2u32.pow(self.failures.min(Self::MOST_DOUBLED)),
-            false => usual,
+    /// The time limit of the next read; `base` is the limit of a read that is not of the complete list.
+    fn limit(&self, complete: bool, base: Duration) -> Duration {
+        match complete {
+            true => base * 2u32.pow(self.failures.min(Self::MAX_DOUBLINGS)),
+            false => base,
         }
     }
 
-    fn ended<T>(&mut self, result: &Result<T, PlatformError>) {
+    fn record<T>(&mut self, result: &Result<T, PlatformError>) {
         self.failures = match result {
             Ok(_) => 0,
             Err(_) => self.failures + 1,
@@ -81,18 +83,18 @@
     }
 }
 
-/// What a call to the store is for.
+/// The purpose of a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreCall {
-    /// Reads the catalogue, and waits for news.
+    /// Reads the catalogue, and may wait for a change.
     Catalogue,
-    /// Reads the list of endpoints, and waits for news.
+    /// Reads the list of endpoints, and may wait for changes.
     List,
-    /// Reads the hosts' own rows.
+    /// Reads the rows that the hosts write.
     Rows,
-    /// Writes this host's own row.
+    /// Writes this host's row.
     Write,
-    /// Writes the row of the lease of placing layers.
+    /// Writes the row of the lease for placing layers.
     Lease,
 }
 
@@ -107,14 +109,15 @@
         }
     }
 
-    /// Makes the call, which ends within `limit`, and counts and times it.
-    async fn made<T>(
+    /// Runs the call with the time limit `limit`, and records its outcome and duration. A write that exceeds the limit
+    /// fails with [`PlatformError::Unknown`], a read with [`PlatformError::Unavailable`].
+    async fn run<T>(
         self,
         gateway: &Gateway,
         limit: Duration,
         call: impl Future<Output = Result<T, PlatformError>>,
     ) -> Result<T, PlatformError> {
-        let began = time::Instant::now();
+        let started_at = time::Instant::now();
         let sent_at = gateway.now();
         let result = match time::timeout(limit, call).await {
             Ok(result) => result,
@@ -127,45 +130,45 @@
             }
         };
         let metrics = &gateway.metrics;
-        let outcome = Outcome::of(&result);
+        let outcome = StoreCallOutcome::of(&result);
         let labels = [self.label(), outcome.label()];
         metrics.store_calls.with_label_values(&labels).inc();
         let seconds = metrics.store_seconds.with_label_values(&[self.label()]);
-        seconds.observe(began.elapsed().as_secs_f64());
+        seconds.observe(started_at.elapsed().as_secs_f64());
         self.note_access(gateway, outcome, sent_at);
         result
     }
 
-    /// Notes what the end of a call says of the store. A write says nothing: one that is refused for
-    /// its rate may have met too many others of the same part of a table.
-    fn note_access(self, gateway: &Gateway, outcome: Outcome, sent_at: Duration) {
+    /// Records what the outcome of a call implies for the availability of the store. Writes are ignored: a write may be
+    /// refused for its rate because of too many other writes to the same part of a table.
+    fn note_access(self, gateway: &Gateway, outcome: StoreCallOutcome, sent_at: Duration) {
         let now = gateway.now();
         match (self, outcome) {
             (Self::Write | Self::Lease, _) => {}
-            (_, Outcome::Answered | Outcome::Unusable) => {
+            (_, StoreCallOutcome::Answered | StoreCallOutcome::Unusable) => {
                 gateway.note_access(|access| access.answered(sent_at));
             }
-            (_, Outcome::Refused | Outcome::Failed) => {
+            (_, StoreCallOutcome::Refused | StoreCallOutcome::Failed) => {
                 gateway.note_access(|access| access.failed(now));
             }
         }
     }
 }
 
-/// How a call to the store ended, as an operator tells ends apart.
+/// The outcome of a call to the store, as metrics distinguish it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Outcome {
-    /// With an answer.
+enum StoreCallOutcome {
+    /// The store answered.
     Answered,
-    /// With an answer that can't be used.
+    /// The store answered, but the answer can't be used.
     Unusable,
-    /// Refused for its rate, or turned away: nothing was done.
+    /// The store refused the call, for its rate or otherwise, and did nothing.
     Refused,
-    /// Without an answer.
+    /// There was no answer.
     Failed,
 }
 
-impl Outcome {
+impl StoreCallOutcome {
     fn of<T>(result: &Result<T, PlatformError>) -> Self {
         match result {
             Ok(_) | Err(PlatformError::HistoryGone) => Self::Answered,
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -1,8 +1,8 @@
-//! Has engines load the layers that the planner gives them, on the host that holds the lease.
+//! Orders engines to load the layers that the planner assigns to them, on the host that holds the lease.
 //!
-//! What engines should load is decided in [`dragonflyrill_fleet::placement::planner`], what is known
-//! of them, and which orders that allows, in [`dragonflyrill_fleet::placement::engine_states`]; here
-//! engines are asked and ordered.
+//! [`dragonflyrill_fleet::placement::planner`] decides what engines should load;
+//! [`dragonflyrill_fleet::placement::engine_states`] holds what is known of the engines, and decides which orders that
+//! permits. This module calls the engines.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,60 +18,60 @@
 use rustc_hash::FxHashMap;
 use tokio::time;
 
-use super::tenure::{Tenure, Tenures};
+use super::tenure::{LeaseState, Tenure};
 use crate::{
     gateway::Gateway,
     http::call::CallError,
     ports::{EngineReport, OrderAnswer},
 };
 
-/// How long a call to an engine may take.
-const CALL: Duration = Duration::from_millis(700);
-/// Calls to engines at the same time.
-const AT_ONCE: usize = 8;
+/// The time limit of a call to an engine.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// The maximum number of concurrent calls to engines.
+const MAX_CONCURRENT_CALLS: usize = 8;
 
-/// How often it is looked whether anything is to be placed.
-const TICK: Duration = Duration::from_millis(100);
+/// How often the task checks whether layers are to be placed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Places layers while this host holds the lease, for as long as the process lives.
-pub(super) async fn keep(gateway: Rc<Gateway>, tenures: Rc<Tenures>) {
-    let mut placing = Placing {
+/// Places layers while this host holds the lease, until the process exits.
+pub(super) async fn run(gateway: Rc<Gateway>, lease: Rc<LeaseState>) {
+    let mut placer = Placer {
         gateway: gateway.clone(),
-        tenures: tenures.clone(),
+        lease: lease.clone(),
         tenure: None,
         known: EngineStates::default(),
         planners: FxHashMap::default(),
     };
     loop {
-        match tenures.tenure(gateway.now()) {
-            Some(tenure) => placing.round(tenure).await,
-            None => placing.watch(),
+        match lease.tenure(gateway.now()) {
+            Some(tenure) => placer.round(tenure).await,
+            None => placer.observe(),
         }
-        time::sleep(TICK).await;
+        time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// The work of the host that holds the lease.
-struct Placing {
+/// The state of the task that places layers.
+struct Placer {
     gateway: Rc<Gateway>,
-    tenures: Rc<Tenures>,
+    lease: Rc<LeaseState>,
     /// The tenure in which `known` was learned.
     tenure: Option<Tenure>,
     known: EngineStates,
-    /// One for each service of engines.
+    /// The planner of each service that runs on engines.
     planners: FxHashMap<Rc<str>, Planner>,
 }
 
-/// The engines of one service that are listed.
-struct Listed {
+/// The listed engines of one service.
+struct ListedService {
     staying: Vec<Rc<Endpoint>>,
-    leaving: Vec<Rc<Endpoint>>,
+    draining: Vec<Rc<Endpoint>>,
 }
 
-impl Placing {
-    /// Another host may give orders now: what was known is no longer so, and only the list is
-    /// watched.
-    fn watch(&mut self) {
+impl Placer {
+    /// Runs while this host does not hold the lease: another host may order engines, so that the known states of the
+    /// engines are discarded and only the list of engines is observed.
+    fn observe(&mut self) {
         self.known.clear();
         let Some(catalogue) = self.gateway.catalogue.borrow().clone() else {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Orders what is missing.
+    /// Plans the placement of each service and orders engines to load missing layers.
     async fn round(&mut self, tenure: Tenure) {
         if self.tenure.replace(tenure) != Some(tenure) {
             self.known.clear();
@@ -97,14 +97,14 @@
                 continue;
             };
             let listed = self.listed(&service.name);
-            let asked = self.gateway.asked.get();
+            let has_requests = self.gateway.asked.get();
             let settled = self.with_planner(&service.name, &listed, |planner, engines, now| {
-                planner.settled(engines, asked, now)
+                planner.settled(engines, has_requests, now)
             });
             if !settled {
                 continue;
             }
-            self.ask(&listed.staying).await;
+            self.query_empty(&listed.staying).await;
             let Plan {
                 placements,
                 newly_waiting,
@@ -112,33 +112,33 @@
                 planner.plan(engine, engines, now)
             });
             for id in newly_waiting {
-                log::info!(target: "placing", endpoint = &*id; "Engine waits for one of its kind to leave.");
+                log::info!(target: "placing", endpoint = &*id; "Engine waits for another engine of its kind to drain.");
             }
-            self.ask_movers(&listed.staying, &placements).await;
+            self.query_movers(&listed.staying, &placements).await;
             self.order(&placements, tenure).await;
         }
         self.known.retain_listed(&self.gateway.directory.borrow());
     }
 
-    fn listed(&self, service: &Rc<str>) -> Listed {
+    fn listed(&self, service: &Rc<str>) -> ListedService {
         let directory = self.gateway.directory.borrow();
         let engines = directory.iter().filter(|e| e.service == *service);
         let mut engines: Vec<Rc<Endpoint>> = engines.cloned().collect();
         engines.sort_by(|a, b| a.id.cmp(&b.id));
-        let (leaving, staying) = engines.into_iter().partition(|e| e.draining);
-        Listed { staying, leaving }
+        let (draining, staying) = engines.into_iter().partition(|e| e.draining);
+        ListedService { staying, draining }
     }
 
-    /// Has a service's planner do something with the engines as they are known now.
+    /// Calls `act` with the planner of a service, the engines as they are known now, and the current time.
     fn with_planner<T>(
         &mut self,
         service: &Rc<str>,
-        listed: &Listed,
+        listed: &ListedService,
         act: impl FnOnce(&mut Planner, &ListedEngines<'_>, Duration) -> T,
     ) -> T {
         let engines = ListedEngines {
             staying: &listed.staying,
-            draining: &listed.leaving,
+            draining: &listed.draining,
             states: &self.known,
             directory: &self.gateway.directory.borrow(),
         };
@@ -146,35 +146,35 @@
         act(planner, &engines, self.gateway.now())
     }
 
-    /// Asks engines that are listed as empty and of which nothing is known.
-    async fn ask(&mut self, endpoints: &[Rc<Endpoint>]) {
-        let asked = self.known.unknown_empty(endpoints, self.gateway.now());
-        let reports = self.reports(&asked).await;
+    /// Reads the state of engines that are listed as empty and whose state is unknown.
+    async fn query_empty(&mut self, endpoints: &[Rc<Endpoint>]) {
+        let queried = self.known.unknown_empty(endpoints, self.gateway.now());
+        let reports = self.reports(&queried).await;
         let now = self.gateway.now();
         for (endpoint, report) in reports {
-            if !self.started_again(endpoint, report.as_ref()) {
+            if !self.has_restarted(endpoint, report.as_ref()) {
                 self.known
-                    .record_empty_report(&endpoint.id, report.map(told), now);
+                    .record_empty_report(&endpoint.id, report.map(load_report), now);
             }
         }
     }
 
-    /// Asks the loaded engines that are to move.
-    async fn ask_movers(&mut self, endpoints: &[Rc<Endpoint>], placements: &[Placement]) {
-        let asked = self.known.unknown_movers(endpoints, placements);
-        let reports = self.reports(&asked).await;
+    /// Reads the state of loaded engines that are to move to other layers and whose state is unknown.
+    async fn query_movers(&mut self, endpoints: &[Rc<Endpoint>], placements: &[Placement]) {
+        let queried = self.known.unknown_movers(endpoints, placements);
+        let reports = self.reports(&queried).await;
         let now = self.gateway.now();
         for (endpoint, report) in reports {
-            if !self.started_again(endpoint, report.as_ref()) {
+            if !self.has_restarted(endpoint, report.as_ref()) {
                 self.known
-                    .record_mover_report(endpoint, report.map(told), now);
+                    .record_mover_report(endpoint, report.map(load_report), now);
             }
         }
     }
 
-    /// Whether a report is of another start than the engine is known by: it says nothing of that one,
-    /// and the new one is asked by its own id.
-    fn started_again(&self, endpoint: &Endpoint, report: Option<&EngineReport>) -> bool {
+    /// Whether a report is of another incarnation than the listed one. Such a report says nothing about the listed
+    /// incarnation; the new incarnation is listed with an id of its own, and its state is read under that id.
+    fn has_restarted(&self, endpoint: &Endpoint, report: Option<&EngineReport>) -> bool {
         if let Some(report) = report {
             self.gateway.reported(&endpoint.id, report);
         }
@@ -191,48 +191,48 @@
                 return None;
             }
             let report = gateway.platform.engines.report(e.addr);
-            time::timeout(CALL, report).await.ok()?.ok()
+            time::timeout(CALL_TIMEOUT, report).await.ok()?.ok()
         };
         let report = &report;
         stream::iter(endpoints)
             .map(|e| async move { (e, report(e).await) })
-            .buffer_unordered(AT_ONCE)
+            .buffer_unordered(MAX_CONCURRENT_CALLS)
             .collect()
             .await
     }
 
-    /// Gives the orders, each only while the tenure lasts: all of them may take longer than the lease does.
+    /// Sends the orders, each only while the tenure lasts, as sending all of them may take longer than the lease lasts.
     async fn order(&mut self, placements: &[Placement], tenure: Tenure) {
-        let (gateway, tenures) = (&self.gateway, &self.tenures);
+        let (gateway, lease) = (&self.gateway, &self.lease);
         let orders = self.known.orders(&gateway.directory.borrow(), placements);
         let give = async |order: Order| {
-            if !tenures.holds(tenure, gateway.now()) {
+            if !lease.is_current(tenure, gateway.now()) {
                 return None;
             }
-            let _under_way = tenures.order();
+            let _pending = lease.begin_order();
             let engines = &gateway.platform.engines;
             let placed = engines.place(
                 order.endpoint.addr,
                 order.layers,
                 Some(order.expected_orders),
             );
-            let outcome = time::timeout(CALL, placed).await;
-            let silent = || CallError::Unknown("no answer in time".to_owned());
-            Some((order, outcome.unwrap_or_else(|_| Err(silent()))))
+            let outcome = time::timeout(CALL_TIMEOUT, placed).await;
+            let timed_out = || CallError::Unknown("no answer in time".to_owned());
+            Some((order, outcome.unwrap_or_else(|_| Err(timed_out()))))
         };
         let outcomes: Vec<(Order, Result<OrderAnswer, CallError>)> = stream::iter(orders)
             .map(give)
-            .buffer_unordered(AT_ONCE)
+            .buffer_unordered(MAX_CONCURRENT_CALLS)
             .filter_map(async |outcome| outcome)
             .collect()
             .await;
         for (order, outcome) in outcomes {
-            self.note(&order, &outcome);
+            self.record_outcome(&order, &outcome);
         }
     }
 
-    fn note(&mut self, order: &Order, outcome: &Result<OrderAnswer, CallError>) {
-        let (ended, label) = match outcome {
+    fn record_outcome(&mut self, order: &Order, outcome: &Result<OrderAnswer, CallError>) {
+        let (order_outcome, label) = match outcome {
             Ok(OrderAnswer::Begun | OrderAnswer::Holds) => (OrderOutcome::Accepted, "begun"),
             Ok(OrderAnswer::Refused(_)) | Err(CallError::NotSent(_)) => {
                 (OrderOutcome::Refused, "refused")
@@ -248,11 +248,12 @@
             outcome:? = outcome;
             "Engine was ordered to load layers."
         );
-        self.known.record_outcome(order, ended, self.gateway.now());
+        self.known
+            .record_outcome(order, order_outcome, self.gateway.now());
     }
 }
 
-fn told(report: EngineReport) -> LoadReport {
+fn load_report(report: EngineReport) -> LoadReport {
     LoadReport {
         layers: report.layers,
         busy: report.busy,
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -1,5 +1,5 @@
-//! Counts the hosts that are alive, tells the others that this one is, and keeps the lease of placing
-//! layers.
+//! Counts the hosts that are alive, and acquires and renews the lease for placing layers. Starts the tasks that write
+//! this host's row and that place layers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,95 +12,97 @@
 
 use super::{
     Backoff, StoreCall,
-    host_row::{self, AllRows, CALL, beat, myself},
+    host_row::{self, AllRows, CALL_TIMEOUT, heartbeat_interval, own_host},
     placing,
-    tenure::Tenures,
+    tenure::LeaseState,
 };
 use crate::{
     gateway::Gateway,
     ports::{Row, RowWriteOutcome},
 };
 
-/// The row of the lease of placing layers.
+/// The key of the row of the lease for placing layers.
 const LEASE_ROW: &str = "placement";
-/// How long the lease's row must stand still before another host takes over: two renewals may be
-/// lost, and layers that are missing are placed within three seconds of a host's end.
-const TERM: Duration = Duration::from_millis(2400);
-/// How often the rows are read by hosts that don't hold the lease.
-const LOOK: Duration = Duration::from_millis(1200);
-/// For how many beats a host's row may stand still before it no longer counts: two may be lost.
-const ALIVE_BEATS: f64 = 2.5;
-/// How often it is looked whether anything is due.
-const TICK: Duration = Duration::from_millis(100);
-/// The same for a host that has just started, which serves nobody yet.
-const NEWCOMER_TICK: Duration = Duration::from_millis(5);
-/// For how long a host that has just started waits at most until its row is written, to see those that
-/// started with it: the store writes some 200 rows a second.
-const NEWCOMER_WAIT: Duration = Duration::from_millis(1500);
-/// How often the hosts that read the store for others read the rows.
-const ROWS_LOOK: Duration = Duration::from_millis(1200);
+/// How long the lease's row must remain unchanged before another host acquires the lease: two renewals may be lost, and
+/// missing layers are placed within three seconds after the holder has ended.
+const LEASE_TERM: Duration = Duration::from_millis(2400);
+/// The interval at which hosts that don't hold the lease read the rows.
+const LEASE_READ_INTERVAL: Duration = Duration::from_millis(1200);
+/// The number of heartbeat intervals for which a host's row may remain unchanged before the host no longer counts as
+/// alive: two writes may be lost.
+const ALIVE_HEARTBEATS: f64 = 2.5;
+/// How often the task checks whether a read or a write is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The same for a host that has just started and does not serve requests yet.
+const DISCOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// The maximum time since its start that a host waits for its row to be written before it reads the rows once more, to
+/// discover the hosts that started with it: the store writes some 200 rows a second.
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_millis(1500);
+/// The interval at which hosts that read the store for others read the rows.
+const ROWS_READ_INTERVAL: Duration = Duration::from_millis(1200);
 
 struct Roster {
     gateway: Rc<Gateway>,
     me: String,
     lease: LeaderLease,
-    /// The rows of hosts: the version, when it was first seen, and what it says.
+    /// The rows of hosts, by name: the version, when this version was first read, and the host's description.
     hosts: FxHashMap<String, (u64, Duration, FleetHost)>,
     read_at: Option<Duration>,
-    newcomer: Newcomer,
-    tenures: Rc<Tenures>,
+    discovery: Discovery,
+    lease_state: Rc<LeaseState>,
 }
 
-/// How far a host that has just started knows the others. When all start at once, the first read shows
-/// none of them, and each would read catalogue and list by itself.
+/// How far a host that has just started has discovered the other hosts. If all hosts start at once, their first reads of
+/// the rows show no other host, and without a second read each host would read the catalogue and the list from the
+/// store itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Newcomer {
-    /// It has read no rows yet.
-    Blind,
-    /// It has read rows without one to ask, and its own was not among them. The row that it writes comes
-    /// after those of most that started with it, so that it reads the rows once more then.
-    Alone,
-    /// It knows whom to ask, or that it is the first.
+enum Discovery {
+    /// The host has not read the rows.
+    NoRows,
+    /// The host has read the rows, and they contain neither a host that it can poll nor its own row. Its row is written
+    /// after those of most hosts that started with it, so that it reads the rows once more after that write.
+    NoPeers,
+    /// The host knows which host to poll, or that it is the first.
     Settled,
 }
 
-/// Keeps the roster, this host's row and the lease for as long as the process lives.
-pub async fn keep(gateway: Rc<Gateway>, incarnation: u64) {
+/// Runs the tasks that follow the rows and the lease, write this host's row and place layers, until the process exits.
+pub async fn run(gateway: Rc<Gateway>, incarnation: u64) {
     gateway.peers.set_incarnation(incarnation);
-    let tenures = Rc::new(Tenures::default());
+    let lease_state = Rc::new(LeaseState::default());
     future::join3(
         host_row::keep(gateway.clone()),
-        placing::keep(gateway.clone(), tenures.clone()),
-        watch(gateway, incarnation, tenures),
+        placing::run(gateway.clone(), lease_state.clone()),
+        follow(gateway, incarnation, lease_state),
     )
     .await;
 }
 
-async fn watch(gateway: Rc<Gateway>, incarnation: u64, tenures: Rc<Tenures>) {
+async fn follow(gateway: Rc<Gateway>, incarnation: u64, lease_state: Rc<LeaseState>) {
     let me = format!("{} {incarnation}", gateway.settings.host);
     let mut roster = Roster {
-        lease: LeaderLease::new(me.clone(), TERM, LOOK),
+        lease: LeaderLease::new(me.clone(), LEASE_TERM, LEASE_READ_INTERVAL),
         me,
         gateway: gateway.clone(),
         hosts: FxHashMap::default(),
         read_at: None,
-        newcomer: Newcomer::Blind,
-        tenures,
+        discovery: Discovery::NoRows,
+        lease_state,
     };
     let mut backoff = Backoff::default();
     loop {
         match roster.round().await {
-            Ok(()) => backoff.succeeded(&gateway),
+            Ok(()) => backoff.reset(&gateway),
             Err(e) => {
-                // Without the rows nobody can be asked.
+                // Without the rows this host knows no host that it could poll.
                 roster.settle();
-                log::warn!(target: "roster", why:% = e; "The hosts' rows can't be kept.");
-                backoff.failed(&gateway).await;
+                log::warn!(target: "roster", why:% = e; "The hosts' rows can't be read or the lease can't be written.");
+                backoff.pause(&gateway).await;
             }
         }
-        let tick = match roster.newcomer {
-            Newcomer::Settled => TICK,
-            Newcomer::Blind | Newcomer::Alone => NEWCOMER_TICK,
+        let tick = match roster.discovery {
+            Discovery::Settled => CHECK_INTERVAL,
+            Discovery::NoRows | Discovery::NoPeers => DISCOVERY_CHECK_INTERVAL,
         };
         time::sleep(tick).await;
     }
@@ -109,18 +111,19 @@
 impl Roster {
     async fn round(&mut self) -> Result<(), PlatformError> {
         let now = self.gateway.now();
-        self.hear(now);
+        self.merge_reported_lease(now);
         let held = self.lease.held(now);
         if self.gateway.leaving() {
             self.lease.shut_down();
         }
-        self.show_lease();
+        self.publish_lease();
         match self.lease.step(now) {
-            // The next holder takes an engine for empty that has begun to load.
-            Step::Release { .. } if self.tenures.ordering() => {}
+            // The lease is not released while orders are pending: the next holder would consider an engine empty that
+            // has started to load layers.
+            Step::Release { .. } if self.lease_state.has_pending_orders() => {}
             Step::Release { expected } => self.write(NO_HOLDER, expected).await?,
-            _ if self.looks_once_more(now) => self.read().await?,
-            Step::Read | Step::Write { .. } if !self.may_ask(now) => {}
+            _ if self.rereads_rows(now) => self.read().await?,
+            Step::Read | Step::Write { .. } if !self.may_call_store(now) => {}
             Step::Read => self.read().await?,
             Step::Write { expected } => {
                 let me = self.me.clone();
@@ -129,7 +132,7 @@
             Step::Wait if self.rows_due(now) => self.read().await?,
             Step::Wait => {}
         }
-        self.show_lease();
+        self.publish_lease();
         let now = self.gateway.now();
         if held != self.lease.held(now) {
             let holder = self.lease.holder().unwrap_or("-");
@@ -138,35 +141,36 @@
         Ok(())
     }
 
-    /// Shows the task that places layers whether it may.
-    fn show_lease(&self) {
-        self.tenures
+    /// Publishes the state of the lease to the task that places layers.
+    fn publish_lease(&self) {
+        self.lease_state
             .set(self.lease.is_own(), self.lease.held_until());
     }
 
-    /// Takes the row of the lease as another host told it, while that reads it for this one.
-    fn hear(&mut self, now: Duration) {
+    /// Merges the row of the lease that the polled host reported, while this host does not read the store itself.
+    fn merge_reported_lease(&mut self, now: Duration) {
         if self.gateway.reads_store() || self.read_at.is_none() {
             return;
         }
-        let told = self.gateway.peers.lease();
-        if told.is_some() && !self.lease.held(now) {
-            self.lease.record_read(now, told.as_ref().map(told_row));
+        let reported = self.gateway.peers.lease();
+        if reported.is_some() && !self.lease.held(now) {
+            self.lease
+                .record_read(now, reported.as_ref().map(reported_record));
         }
     }
 
-    /// Whether this host may ask the store for the lease. Else all hosts would take a lease over at once
-    /// that stands still because the store is away, or because its holder is gone: those that read the
-    /// store for others do, and who holds the lease.
-    fn may_ask(&self, now: Duration) -> bool {
+    /// Whether this host may read and write the row of the lease: on its first read, if it reads the store for others,
+    /// or if it holds the lease. Without this limit all hosts would try at once to acquire a lease that is not renewed
+    /// because the store is unavailable or its holder has ended.
+    fn may_call_store(&self, now: Duration) -> bool {
         let first = self.read_at.is_none();
         first || self.gateway.asks_store() || self.lease.is_own() || self.lease.held(now)
     }
 
-    /// Whether the rows are to be read although the lease does not ask for it: by the hosts that
-    /// read for others.
+    /// Whether the rows are to be read although the lease does not require it: on the first read, and regularly by hosts
+    /// that read the store for others.
     fn rows_due(&self, now: Duration) -> bool {
-        let due = |at: Duration| at + ROWS_LOOK <= now;
+        let due = |at: Duration| at + ROWS_READ_INTERVAL <= now;
         self.read_at.is_none() || (self.gateway.asks_store() && self.read_at.is_some_and(due))
     }
 
@@ -176,38 +180,38 @@
         let now = gateway.now();
         self.read_at = Some(now);
         let lease = rows.iter().find(|r| r.key == LEASE_ROW);
-        self.lease.record_read(now, lease.map(seen));
+        self.lease.record_read(now, lease.map(lease_record));
         gateway.peers.set_lease(lease.map(lease_row));
         self.count_hosts(now, hosts);
-        self.note_others(now);
+        self.update_discovery(now);
         Ok(())
     }
 
-    /// Notes after a read of the rows whether the others are known.
-    fn note_others(&mut self, now: Duration) {
+    /// Updates the state of the discovery after a read of the rows.
+    fn update_discovery(&mut self, now: Duration) {
         let gateway = &self.gateway;
         let new = gateway.bounds.row_version() == Some(0);
         let one_before = gateway.peers.one_before(&gateway.settings, now);
-        match self.newcomer {
-            Newcomer::Blind if new && !one_before => self.newcomer = Newcomer::Alone,
+        match self.discovery {
+            Discovery::NoRows if new && !one_before => self.discovery = Discovery::NoPeers,
             _ => self.settle(),
         }
     }
 
-    /// The others are known, as far as they can be.
+    /// Ends the discovery: the other hosts are known as far as possible.
     fn settle(&mut self) {
-        self.newcomer = Newcomer::Settled;
+        self.discovery = Discovery::Settled;
         self.gateway.peers.set_known();
     }
 
-    /// Whether a host that was alone reads the rows once more.
-    fn looks_once_more(&self, now: Duration) -> bool {
+    /// Whether a host that found no other host is to read the rows once more now.
+    fn rereads_rows(&self, now: Duration) -> bool {
         let written = self
             .gateway
             .bounds
             .row_version()
             .is_some_and(|version| version > 0);
-        self.newcomer == Newcomer::Alone && (written || now >= NEWCOMER_WAIT)
+        self.discovery == Discovery::NoPeers && (written || now >= MAX_DISCOVERY_WAIT)
     }
 
     fn count_hosts(&mut self, now: Duration, rows: Vec<(u64, HostRow)>) {
@@ -218,16 +222,16 @@
                 self.hosts.insert(name, (version, now, row.host));
             }
         }
-        let me = myself(&self.gateway);
-        let counts = beat(self.hosts.len() + 1).mul_f64(ALIVE_BEATS);
+        let me = own_host(&self.gateway);
+        let max_age = heartbeat_interval(self.hosts.len() + 1).mul_f64(ALIVE_HEARTBEATS);
         self.hosts
-            .retain(|host, (_, at, _)| *host != me.host && *at + counts > now);
+            .retain(|host, (_, at, _)| *host != me.host && *at + max_age > now);
         let mut fleet: Vec<FleetHost> = self.hosts.values().map(|(_, _, h)| h.clone()).collect();
         fleet.push(me);
         self.gateway.set_fleet(fleet);
     }
 
-    /// Writes who holds the lease.
+    /// Writes the holder of the lease into its row, if the row has the version `expected`.
     async fn write(&mut self, holder: &str, expected: u64) -> Result<(), PlatformError> {
         let sent_at = self.gateway.now();
         let gateway = &self.gateway;
@@ -235,13 +239,14 @@
             .platform
             .store
             .write(LEASE_ROW, holder, Some(expected));
-        let written = StoreCall::Lease.made(gateway, CALL, write).await;
+        let written = StoreCall::Lease.run(gateway, CALL_TIMEOUT, write).await;
         let now = self.gateway.now();
         let (outcome, result) = match written {
             Ok(RowWriteOutcome::Done(version)) => (WriteOutcome::Done(version), Ok(())),
-            Ok(RowWriteOutcome::Conflict(row)) => {
-                (WriteOutcome::Conflict(row.as_ref().map(seen)), Ok(()))
-            }
+            Ok(RowWriteOutcome::Conflict(row)) => (
+                WriteOutcome::Conflict(row.as_ref().map(lease_record)),
+                Ok(()),
+            ),
             Err(e) => (WriteOutcome::Unknown, Err(e)),
         };
         self.lease.record_write(sent_at, now, outcome);
@@ -249,7 +254,7 @@
     }
 }
 
-fn seen(row: &Row) -> LeaseRecord {
+fn lease_record(row: &Row) -> LeaseRecord {
     LeaseRecord {
         holder: row.value.clone(),
         version: row.version,
@@ -263,7 +268,7 @@
     }
 }
 
-fn told_row(row: &LeaseRow) -> LeaseRecord {
+fn reported_record(row: &LeaseRow) -> LeaseRecord {
     LeaseRecord {
         holder: row.holder.clone(),
         version: row.version,
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -28,7 +28,7 @@
 
     /// Whether the news of the store are fresh, this host's own or those of the one that it asks.
     pub fn hears(&self) -> bool {
-        let silent = catalogue::longest_silence(&self.settings);
+        let silent = catalogue::max_store_silence(&self.settings);
         self.heard_age().is_some_and(|age| age <= silent)
     }
 
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -39,7 +39,7 @@
     gateway.set_reading(false);
     actix_rt::spawn(control::catalogue::follow(gateway.clone()));
     actix_rt::spawn(control::endpoints::follow(gateway.clone()));
-    actix_rt::spawn(control::roster::keep(gateway.clone(), incarnation()));
+    actix_rt::spawn(control::roster::run(gateway.clone(), incarnation()));
     actix_rt::spawn(peers::serve::serve(peers, gateway.clone()));
     actix_rt::spawn(peers::follow::follow(gateway.clone()));
     let forwarder = Rc::new(Forwarder::new(gateway.clone()));
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -143,7 +143,7 @@
 
     /// Whether news are of a store that was heard of lately.
     fn fresh(&self, news: &News) -> bool {
-        let silent = catalogue::longest_silence(&self.gateway.settings);
+        let silent = catalogue::max_store_silence(&self.gateway.settings);
         let heard = news.heard_age_us.map(Duration::from_micros);
         heard.is_some_and(|age| age <= silent)
     }
@@ -201,7 +201,7 @@
         if gateway.reads_well() {
             return None;
         }
-        let silent = catalogue::longest_silence(&gateway.settings);
+        let silent = catalogue::max_store_silence(&gateway.settings);
         let since = gateway.now().saturating_sub(silent);
         let host = gateway.peers.reader_near(near, since)?;
         self.ask_near(&host).await.filter(|told| told.fresh)
@@ -332,7 +332,7 @@
     fn offer(&self, loads: &LoadMap, near: bool) -> Offer {
         let gateway = &self.gateway;
         Offer {
-            from: host_row::myself(gateway),
+            from: host_row::own_host(gateway),
             // Loads only are exchanged with other data centres.
             catalogue: match near {
                 true => gateway.catalogue_version(),
