--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -16,8 +16,8 @@
 /// The maximum time that a read waits for a change, as a fraction of the time within which a change must be in force.
 /// The remainder lets other hosts notice that this host receives no changes any more, and still apply them in time.
 const APPLY_WAIT_FRACTION: f64 = 0.3;
-/// How much longer than its reads wait a host may have no answer of the store before its data count as stale, as a
-/// fraction of the time within which a change must be in force.
+/// The maximum time without an answer of the store, beyond the wait of a read, before the data of a host count as stale,
+/// as a fraction of the time within which a change must be in force.
 const SILENCE_FRACTION: f64 = 0.2;
 /// How much longer than its wait for a change a read may take.
 const READ_MARGIN: Duration = Duration::from_millis(900);
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -39,12 +39,13 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The minimum pause between two writes: a burst of retries causes a few writes, not one for each retry.
 const MIN_WRITE_PAUSE: Duration = Duration::from_millis(20);
-/// The additional pause between writes in a burst, per other host. All rows, and the row of the leader lease, are in one
-/// part of a table, in which each write takes 5 ms: with this pause all hosts together use at most half of its capacity.
+/// The pause between writes in a burst, per host beyond [`MAX_CONCURRENT_WRITERS`]. All rows, and the row of the leader
+/// lease, are in one part of a table, in which each write takes 5 ms: with this pause all hosts together use at most
+/// half of its capacity.
 const WRITE_PAUSE_PER_HOST: Duration = Duration::from_millis(10);
 /// The minimum time between two writes that are caused by endpoints that start or stop stating a limit.
 const MIN_LIMITS_WRITE_PAUSE: Duration = Duration::from_secs(1);
-/// The maximum number of hosts that write without the additional pause in a burst; larger fleets spread their writes.
+/// The largest fleet whose hosts may all write at once in a burst; the hosts of larger fleets spread their writes.
 const MAX_CONCURRENT_WRITERS: u32 = 16;
 
 /// The interval at which a host writes its row in a fleet of `hosts` hosts.
@@ -118,7 +119,7 @@
 }
 
 /// Writes the row whenever that is due, until the process exits.
-pub async fn keep(gateway: Rc<Gateway>) {
+pub async fn run(gateway: Rc<Gateway>) {
     let mut writer = RowWriter {
         gateway: gateway.clone(),
         heartbeat_at: None,
--- a/crates/gateway/src/control/roster.rs
+++ b/crates/gateway/src/control/roster.rs
@@ -71,7 +71,7 @@
     gateway.peers.set_incarnation(incarnation);
     let lease_state = Rc::new(LeaseState::default());
     future::join3(
-        host_row::keep(gateway.clone()),
+        host_row::run(gateway.clone()),
         placing::run(gateway.clone(), lease_state.clone()),
         follow(gateway, incarnation, lease_state),
     )
--- a/crates/gateway/tests/connection.rs
+++ b/crates/gateway/tests/connection.rs
@@ -17,12 +17,12 @@
     let addr = listener.local_addr().expect("bound");
     let mut connection = Connection::open(addr, &codec_config())
         .await
-        .expect("it listens");
+        .expect("a connection");
     let (mut peer, _) = listener.accept().await.expect("a connection");
     let mut head = RequestHead::default();
     head.uri = "/get/x".parse().expect("a path");
     let sent = connection.send(head, Bytes::new()).await;
-    sent.expect("it is read");
+    sent.expect("the request or answer is sent");
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
         peer.read_buf(&mut text).await.expect("a request");
@@ -46,10 +46,12 @@
 #[actix_rt::test]
 async fn an_abandoned_answer_resets_its_connection() {
     let (mut connection, mut peer) = connection_with_request().await;
-    let part = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart";
-    peer.write_all(part).await.expect("it is read");
+    let partial = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart";
+    peer.write_all(partial)
+        .await
+        .expect("the request or answer is sent");
     connection.read_head().await.expect("an answer");
-    connection.read_chunk().await.expect("a part of it");
+    connection.read_chunk().await.expect("a chunk");
     drop(connection);
     assert_eq!(next_read(peer).await, Err(io::ErrorKind::ConnectionReset));
 }
@@ -57,10 +59,12 @@
 #[actix_rt::test]
 async fn a_connection_whose_answer_was_read_completely_is_closed_without_a_reset() {
     let (mut connection, mut peer) = connection_with_request().await;
-    let whole = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
-    peer.write_all(whole).await.expect("it is read");
+    let complete = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
+    peer.write_all(complete)
+        .await
+        .expect("the request or answer is sent");
     connection.read_head().await.expect("an answer");
-    connection.read_body(10).await.expect("all of it");
+    connection.read_body(10).await.expect("a complete body");
     drop(connection);
     assert_eq!(next_read(peer).await, Ok(0));
 }
@@ -69,7 +73,9 @@
 async fn reused(headers: &str, after: Duration) -> bool {
     let (mut connection, mut peer) = connection_with_request().await;
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n{headers}\r\nbody");
-    peer.write_all(answer.as_bytes()).await.expect("it is read");
+    peer.write_all(answer.as_bytes())
+        .await
+        .expect("the request or answer is sent");
     connection.read_head().await.expect("an answer");
     connection.read_body(4).await.expect("a body");
     let addr = connection.peer_addr();
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -41,10 +41,10 @@
         lines.write_all(line.as_bytes()).expect("never fails");
     }
     // When the reader resumes, it receives the queued lines in order and the number of dropped lines.
-    (0..10_000).for_each(|_| resume.send(()).expect("it still writes"));
+    (0..10_000).for_each(|_| resume.send(()).expect("the thread runs"));
     let mut kept = 0;
     let dropped = loop {
-        let line = rx.recv().expect("it tells what was dropped");
+        let line = rx.recv().expect("a line with the number of dropped lines");
         if line.contains("Lines were dropped.") {
             let value: serde_json::Value = serde_json::from_str(&line).expect("JSON");
             break value["dropped"].as_u64().expect("a number");
@@ -61,7 +61,7 @@
 /// A process that exits right after it logs an error, such as that it can't listen at its address, must wait for the
 /// thread that writes: otherwise the process ends before the thread has written the line, and the error is lost.
 #[test]
-fn the_last_lines_are_waited_for() {
+fn a_flush_waits_until_the_last_lines_are_written() {
     let (resume, resume_rx) = channel();
     let (written, rx) = channel();
     let mut lines = LogWriter::spawn(StallingOutput { resume_rx, written }).expect("a thread");
@@ -71,7 +71,7 @@
         !flush.wait(Duration::from_millis(20)),
         "the reader is stalled"
     );
-    resume.send(()).expect("it still writes");
+    resume.send(()).expect("the thread runs");
     assert!(flush.wait(MAX_WAIT));
     assert_eq!(rx.try_recv().as_deref(), Ok("it can't listen\n"));
 }
