--- a/crates/gateway/tests/connection.rs
+++ b/crates/gateway/tests/connection.rs
@@ -22,7 +22,7 @@
     let mut head = RequestHead::default();
     head.uri = "/get/x".parse().expect("a path");
     let sent = connection.send(head, Bytes::new()).await;
-    sent.expect("the request or answer is sent");
+    sent.expect("the request is sent");
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
         peer.read_buf(&mut text).await.expect("a request");
@@ -47,9 +47,7 @@
 async fn an_abandoned_answer_resets_its_connection() {
     let (mut connection, mut peer) = connection_with_request().await;
     let partial = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart";
-    peer.write_all(partial)
-        .await
-        .expect("the request or answer is sent");
+    peer.write_all(partial).await.expect("the answer is sent");
     connection.read_head().await.expect("an answer");
     connection.read_chunk().await.expect("a chunk");
     drop(connection);
@@ -60,9 +58,7 @@
 async fn a_connection_whose_answer_was_read_completely_is_closed_without_a_reset() {
     let (mut connection, mut peer) = connection_with_request().await;
     let complete = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
-    peer.write_all(complete)
-        .await
-        .expect("the request or answer is sent");
+    peer.write_all(complete).await.expect("the answer is sent");
     connection.read_head().await.expect("an answer");
     connection.read_body(10).await.expect("a complete body");
     drop(connection);
@@ -75,7 +71,7 @@
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n{headers}\r\nbody");
     peer.write_all(answer.as_bytes())
         .await
-        .expect("the request or answer is sent");
+        .expect("the answer is sent");
     connection.read_head().await.expect("an answer");
     connection.read_body(4).await.expect("a body");
     let addr = connection.peer_addr();
