--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -44,14 +44,15 @@
         mut head,
     } = complete.answer;
     if connection.reusable() {
-        let addr = connection.peer();
+        let addr = connection.peer_addr();
         gateway.pool_connection(addr, connection, &admitted.service);
     }
-    gateway.platform.dialect.strip(&mut head.headers);
+    gateway.platform.dialect.strip_answer(&mut head.headers);
     let metrics = &gateway.metrics;
     metrics.answered(admitted.kind_label(), head.status);
     let headers = std::mem::take(&mut head.headers);
-    out.whole(head.status, headers, complete.body).await?;
+    out.send_complete(head.status, headers, complete.body)
+        .await?;
     admitted.request_log.finish_answered(head.status);
     Ok(())
 }
@@ -171,7 +172,7 @@
     let until = time::Instant::now() + limit;
     let exchange = async {
         let mut answer = send::send(gateway, admitted, &target, limit).await?;
-        let body = time::timeout_at(until, answer.connection.whole_body(MAX_ANSWER_BYTES)).await;
+        let body = time::timeout_at(until, answer.connection.read_body(MAX_ANSWER_BYTES)).await;
         match body {
             Ok(Ok(body)) => Ok(CompleteAnswer { answer, body }),
             Ok(Err(e)) => Err(DispatchError::BrokeOff(e.to_string())),
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -31,7 +31,7 @@
     gateway::Gateway,
     http::callers::{Handler, Received, Responder},
     metrics::Outcome,
-    ports::Incoming,
+    ports::RequestMetadata,
 };
 
 use attempts::Attempts;
@@ -50,7 +50,7 @@
 struct AdmittedRequest {
     head: RequestHead,
     body: Bytes,
-    incoming: Incoming,
+    incoming: RequestMetadata,
     route: Rc<Route>,
     service: Rc<Service>,
     workspace: Option<Rc<str>>,
@@ -146,19 +146,19 @@
 }
 
 /// The id that the caller gave this attempt of the request; `-` if there is none.
-fn request_id(incoming: &Incoming) -> &str {
+fn request_id(incoming: &RequestMetadata) -> &str {
     let id = incoming.attempt.as_ref();
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
 /// The refusal of a request that has no route yet.
 struct Denial {
-    incoming: Incoming,
+    incoming: RequestMetadata,
     refusal: Refusal,
 }
 
 impl Denial {
-    fn new(incoming: Incoming, refusal: Refusal) -> Box<Self> {
+    fn new(incoming: RequestMetadata, refusal: Refusal) -> Box<Self> {
         Box::new(Self { incoming, refusal })
     }
 }
@@ -182,14 +182,14 @@
         } = received;
         let gateway = &self.gateway;
         if !gateway.accepts_requests() {
-            let incoming = gateway.platform.dialect.incoming(&mut head);
+            let incoming = gateway.platform.dialect.read_request(&mut head);
             return Err(Denial::new(incoming.unwrap_or_default(), Refusal::Leaving));
         }
-        let incoming = match gateway.platform.dialect.incoming(&mut head) {
+        let incoming = match gateway.platform.dialect.read_request(&mut head) {
             Ok(incoming) => incoming,
             Err(fault) => {
                 let refusal = Refusal::Malformed(fault.to_string());
-                return Err(Denial::new(Incoming::default(), refusal));
+                return Err(Denial::new(RequestMetadata::default(), refusal));
             }
         };
         match self.find_route(&head, &incoming) {
@@ -231,7 +231,7 @@
     fn find_route(
         &self,
         head: &RequestHead,
-        incoming: &Incoming,
+        incoming: &RequestMetadata,
     ) -> Result<(Rc<Route>, Option<Workspace>), Refusal> {
         let gateway = &self.gateway;
         let catalogue = gateway.catalogue.borrow();
@@ -261,7 +261,7 @@
             .map_or_else(CallerLimits::default, |c| c.caller_limits)
     }
 
-    fn leaving(&self) -> bool {
+    fn shutting_down(&self) -> bool {
         self.gateway.is_shutting_down()
     }
 
--- a/crates/gateway/src/forward/probe.rs
+++ b/crates/gateway/src/forward/probe.rs
@@ -119,8 +119,8 @@
         let now = gateway.now();
         prober.schedule.borrow_mut().record_answer(&stage.id, now);
         let mut directory = gateway.directory.borrow_mut();
-        if directory.record_slowdown(&stage.id, report.pace, now) {
-            log::info!(target: "fleet", endpoint = &*stage.id, pace = report.pace; "Endpoint is slow.");
+        if directory.record_slowdown(&stage.id, report.slowdown_factor, now) {
+            log::info!(target: "fleet", endpoint = &*stage.id, pace = report.slowdown_factor; "Endpoint is slow.");
             actix_rt::spawn(poll_until_healthy(
                 gateway.clone(),
                 PolledEndpoint::of(stage),
@@ -238,7 +238,7 @@
                 pause = MIN_RECOVERY_PAUSE;
             }
             Some(report) => {
-                directory.record_slowdown(&endpoint.id, report.pace, now);
+                directory.record_slowdown(&endpoint.id, report.slowdown_factor, now);
                 if unresponsive {
                     log::info!(target: "fleet", endpoint = &*endpoint.id; "Endpoint answers again.");
                     directory.record_success(&endpoint.id);
--- a/crates/gateway/src/forward/refusal.rs
+++ b/crates/gateway/src/forward/refusal.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::AdmittedRequest;
-use crate::{gateway::Gateway, http::callers::Responder, metrics::Outcome, ports::Incoming};
+use crate::{gateway::Gateway, http::callers::Responder, metrics::Outcome, ports::RequestMetadata};
 
 /// The minimum retry delay of a refused caller, and the range of a random addition that keeps callers from
 /// retrying at the same moment. An engine that refused has free capacity again within a few hundred ms.
@@ -87,7 +87,7 @@
 /// Sends the answer of a refusal to the caller.
 pub(super) async fn send_answer(
     gateway: &Gateway,
-    incoming: &Incoming,
+    incoming: &RequestMetadata,
     kind: &str,
     refusal: &Refusal,
     out: &mut Responder<'_>,
@@ -95,8 +95,8 @@
     let status = refusal.status();
     gateway.metrics.answered(kind, status);
     let dialect = &gateway.platform.dialect;
-    let headers = dialect.own_answer(incoming, refusal.retry_after());
-    out.whole(status, headers, Bytes::new()).await
+    let headers = dialect.own_answer_headers(incoming, refusal.retry_after());
+    out.send_complete(status, headers, Bytes::new()).await
 }
 
 /// Logs a request that was refused before it was routed.
--- a/crates/gateway/src/forward/request_log.rs
+++ b/crates/gateway/src/forward/request_log.rs
@@ -20,7 +20,7 @@
 /// The size of a burst of logged requests, in seconds of their rate.
 const LOG_BURST_S: f64 = 5.0;
 
-/// Bounds the rate of successful requests that are logged.
+/// SharedBounds the rate of successful requests that are logged.
 pub struct RequestLogBudget {
     started_at: Instant,
     bucket: RefCell<TokenBucket>,
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -13,7 +13,7 @@
         connection::{self, Connection},
         request_head,
     },
-    ports::{AnswerFacts, Outgoing},
+    ports::{AnswerMetadata, DispatchMetadata},
 };
 
 /// The timeout for opening a connection to an endpoint. Endpoints are a fraction of a ms away; one that takes
@@ -131,12 +131,12 @@
             ));
         }
     }
-    let head = match time::timeout(limit, connection.head()).await {
+    let head = match time::timeout(limit, connection.read_head()).await {
         Ok(Ok(head)) => head,
         Ok(Err(e)) => return Err(DispatchError::BrokeOff(e.to_string())),
         Err(_) => return Err(DispatchError::MayHaveRun("no answer in time".to_owned())),
     };
-    let facts = gateway.platform.dialect.answer(&head);
+    let facts = gateway.platform.dialect.read_answer(&head);
     let answer = Answer { connection, head };
     check_answer(gateway, admitted, target, answer, &facts, sent_at.elapsed())
 }
@@ -163,7 +163,7 @@
     admitted: &AdmittedRequest,
     target: &Target<'_>,
     answer: Answer,
-    facts: &AnswerFacts,
+    facts: &AnswerMetadata,
     elapsed: Duration,
 ) -> Result<Answer, DispatchError> {
     let head = &answer.head;
@@ -175,7 +175,7 @@
     }
     gateway.record_stated_limit(target.id, facts);
     if facts.not_run || facts.misdirected {
-        let at = facts.fault_at.unwrap_or(target.addr);
+        let at = facts.failed_endpoint.unwrap_or(target.addr);
         record_refusal_by(gateway, at, facts.misdirected, elapsed);
         return Err(DispatchError::NotRun(format!(
             "{} by {at}",
@@ -223,7 +223,7 @@
     admitted: &AdmittedRequest,
     target: &Target<'_>,
 ) -> RequestHead {
-    let out = Outgoing {
+    let out = DispatchMetadata {
         deadline: admitted.time_left(),
         endpoint: target.name,
         workspace: admitted.workspace.as_deref(),
@@ -232,7 +232,7 @@
         after_event: target.after_event,
     };
     let mut headers = admitted.head.headers.clone();
-    gateway.platform.dialect.mark(&mut headers, &out);
+    gateway.platform.dialect.write_request(&mut headers, &out);
     let head = &admitted.head;
     request_head(head.method.clone(), head.uri.clone(), headers)
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -28,7 +28,7 @@
     send::{self, Answer, DispatchError, Target},
     termination,
 };
-use crate::{gateway::Gateway, http::callers::Responder, ports::Incoming};
+use crate::{gateway::Gateway, http::callers::Responder, ports::RequestMetadata};
 
 /// The estimated memory fill of its fullest stage above which a chain gets no requests. Requests end early as
 /// often as late, so a chain that is estimated to be full may still have free capacity.
@@ -220,9 +220,9 @@
 
     /// The resources and latency targets of the next run.
     fn demand(&self, engine: &Engine) -> RequestDemand {
-        let Incoming {
+        let RequestMetadata {
             tokens,
-            answer_guess,
+            expected_answer_tokens,
             ..
         } = self.admitted.incoming;
         let prompt_tokens = tokens.map_or(engine.typical_prompt_tokens, |(prompt, _)| {
@@ -237,7 +237,7 @@
         let left = on_time.saturating_duration_since(Instant::now());
         RequestDemand {
             prompt_tokens,
-            answer_tokens: answer_guess
+            answer_tokens: expected_answer_tokens
                 .map_or(engine.typical_answer_tokens, f64::from)
                 .min(max_tokens),
             first_event_target_ms: ms(left.max(MIN_TIME_LEFT)),
@@ -337,7 +337,7 @@
         out: &mut Responder<'_>,
     ) -> Result<RunEnd, ForwardError> {
         let status = answer.head.status;
-        let body = match answer.connection.whole_body(MAX_ERROR_ANSWER_BYTES).await {
+        let body = match answer.connection.read_body(MAX_ERROR_ANSWER_BYTES).await {
             Ok(body) => body,
             Err(e) => return Ok(RunEnd::Failed(DispatchError::MayHaveRun(e.to_string()))),
         };
@@ -349,8 +349,8 @@
             return Ok(RunEnd::Failed(DispatchError::MayHaveRun(why)));
         }
         let mut headers = std::mem::take(&mut answer.head.headers);
-        self.gateway.platform.dialect.strip(&mut headers);
-        out.whole(status, headers, body).await?;
+        self.gateway.platform.dialect.strip_answer(&mut headers);
+        out.send_complete(status, headers, body).await?;
         Ok(RunEnd::Complete(status))
     }
 
@@ -367,7 +367,7 @@
         loop {
             let piece = tokio::select! {
                 biased;
-                piece = answer.connection.chunk() => piece,
+                piece = answer.connection.read_chunk() => piece,
                 abandoned = monitor.until_abandoned(since) => {
                     // After a termination no more events follow: the answer is aborted rather than left waiting.
                     if out.started() && !abandoned.terminated && !self.may_continue_elsewhere() {
@@ -400,7 +400,7 @@
             let now = self.gateway.now();
             self.gateway.prober.record_event(monitor.chain, now);
         }
-        out.end().await?;
+        out.finish().await?;
         if answer.connection.reusable() {
             let addr = monitor.chain.first_stage().addr;
             self.gateway
@@ -436,11 +436,11 @@
     ) -> Result<(), ForwardError> {
         if !out.started() {
             let mut headers = std::mem::take(&mut answer.head.headers);
-            self.gateway.platform.dialect.strip(&mut headers);
-            out.begin(answer.head.status, headers)?;
+            self.gateway.platform.dialect.strip_answer(&mut headers);
+            out.start_stream(answer.head.status, headers)?;
         }
         self.gateway.metrics.relayed.inc_by(events.len() as u64);
-        out.piece(events).await?;
+        out.send_chunk(events).await?;
         self.admitted.request_log.record_relayed_events();
         Ok(())
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -38,12 +38,12 @@
 
 use self::listing::IgnoredEntry;
 use crate::{
-    bounds::Bounds,
+    bounds::SharedBounds,
     forward::{Prober, RequestLogBudget, TerminationChecks},
-    http::{connection::Connection, pool::Idle},
+    http::{connection::Connection, pool::IdleConnections},
     metrics::Metrics,
     peers::Peers,
-    ports::{Dialect, Engines, Mark, ReadCatalogue, Store},
+    ports::{Dialect, Engines, ReadCatalogue, Store, StoreRevision},
     settings::Settings,
 };
 
@@ -100,7 +100,7 @@
     /// Entries that describe no usable endpoint, by entry name.
     ignored_entries: RefCell<FxHashMap<Rc<str>, IgnoredEntry>>,
     /// The store revision up to which the list of endpoints is known.
-    pub list_revision: Cell<Mark>,
+    pub list_revision: Cell<StoreRevision>,
     /// The newest known catalogue.
     pub catalogue: RefCell<Option<Rc<Catalogue>>>,
     /// The document that the catalogue was decoded from.
@@ -116,11 +116,11 @@
     /// Number of live hosts, including this one.
     pub hosts: Cell<u32>,
     /// Idle connections to endpoints.
-    pub idle: Idle,
+    pub idle: IdleConnections,
     /// The metrics of this host.
     pub metrics: Metrics,
     /// This host's share of the bounds that apply to all hosts together.
-    pub bounds: Bounds,
+    pub bounds: SharedBounds,
     chain_cache: RefCell<FxHashMap<Rc<str>, CachedChains>>,
     epoch: Instant,
     /// When this host began to shut down.
@@ -154,8 +154,8 @@
     pub fn new(settings: Settings, platform: Platform, codec: ServiceConfig) -> Rc<Self> {
         let freshness = Freshness::new(settings.key_revocation);
         let log_budget = RequestLogBudget::new(settings.logged_per_s);
-        let bounds = Bounds::new(settings.retries);
-        let quarantine = Quarantine::new(settings.request_hold);
+        let bounds = SharedBounds::new(settings.retries);
+        let quarantine = Quarantine::new(settings.request_quarantine);
         let outage = StoreOutage::new(settings.endpoint_heartbeat);
         Rc::new(Self {
             settings,
@@ -173,7 +173,7 @@
             endpoints_known: Cell::new(false),
             loads: RefCell::default(),
             hosts: Cell::new(1),
-            idle: Idle::default(),
+            idle: IdleConnections::default(),
             metrics: Metrics::default(),
             bounds,
             chain_cache: RefCell::default(),
@@ -301,7 +301,7 @@
     }
 
     /// Lower bound on the number of hosts that share bounds, including this one; `None` until it is
-    /// known. Bounds that apply to all hosts together are divided by it, so a host that has just
+    /// known. SharedBounds that apply to all hosts together are divided by it, so a host that has just
     /// started doesn't count itself as the only one.
     pub fn counted_hosts(&self) -> Option<u32> {
         let claimed_hosts = self.bounds.hosts()?;
@@ -323,7 +323,7 @@
     /// Acquires one retry of a request from the service's retry budget, and counts the result in
     /// the metrics; false if none is left.
     pub fn acquire_retry(&self, service: &Rc<str>) -> bool {
-        let acquired = self.bounds.take_repeat(service, self.now());
+        let acquired = self.bounds.acquire_retry(service, self.now());
         let metrics = &self.metrics;
         match acquired {
             true => metrics.repeats.inc(),
@@ -338,9 +338,9 @@
     pub async fn wait_for_retry_record(&self, service: &Rc<str>) {
         let until = Instant::now() + MAX_RETRY_RECORD_WAIT;
         let mut waiter = None;
-        while self.retry_budget_state(service).needs_record() && self.bounds.writes_row() {
-            waiter.get_or_insert_with(|| self.bounds.wait(service));
-            let mut written = self.bounds.write_row();
+        while self.retry_budget_state(service).needs_record() && self.bounds.can_write_row() {
+            waiter.get_or_insert_with(|| self.bounds.begin_retry_wait(service));
+            let mut written = self.bounds.request_write();
             if time::timeout_at(until, written.changed()).await.is_err() {
                 return;
             }
@@ -349,13 +349,13 @@
 
     /// The state of this host's share of a service's retry budget.
     pub fn retry_budget_state(&self, service: &Rc<str>) -> BudgetState {
-        self.bounds.standing(service, self.now())
+        self.bounds.budget_state(service, self.now())
     }
 
     /// Whether the service's retry budget allows a retry, at once or after a record is written.
     pub fn may_retry(&self, service: &Rc<str>) -> bool {
         let budget = self.retry_budget_state(service);
-        budget.retry_left() || (budget.needs_record() && self.bounds.writes_row())
+        budget.retry_left() || (budget.needs_record() && self.bounds.can_write_row())
     }
 
     /// Replaces the list of live hosts, which includes this one.
--- a/crates/gateway/src/gateway/limits.rs
+++ b/crates/gateway/src/gateway/limits.rs
@@ -5,11 +5,11 @@
 use dragonflyrill_fleet::endpoint_limits::{LimitChange, PooledShares, RequestRate};
 
 use super::Gateway;
-use crate::ports::{AnswerFacts, StatedLimit};
+use crate::ports::{AnswerMetadata, StatedLimit};
 
 impl Gateway {
     /// Records what an endpoint's answer states about its limit.
-    pub fn record_stated_limit(&self, id: &Rc<str>, facts: &AnswerFacts) {
+    pub fn record_stated_limit(&self, id: &Rc<str>, facts: &AnswerMetadata) {
         let stated = match facts.limit {
             StatedLimit::Rate(rate) => Some(rate),
             // An answer without a seal may not be the endpoint's own, so it doesn't show that the
--- a/crates/gateway/src/gateway/listing.rs
+++ b/crates/gateway/src/gateway/listing.rs
@@ -69,7 +69,7 @@
         self.confirm_termination(&endpoint.id);
         self.loads.borrow_mut().forget(&endpoint.id);
         self.limits.borrow_mut().remove(&endpoint.id);
-        self.idle.drop_all(endpoint.addr);
+        self.idle.close_all(endpoint.addr);
         self.prober.notify_failure();
         self.metrics.endpoint_restarts.inc();
     }
@@ -79,13 +79,14 @@
     /// reported.
     pub fn apply_engine_report(self: &Rc<Self>, id: &str, report: &EngineReport) {
         let known = self.directory.borrow().get(id).cloned();
-        let Some(known) = known.filter(|e| e.started_at.is_some() && report.born > e.started_at)
+        let Some(known) =
+            known.filter(|e| e.started_at.is_some() && report.started_at > e.started_at)
         else {
             return;
         };
         self.list_endpoint(Endpoint {
-            id: incarnations::id(&known.name, report.born),
-            started_at: report.born,
+            id: incarnations::id(&known.name, report.started_at),
+            started_at: report.started_at,
             layers: report.layers,
             draining: false,
             ..(*known).clone()
--- a/crates/gateway/src/gateway/reading.rs
+++ b/crates/gateway/src/gateway/reading.rs
@@ -31,7 +31,7 @@
 
     /// Whether the data from the store is fresh, read by this host or by the host that it polls.
     pub fn has_fresh_store_data(&self) -> bool {
-        let max_silence = catalogue::longest_silence(&self.settings);
+        let max_silence = catalogue::max_store_silence(&self.settings);
         self.store_answer_age()
             .is_some_and(|age| age <= max_silence)
     }
--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -117,7 +117,7 @@
     /// host was restarted and has polled none yet.
     async fn next_startup(&mut self, near: &str, me: &str) -> Startup {
         let gateway = self.gateway.clone();
-        let restarted = gateway.bounds.found_age().is_some();
+        let restarted = gateway.bounds.inherited_row_age().is_some();
         let has_data = gateway.store_answer_age().is_some();
         match self.startup {
             _ if has_data || !restarted || gateway.store_unavailable() => Startup::Complete,
@@ -146,7 +146,7 @@
 
     /// Whether an answer shows that the answering host has recent data from the store.
     fn is_fresh(&self, news: &News) -> bool {
-        let max_silence = catalogue::longest_silence(&self.gateway.settings);
+        let max_silence = catalogue::max_store_silence(&self.gateway.settings);
         let answer_age = news.heard_age_us.map(Duration::from_micros);
         answer_age.is_some_and(|age| age <= max_silence)
     }
@@ -207,7 +207,7 @@
         if gateway.reads_fresh_store_data() {
             return None;
         }
-        let max_silence = catalogue::longest_silence(&gateway.settings);
+        let max_silence = catalogue::max_store_silence(&gateway.settings);
         let since = gateway.now().saturating_sub(max_silence);
         let host = gateway.peers.find_reader(near, since)?;
         self.poll_host(&host).await.filter(|report| report.fresh)
@@ -307,7 +307,7 @@
             gateway.set_fleet(fleet);
         }
         if let Some(claims) = news.claims {
-            gateway.bounds.told(&claims, sent_at, now);
+            gateway.bounds.merge_report(&claims, sent_at, now);
         }
         if news.lease.is_some() {
             peers.set_lease(news.lease);
@@ -348,7 +348,7 @@
     fn offer(&self, loads: &LoadMap, near: bool) -> Offer {
         let gateway = &self.gateway;
         Offer {
-            from: host_row::myself(gateway),
+            from: host_row::own_host(gateway),
             // Data centres exchange neither catalogues nor lists nor avoided endpoints.
             catalogue: match near {
                 true => gateway.catalogue_version(),
@@ -448,7 +448,7 @@
 fn adopt_document(gateway: &Gateway, received: Vec<u8>) -> Result<(), PlatformError> {
     let malformed = |e: std::io::Error| PlatformError::Malformed(e.to_string());
     let document = documents::unpack(received).map_err(malformed)?;
-    gateway.adopt_catalogue(gateway.platform.store.decode(document)?);
+    gateway.adopt_catalogue(gateway.platform.store.parse_catalogue(document)?);
     Ok(())
 }
 
