--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -4,8 +4,8 @@
 
 use argh::FromArgs;
 
-/// Names the platform's address where `--platform` does not.
-pub const PLATFORM_VARIABLE: &str = "DRAGONFLYRILL_PLATFORM";
+/// The environment variable with the platform's address, read if `--platform` is not given.
+pub const PLATFORM_ENV: &str = "DRAGONFLYRILL_PLATFORM";
 
 /// declares, compares and watches the catalogue of dragonflyrill. Exit codes: 0 done; 1 failed;
 /// 2 wrong usage or wrong declarations; 3 conflict with another operator; 4 accepted, but not in
@@ -26,12 +26,12 @@
     pub command: Command,
 }
 
-/// The form of the output.
+/// The output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// To read.
+    /// Plain text for people.
     Plain,
-    /// One JSON document for each report.
+    /// One JSON document per report.
     Json,
 }
 
@@ -47,23 +47,23 @@
     }
 }
 
-/// The commands.
+/// The subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Checks files.
+    /// Checks declaration files without the platform.
     Check(Check),
-    /// Compares files with the catalogue.
+    /// Compares declaration files with the catalogue in force.
     Diff(Diff),
-    /// Makes the files' entries those in force.
+    /// Applies the entries of declaration files to the catalogue.
     Apply(Apply),
-    /// Prints entries in force.
+    /// Prints the entries in force.
     Get(Get),
-    /// Shows which revision is in force where.
+    /// Shows which revision is in force on each host.
     Status(Status),
     /// Prints changes as they are accepted.
     Watch(Watch),
-    /// Tells from hosts' logs what was decided for a request.
+    /// Shows from hosts' logs what was decided for a request.
     Explain(Explain),
 }
 
@@ -91,7 +91,7 @@
     pub files: Vec<String>,
 }
 
-/// make the entries of the files the ones in force
+/// apply the entries of the files to the catalogue
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
@@ -107,7 +107,7 @@
     /// the longest wait in seconds (default 30)
     #[argh(option, default = "30")]
     pub within: u64,
-    /// id of the change, to repeat an apply whose outcome is unknown
+    /// id of the change, to retry an apply whose outcome is unknown
     #[argh(option)]
     pub change_id: Option<String>,
     /// for a store that went back: declare the files as the whole catalogue, above this revision,
@@ -131,11 +131,12 @@
     pub sections: Vec<String>,
 }
 
-/// show the revision in force in each data centre and on each host, and who lags and why
+/// show the revision in force in each data centre and on each host, and which hosts lag
+/// and why
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {
-    /// ask this entry host, IP:PORT, instead of those that the platform lists; may be repeated
+    /// query this entry host, IP:PORT, instead of those that the platform lists; may be repeated
     #[argh(option)]
     pub host: Vec<SocketAddr>,
 }
@@ -150,12 +151,12 @@
     /// end after this many changes; by default never
     #[argh(option)]
     pub changes: Option<usize>,
-    /// time between two looks, in milliseconds (default 500)
+    /// time between two polls, in milliseconds (default 500)
     #[argh(option, default = "500")]
     pub every_ms: u64,
 }
 
-/// tell from the hosts' logs what was decided for a request, and what was known then
+/// show from the hosts' logs what was decided for a request, and what its host knew at that time
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
@@ -166,44 +167,44 @@
     /// the id of the attempt
     #[argh(positional)]
     pub id: String,
-    /// log files; one without the host in its lines is named after the host
+    /// log files; lines without a host are attributed to the host that the file is named after
     #[argh(positional)]
     pub files: Vec<String>,
 }
 
-/// Why there is nothing to run.
+/// Why a command line gives no command to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NoArgs {
-    /// Help was asked for.
+pub enum EarlyExit {
+    /// Help was requested; the text is the help.
     Help(String),
-    /// The command line is wrong.
+    /// The command line is invalid; the text says why.
     Usage(String),
 }
 
 impl Args {
-    /// Reads a command line whose first word is the program.
+    /// Parses a command line whose first word is the program name.
     ///
     /// # Errors
-    /// [`NoArgs`] with the text to print.
-    pub fn parse(words: &[String]) -> Result<Self, NoArgs> {
+    /// [`EarlyExit`] with the text to print.
+    pub fn parse(words: &[String]) -> Result<Self, EarlyExit> {
         let words: Vec<&str> = words.iter().skip(1).map(String::as_str).collect();
         Self::from_args(&["dragonflyrillctl"], &words).map_err(|exit| match exit.status {
-            Ok(()) => NoArgs::Help(exit.output),
-            Err(()) => NoArgs::Usage(exit.output),
+            Ok(()) => EarlyExit::Help(exit.output),
+            Err(()) => EarlyExit::Usage(exit.output),
         })
     }
 
-    /// The platform's address from the command line or the environment.
+    /// Returns the platform's address from the command line or, without one, the environment.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn platform(&self) -> Result<SocketAddr, String> {
+    /// A message that says that the address is missing or invalid.
+    pub fn platform_addr(&self) -> Result<SocketAddr, String> {
         if let Some(platform) = self.platform {
             return Ok(platform);
         }
-        let raw = env::var(PLATFORM_VARIABLE)
-            .map_err(|_| format!("no platform: give --platform IP:PORT or {PLATFORM_VARIABLE}"))?;
+        let raw = env::var(PLATFORM_ENV)
+            .map_err(|_| format!("no platform: give --platform IP:PORT or {PLATFORM_ENV}"))?;
         raw.parse()
-            .map_err(|_| format!("{PLATFORM_VARIABLE} = {raw:?}: expected IP:PORT"))
+            .map_err(|_| format!("{PLATFORM_ENV} = {raw:?}: expected IP:PORT"))
     }
 }
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -14,7 +14,7 @@
 use dragonflyrill_store::catalogue_store::{CatalogueStore, Commit, Loaded, Proposal};
 use serde::Serialize;
 
-use super::{status::Lagging, wanted};
+use super::{status::LaggingHost, wanted};
 use crate::{
     args,
     context::Context,
@@ -34,7 +34,7 @@
         /// The newest revision.
         revision: Revision,
         /// Who lags after the wait; empty without one.
-        lagging: Vec<Lagging>,
+        lagging: Vec<LaggingHost>,
     },
     /// The change has this revision.
     Accepted {
@@ -47,7 +47,7 @@
         /// Whether it was waited for.
         waited: bool,
         /// Who lags after the wait; empty without one.
-        lagging: Vec<Lagging>,
+        lagging: Vec<LaggingHost>,
     },
     /// Another operator was faster. Nothing was changed.
     Conflict(Conflict),
@@ -79,7 +79,7 @@
     }
 }
 
-fn write_lagging(f: &mut fmt::Formatter<'_>, lagging: &[Lagging]) -> fmt::Result {
+fn write_lagging(f: &mut fmt::Formatter<'_>, lagging: &[LaggingHost]) -> fmt::Result {
     for l in lagging {
         writeln!(
             f,
@@ -147,7 +147,7 @@
             let conflict = Conflict::new(&proposal, &head, &since, &catalogue);
             Ok(Applied::Conflict(conflict))
         }
-        Commit::Unknown(cause) => Err(CtlError::Unknown {
+        Commit::Unknown(cause) => Err(CtlError::OutcomeUnknown {
             change_id: proposal.change_id,
             base: proposal.base,
             cause,
@@ -184,7 +184,7 @@
 /// Stops when a host has a newer revision in force than the store: the change would get a number
 /// that hosts know as another change, and they would never take it.
 async fn refuse_hosts_above(cx: &Context, head: Revision) -> Result<(), CtlError> {
-    let hosts = match host_status::listed(cx).await {
+    let hosts = match host_status::query_listed(cx).await {
         Ok(hosts) => hosts,
         Err(e) => {
             log::warn!("ctl: entry hosts can't be asked for their revision: {e}");
@@ -206,11 +206,11 @@
     cx: &Context,
     cmd: &args::Apply,
     revision: Revision,
-) -> Result<Vec<Lagging>, CtlError> {
+) -> Result<Vec<LaggingHost>, CtlError> {
     if !cmd.wait {
         return Ok(Vec::new());
     }
-    wait::in_force(cx, revision, Duration::from_secs(cmd.within)).await
+    wait::until_in_force(cx, revision, Duration::from_secs(cmd.within)).await
 }
 
 fn change_id(cmd: &args::Apply) -> Result<ChangeId, CtlError> {
--- a/crates/ctl/src/commands/apply/restore.rs
+++ b/crates/ctl/src/commands/apply/restore.rs
@@ -38,7 +38,7 @@
             accepted(cx, cmd, revision, id, diff.to_string()).await
         }
         Commit::Conflict { head, .. } => Ok(Applied::Conflict(Conflict::of_restore(above, &head))),
-        Commit::Unknown(cause) => Err(CtlError::Unknown {
+        Commit::Unknown(cause) => Err(CtlError::OutcomeUnknown {
             change_id: restoration.change_id,
             base: above,
             cause,
--- a/crates/ctl/src/commands/apply/wait.rs
+++ b/crates/ctl/src/commands/apply/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a revision is in force everywhere.
+//! `apply --wait`: waits until a revision is in force on all entry hosts.
 
 use std::time::{Duration, Instant};
 
@@ -6,44 +6,51 @@
 use dragonflyrill_catalogue::state::Revision;
 
 use crate::{
-    commands::status::{self, Lagging},
+    commands::status::{self, LaggingHost},
     context::Context,
     error::CtlError,
     host_status,
 };
 
-/// Between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause between two polls of all entry hosts.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until `revision` is in force on every entry host that stays; who lags after `within`.
+/// Waits until `revision` is in force on every entry host that is not shutting down, for at most
+/// `within`. Returns the hosts that still lag then; empty if there are none.
 ///
 /// # Errors
-/// [`CtlError::Unseen`] when the host list can't be read or names no entry host.
-pub(super) async fn in_force(
+/// [`CtlError::InForceUnknown`] when, at the end of the wait, the host list can't be read or has no
+/// entry host that is not shutting down.
+pub(super) async fn until_in_force(
     cx: &Context,
     revision: Revision,
     within: Duration,
-) -> Result<Vec<Lagging>, CtlError> {
+) -> Result<Vec<LaggingHost>, CtlError> {
     let start = Instant::now();
     loop {
-        let late = start.elapsed() >= within;
-        let cause = match look(cx, revision).await {
-            Ok(lagging) if lagging.is_empty() || late => return Ok(lagging),
+        let timed_out = start.elapsed() >= within;
+        let cause = match poll_lagging_hosts(cx, revision).await {
+            Ok(lagging) if lagging.is_empty() || timed_out => return Ok(lagging),
             Ok(_) => String::new(),
             Err(cause) => cause,
         };
-        if late {
-            return Err(CtlError::Unseen { revision, cause });
+        if timed_out {
+            return Err(CtlError::InForceUnknown { revision, cause });
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Who lags now, or why that can't be told.
-async fn look(cx: &Context, revision: Revision) -> Result<Vec<Lagging>, String> {
-    let hosts = host_status::listed(cx).await.map_err(|e| e.to_string())?;
+/// Returns the hosts that lag now.
+///
+/// # Errors
+/// Why the lag is unknown: the host list can't be read or has no host that is not shutting down.
+async fn poll_lagging_hosts(cx: &Context, revision: Revision) -> Result<Vec<LaggingHost>, String> {
+    let hosts = host_status::query_listed(cx)
+        .await
+        .map_err(|e| e.to_string())?;
     if hosts.iter().all(|h| h.leaving) {
         return Err("the platform lists no entry host".to_owned());
     }
-    Ok(status::lagging(revision, &hosts))
+    Ok(status::lagging_hosts(revision, &hosts))
 }
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,5 @@
-//! `status`: which revision is in force where, and who lags and why?
+//! The `status` command: shows the revision in force in each data centre and on each host, and which
+//! hosts lag and why.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -9,56 +10,56 @@
     args,
     context::Context,
     error::CtlError,
-    host_status::{self, EntryHost, InForce, Lag},
+    host_status::{self, EntryHost, InForce, LagCause},
     report::{Exit, Report},
 };
 
-/// The state of one data centre.
+/// Which revisions are in force in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DataCentreStatus {
-    /// Its name; empty for hosts of which nobody said.
+    /// The data centre's name; empty for hosts whose data centre is unknown.
     pub data_centre: String,
     /// The lowest revision in force on a host that answered.
     pub lowest: Option<Revision>,
-    /// The highest one.
+    /// The highest revision in force on a host that answered.
     pub highest: Option<Revision>,
-    /// How many hosts there are.
+    /// The number of hosts in the data centre.
     pub hosts: usize,
-    /// How many of them have the wanted revision in force.
+    /// The number of these hosts that have the wanted revision in force.
     pub up_to_date: usize,
 }
 
-/// What is in force where.
+/// The report of the `status` command.
 #[derive(Debug, Serialize)]
-pub struct Standing {
+pub struct StatusReport {
     /// The revision that should be in force: the store's, or the highest of any host if that is
     /// higher or the store can't be read.
     pub wanted: Revision,
-    /// The store's newest revision, where it could be read.
+    /// The store's newest revision; `None` if the store can't be read.
     pub store: Option<Revision>,
-    /// Why it could not.
+    /// Why the store can't be read.
     pub store_error: Option<String>,
-    /// By data centre.
+    /// The state of each data centre, in order of name.
     pub data_centres: Vec<DataCentreStatus>,
-    /// By host.
+    /// All queried hosts, in order of data centre and id.
     pub hosts: Vec<EntryHost>,
-    /// Who lags, and why.
-    pub lagging: Vec<Lagging>,
+    /// The hosts that lag.
+    pub lagging: Vec<LaggingHost>,
 }
 
-/// One host that lags.
+/// A host that does not have the wanted revision in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Lagging {
-    /// The host.
+pub struct LaggingHost {
+    /// The host's id.
     pub host: String,
-    /// Its data centre.
+    /// The host's data centre.
     pub data_centre: String,
-    /// Why.
-    pub why: Lag,
+    /// Why the host lags.
+    pub why: LagCause,
 }
 
-impl Standing {
-    /// Sums up what the store and the hosts said.
+impl StatusReport {
+    /// Builds the report from the store's newest revision and the hosts' status.
     pub fn new(store: Result<Revision, CtlError>, hosts: Vec<EntryHost>) -> Self {
         let highest = hosts.iter().filter_map(EntryHost::revision).max();
         let (store, store_error) = match store {
@@ -71,7 +72,7 @@
             store,
             store_error,
             data_centres: data_centres(wanted, &hosts),
-            lagging: lagging(wanted, &hosts),
+            lagging: lagging_hosts(wanted, &hosts),
             hosts,
         }
     }
@@ -82,11 +83,11 @@
     }
 }
 
-/// The hosts that don't have `wanted` in force. Hosts that are leaving don't count.
-pub fn lagging(wanted: Revision, hosts: &[EntryHost]) -> Vec<Lagging> {
-    let staying = hosts.iter().filter(|h| !h.leaving);
-    let lagging = staying.filter_map(|host| {
-        Some(Lagging {
+/// Returns the hosts that don't have `wanted` in force, except those that are shutting down.
+pub fn lagging_hosts(wanted: Revision, hosts: &[EntryHost]) -> Vec<LaggingHost> {
+    let remaining = hosts.iter().filter(|h| !h.leaving);
+    let lagging = remaining.filter_map(|host| {
+        Some(LaggingHost {
             host: host.id.clone(),
             data_centre: host.data_centre.clone(),
             why: host.lag(wanted)?,
@@ -100,7 +101,7 @@
     for host in hosts {
         by_name.entry(&host.data_centre).or_default().push(host);
     }
-    let status = |(name, hosts): (&str, Vec<&EntryHost>)| {
+    let summarize = |(name, hosts): (&str, Vec<&EntryHost>)| {
         let revisions = || hosts.iter().filter_map(|h| h.revision());
         DataCentreStatus {
             data_centre: name.to_owned(),
@@ -110,10 +111,10 @@
             up_to_date: hosts.iter().filter(|h| h.lag(wanted).is_none()).count(),
         }
     };
-    by_name.into_iter().map(status).collect()
+    by_name.into_iter().map(summarize).collect()
 }
 
-impl fmt::Display for Standing {
+impl fmt::Display for StatusReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.store, &self.store_error) {
             (Some(revision), _) => writeln!(f, "store: revision {}", revision.0)?,
@@ -142,7 +143,7 @@
             }
         }
         for lagging in &self.lagging {
-            let Lagging {
+            let LaggingHost {
                 host,
                 data_centre,
                 why,
@@ -174,7 +175,7 @@
     }
 }
 
-impl Report for Standing {
+impl Report for StatusReport {
     fn exit(&self) -> Exit {
         if self.store.is_none() || self.store_is_older() {
             Exit::Failed
@@ -189,14 +190,14 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CtlError`] when no hosts are given and the platform's list can't be read.
-pub async fn run(cx: &Context, cmd: &args::Status) -> Result<Standing, CtlError> {
+/// [`CtlError`] when no hosts are given and the platform's list of entry hosts can't be read.
+pub async fn run(cx: &Context, cmd: &args::Status) -> Result<StatusReport, CtlError> {
     let hosts = if cmd.host.is_empty() {
-        host_status::listed(cx).await?
+        host_status::query_listed(cx).await?
     } else {
-        host_status::at(cx, &cmd.host.iter().copied().collect()).await
+        host_status::query_at(cx, &cmd.host.iter().copied().collect()).await
     };
-    Ok(Standing::new(store_revision(cx).await, hosts))
+    Ok(StatusReport::new(store_revision(cx).await, hosts))
 }
 
 async fn store_revision(cx: &Context) -> Result<Revision, CtlError> {
--- a/crates/ctl/src/context.rs
+++ b/crates/ctl/src/context.rs
@@ -1,4 +1,4 @@
-//! What the commands share: clients of the platform.
+//! The platform clients that the commands share.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,52 +10,53 @@
 
 use crate::{args::Args, error::CtlError};
 
-/// Clients with the time limits of one run.
+/// Creates platform clients with the address and timeout of the command line.
 pub struct Context {
     platform: Result<SocketAddr, String>,
-    /// The longest a call may take.
-    pub call_limit: Duration,
+    /// The timeout of a call to the platform or to a host.
+    pub call_timeout: Duration,
 }
 
 impl Context {
-    /// A context by the command line; the platform's address is looked at when it is needed.
+    /// Creates a context from the command line. A missing or invalid platform address is reported only
+    /// when a client is requested.
     pub fn new(args: &Args) -> Self {
         Self {
-            platform: args.platform(),
-            call_limit: Duration::from_millis(args.call_ms),
+            platform: args.platform_addr(),
+            call_timeout: Duration::from_millis(args.call_ms),
         }
     }
 
-    /// The catalogue's place in the table.
+    /// Returns a client of the catalogue store.
     ///
     /// # Errors
-    /// [`CtlError::Usage`] without a platform.
+    /// [`CtlError::Usage`] if the platform address is missing or invalid.
     pub fn store(&self) -> Result<CatalogueStore<Table>, CtlError> {
-        Ok(CatalogueStore::new(self.table()?, retry()))
+        Ok(CatalogueStore::new(self.table()?, table_retry()))
     }
 
-    /// The object store.
+    /// Returns a client of the object store.
     ///
     /// # Errors
-    /// [`CtlError::Usage`] without a platform.
+    /// [`CtlError::Usage`] if the platform address is missing or invalid.
     pub fn objects(&self) -> Result<Objects, CtlError> {
-        Ok(Objects::new(self.platform()?, self.call_limit))
+        Ok(Objects::new(self.platform_addr()?, self.call_timeout))
     }
 
-    /// The table.
+    /// Returns a client of the table.
     ///
     /// # Errors
-    /// [`CtlError::Usage`] without a platform.
+    /// [`CtlError::Usage`] if the platform address is missing or invalid.
     pub fn table(&self) -> Result<Table, CtlError> {
-        Ok(Table::new(self.platform()?, self.call_limit))
+        Ok(Table::new(self.platform_addr()?, self.call_timeout))
     }
 
-    fn platform(&self) -> Result<SocketAddr, CtlError> {
+    fn platform_addr(&self) -> Result<SocketAddr, CtlError> {
         self.platform.clone().map_err(CtlError::Usage)
     }
 }
 
-fn retry() -> Retry {
+fn table_retry() -> Retry {
     let seed = uuid::Uuid::new_v4().as_u64_pair().0;
     Retry::new(RetryPolicy::default(), seed)
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not do its work.
+//! The errors of the commands.
 
 use std::fmt;
 
@@ -11,19 +11,19 @@
 
 use crate::report::{Exit, Report};
 
-/// The closed list of a command's failures.
+/// The error of a failed command.
 #[derive(Debug, thiserror::Error)]
 pub enum CtlError {
-    /// The command line asks for something impossible.
+    /// The command line is valid in form, but can't be carried out as given.
     #[error("{0}")]
     Usage(String),
-    /// The declarations are wrong.
+    /// The declarations are invalid.
     #[error("{0}")]
     Invalid(#[from] Faults),
-    /// The catalogue's store failed, or went back.
-    #[error("{}", StoreText(.0))]
+    /// The catalogue store failed, or holds an older state than one that was seen before.
+    #[error("{}", DisplayStoreError(.0))]
     Store(#[from] StoreError),
-    /// The platform failed.
+    /// Another call to the platform failed.
     #[error("platform: {0}")]
     Platform(#[from] PlatformError),
     /// Hosts have a newer catalogue in force than the store holds.
@@ -34,41 +34,41 @@
     HostsAhead {
         /// A host that is ahead.
         host: String,
-        /// What it has in force.
+        /// The revision in force on that host.
         in_force: Revision,
-        /// The store's newest revision, or the one given for a restore.
+        /// The store's newest revision, or the revision given with `--restore-above`.
         head: Revision,
     },
-    /// The change is accepted, but nobody tells where it is in force.
-    #[error("revision {} is accepted, but where it is in force can't be told: {cause}", .revision.0)]
-    Unseen {
+    /// The change is accepted, but the hosts where it is in force are unknown.
+    #[error("revision {} is accepted, but it is unknown where it is in force: {cause}", .revision.0)]
+    InForceUnknown {
         /// The accepted revision.
         revision: Revision,
-        /// Why.
+        /// Why the hosts' revisions are unknown.
         cause: String,
     },
-    /// No answer tells whether the change was accepted.
+    /// It is unknown whether the change was accepted.
     #[error(
         "the outcome of change {change_id} is unknown: {cause}\nrun the same command with --change-id {change_id} --base {} to settle it",
         .base.0
     )]
-    Unknown {
-        /// The change.
+    OutcomeUnknown {
+        /// The id of the change.
         change_id: ChangeId,
-        /// The revision it was made on.
+        /// The revision that the change is based on.
         base: Revision,
-        /// The last failure.
+        /// The failure of the last call.
         cause: PlatformError,
     },
 }
 
-/// What an operator does about a store that went back.
+/// Tells an operator how to proceed when the store holds an older state than the hosts.
 const RESTORE_HINT: &str = "hosts keep what they have; nothing is applied until the store is \
     brought forward, see the operators' page on the catalogue, \"Restoring an older store\"";
 
-struct StoreText<'a>(&'a StoreError);
+struct DisplayStoreError<'a>(&'a StoreError);
 
-impl fmt::Display for StoreText<'_> {
+impl fmt::Display for DisplayStoreError<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "catalogue: {}", self.0)?;
         if matches!(self.0, StoreError::Older { .. }) {
@@ -79,6 +79,7 @@
 }
 
 impl CtlError {
+    /// The value of `error` in the JSON form.
     fn kind(&self) -> &'static str {
         match self {
             Self::Usage(_) => "usage",
@@ -86,8 +87,8 @@
             Self::Store(StoreError::Older { .. }) | Self::HostsAhead { .. } => "store_older",
             Self::Store(_) => "store",
             Self::Platform(_) => "platform",
-            Self::Unseen { .. } => "unseen",
-            Self::Unknown { .. } => "unknown",
+            Self::InForceUnknown { .. } => "unseen",
+            Self::OutcomeUnknown { .. } => "unknown",
         }
     }
 }
@@ -96,10 +97,11 @@
     fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) | Self::Invalid(_) => Exit::Invalid,
-            Self::Unseen { .. } => Exit::NotEverywhere,
-            Self::Store(_) | Self::Platform(_) | Self::HostsAhead { .. } | Self::Unknown { .. } => {
-                Exit::Failed
-            }
+            Self::InForceUnknown { .. } => Exit::NotEverywhere,
+            Self::Store(_)
+            | Self::Platform(_)
+            | Self::HostsAhead { .. }
+            | Self::OutcomeUnknown { .. } => Exit::Failed,
         }
     }
 }
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Declaration files from the operator's disk.
+//! Reads the declaration files named on the command line.
 
 use std::fs;
 
@@ -12,7 +12,7 @@
 /// Reads and checks `files` as one set of declarations.
 ///
 /// # Errors
-/// [`CtlError::Invalid`] with all faults of all files.
+/// [`CtlError::Usage`] if `files` is empty, [`CtlError::Invalid`] with all faults of all files.
 pub fn read(files: &[String]) -> Result<Declarations, CtlError> {
     if files.is_empty() {
         return Err(CtlError::Usage("no declaration file is given".to_owned()));
@@ -33,9 +33,9 @@
         .zip(&texts)
         .map(|(file, text)| Source { file, text })
         .collect();
-    let found = Declarations::try_from(sources.as_slice());
-    match found {
-        Ok(found) if faults.is_empty() => Ok(found),
+    let parsed = Declarations::try_from(sources.as_slice());
+    match parsed {
+        Ok(declarations) if faults.is_empty() => Ok(declarations),
         Ok(_) => Err(Faults(faults).into()),
         Err(more) => {
             faults.extend(more.0);
--- a/crates/ctl/src/host_status.rs
+++ b/crates/ctl/src/host_status.rs
@@ -1,4 +1,4 @@
-//! What entry hosts say of themselves: `GET /status`.
+//! The status that entry hosts report at `GET /status`.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr, time::Duration};
 
@@ -9,76 +9,78 @@
 
 use crate::{context::Context, error::CtlError};
 
-/// A host's own word, as it stands on the wire.
+/// The JSON body of a host's response to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
     /// The host's id.
     pub host: String,
     /// Its data centre.
     pub data_centre: String,
-    /// The revision in force there.
+    /// The revision in force on the host.
     pub revision: Revision,
-    /// For how many milliseconds it has been in force.
+    /// How long that revision has been in force, in milliseconds.
     pub since_ms: u64,
-    /// Which start of the host this is.
+    /// The incarnation of the host's process.
     pub incarnation: u64,
-    /// Whether it takes requests.
+    /// Whether the host accepts requests.
     pub ready: bool,
-    /// How many other hosts it hears of.
+    /// How many other hosts it receives updates from.
     pub peers: u32,
 }
 
-/// What an entry host has in force, as far as can be told.
+/// The outcome of a status query to an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InForce {
-    /// It answered.
+    /// The host responded with its status.
     Known(HostStatus),
-    /// It didn't, for this reason.
+    /// The query failed; the text is the cause.
     Unreachable(String),
 }
 
-/// One entry host.
+/// An entry host and the outcome of its status query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EntryHost {
-    /// Its id in the list, or its address where it was asked for by that.
+    /// The host's id in the platform's list. For a host given by address: the id that it reports, or
+    /// the address if the query failed.
     pub id: String,
-    /// Its data centre; empty where nobody said.
+    /// The host's data centre; empty if neither the list nor the host reported it.
     pub data_centre: String,
-    /// Its address.
+    /// The address at which the host was queried.
     pub addr: SocketAddr,
-    /// Whether the list says that it is leaving.
+    /// Whether the platform's list marks the host as shutting down.
     pub leaving: bool,
-    /// What it says.
+    /// The outcome of the status query.
     pub in_force: InForce,
 }
 
-/// Why a host does not have a revision in force.
+/// Why a host does not have the wanted revision in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Lag {
-    /// It did not answer.
+pub enum LagCause {
+    /// The status query failed; the text is the cause.
     Unreachable(String),
-    /// It answered and is behind.
+    /// The host responded and has a lower revision in force.
     Behind {
-        /// What it has in force.
+        /// The revision in force on the host.
         revision: Revision,
-        /// For how long, in milliseconds.
+        /// How long that revision has been in force, in milliseconds.
         since_ms: u64,
-        /// Whether it takes requests.
+        /// Whether the host accepts requests.
         ready: bool,
-        /// How many other hosts it hears of; without one, it depends on the platform alone.
+        /// How many other hosts it receives updates from. With 0, only the platform can bring it up to
+        /// date.
         peers: u32,
     },
 }
 
 impl EntryHost {
-    /// Why `wanted` is not in force here, or `None` if it is.
-    pub fn lag(&self, wanted: Revision) -> Option<Lag> {
+    /// Why `wanted` is not in force on this host, or `None` if it or a higher revision is.
+    pub fn lag(&self, wanted: Revision) -> Option<LagCause> {
         match &self.in_force {
-            InForce::Unreachable(why) => Some(Lag::Unreachable(why.clone())),
+            InForce::Unreachable(why) => Some(LagCause::Unreachable(why.clone())),
             InForce::Known(s) if s.revision >= wanted => None,
-            InForce::Known(s) => Some(Lag::Behind {
+            InForce::Known(s) => Some(LagCause::Behind {
                 revision: s.revision,
                 since_ms: s.since_ms,
                 ready: s.ready,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The revision in force here, where it is known.
+    /// The revision in force on this host, or `None` if the status query failed.
     pub fn revision(&self) -> Option<Revision> {
         match &self.in_force {
             InForce::Known(s) => Some(s.revision),
@@ -96,7 +98,7 @@
     }
 }
 
-impl fmt::Display for Lag {
+impl fmt::Display for LagCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "does not answer: {why}"),
@@ -119,57 +121,58 @@
     }
 }
 
-/// Asks all entry hosts that the platform lists.
+/// Queries the status of all entry hosts that the platform lists.
 ///
 /// # Errors
-/// [`CtlError`] when the list can't be read; a host that does not answer is not an error.
-pub async fn listed(cx: &Context) -> Result<Vec<EntryHost>, CtlError> {
+/// [`CtlError`] when the list can't be read. A host that does not answer is no error: it is returned
+/// as [`InForce::Unreachable`].
+pub async fn query_listed(cx: &Context) -> Result<Vec<EntryHost>, CtlError> {
     let listed = entry_hosts::list(&cx.table()?).await?;
-    let asked = listed.into_iter().map(|host| EntryHost {
+    let hosts = listed.into_iter().map(|host| EntryHost {
         id: host.id.to_string(),
         data_centre: host.data_centre.to_string(),
         addr: host.callers,
         leaving: host.leaving,
         in_force: InForce::Unreachable(String::new()),
     });
-    Ok(ask(cx, asked.collect()).await)
+    Ok(query_all(cx, hosts.collect()).await)
 }
 
-/// Asks the hosts at `addrs`.
-pub async fn at(cx: &Context, addrs: &BTreeSet<SocketAddr>) -> Vec<EntryHost> {
-    let asked = addrs.iter().map(|addr| EntryHost {
+/// Queries the status of the hosts at `addrs`.
+pub async fn query_at(cx: &Context, addrs: &BTreeSet<SocketAddr>) -> Vec<EntryHost> {
+    let hosts = addrs.iter().map(|addr| EntryHost {
         id: addr.to_string(),
         data_centre: String::new(),
         addr: *addr,
         leaving: false,
         in_force: InForce::Unreachable(String::new()),
     });
-    ask(cx, asked.collect()).await
+    query_all(cx, hosts.collect()).await
 }
 
-/// Asks all hosts at once; the answers are in the order of `hosts`.
-async fn ask(cx: &Context, hosts: Vec<EntryHost>) -> Vec<EntryHost> {
+/// Queries all hosts concurrently and returns them sorted by data centre and id.
+async fn query_all(cx: &Context, hosts: Vec<EntryHost>) -> Vec<EntryHost> {
     let client = awc::Client::builder().disable_redirects().finish();
-    let limit = cx.call_limit;
-    let asked: Vec<_> = hosts
+    let timeout = cx.call_timeout;
+    let queries: Vec<_> = hosts
         .into_iter()
-        .map(|host| actix_rt::spawn(ask_one(client.clone(), limit, host)))
+        .map(|host| actix_rt::spawn(query_one(client.clone(), timeout, host)))
         .collect();
-    let mut answered = Vec::new();
-    for host in asked {
-        match host.await {
-            Ok(host) => answered.push(host),
-            Err(e) => log::error!("ctl: a host could not be asked: {e}"),
+    let mut queried = Vec::new();
+    for query in queries {
+        match query.await {
+            Ok(host) => queried.push(host),
+            Err(e) => log::error!("ctl: the status query of a host failed: {e}"),
         }
     }
-    answered.sort_by(|a, b| (&a.data_centre, &a.id).cmp(&(&b.data_centre, &b.id)));
-    answered
+    queried.sort_by(|a, b| (&a.data_centre, &a.id).cmp(&(&b.data_centre, &b.id)));
+    queried
 }
 
-async fn ask_one(client: awc::Client, limit: Duration, mut host: EntryHost) -> EntryHost {
-    let answer = match time::timeout(limit, get(&client, host.addr)).await {
+async fn query_one(client: awc::Client, timeout: Duration, mut host: EntryHost) -> EntryHost {
+    let answer = match time::timeout(timeout, fetch_status(&client, host.addr)).await {
         Ok(answer) => answer,
-        Err(_) => Err(format!("no answer within {} ms", limit.as_millis())),
+        Err(_) => Err(format!("no answer within {} ms", timeout.as_millis())),
     };
     host.in_force = match answer {
         Ok(status) => {
@@ -184,7 +187,7 @@
     host
 }
 
-async fn get(client: &awc::Client, addr: SocketAddr) -> Result<HostStatus, String> {
+async fn fetch_status(client: &awc::Client, addr: SocketAddr) -> Result<HostStatus, String> {
     let req = client.get(format!("http://{addr}/status"));
     let mut resp = req.send().await.map_err(|e| e.to_string())?;
     if !resp.status().is_success() {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' program: checks, compares and applies catalogue declarations, shows what is
-//! in force where, and tells from logs what became of a request.
+//! The operators' program: checks, compares and applies catalogue declarations, shows which revision
+//! is in force on each host, and shows from logs how a request was handled.
 //!
-//! [`args`] is the command line and [`commands`] has one module for each command; a command gives
-//! a [`report::Report`], which [`run`] prints in the asked form and turns into an exit code.
-//! The operators' page on the catalogue describes the use.
+//! [`args`] is the command line and [`commands`] has one module for each command; a command
+//! returns a [`report::Report`], which [`run`] prints in the requested format and turns into an exit
+//! code. The operators' page on the catalogue describes the use.
 
 pub mod args;
 pub mod commands;
@@ -19,7 +19,7 @@
 use context::Context;
 use report::Exit;
 
-/// Runs the command that `args` ask for and writes its report to `out`.
+/// Runs the command of `args`, writes its report to `out` and returns the exit code.
 pub async fn run(args: &Args, out: &mut dyn io::Write) -> Exit {
     let cx = Context::new(args);
     let mut printer = report::Printer::new(args.output, out);
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command tells, its form, and its exit code.
+//! The reports of the commands, their output formats and the exit codes.
 
 use std::{fmt, io};
 
@@ -9,20 +9,20 @@
 /// The program's exit codes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Ok,
     /// The platform or a host failed, or the outcome is unknown.
     Failed,
-    /// Wrong usage or wrong declarations.
+    /// The command line or the declarations are invalid.
     Invalid,
-    /// Another operator was faster.
+    /// Another operator changed the catalogue first.
     Conflict,
-    /// Accepted, but not in force on every host within the wait.
+    /// The change is accepted, but not in force on every entry host at the end of the wait.
     NotEverywhere,
 }
 
 impl Exit {
-    /// The number the program ends with.
+    /// The process exit code.
     pub fn code(self) -> i32 {
         match self {
             Self::Ok => 0,
@@ -34,25 +34,26 @@
     }
 }
 
-/// What a command found: `Display` is the plain form, `Serialize` the JSON one.
+/// The result of a command: `Display` is the plain format, `Serialize` the JSON format.
 pub trait Report: fmt::Display + Serialize {
-    /// How the program ends.
+    /// The exit code that belongs to the result.
     fn exit(&self) -> Exit;
 }
 
-/// Writes reports in the asked form.
+/// Writes reports in the requested format.
 pub struct Printer<'a> {
     output: Output,
     out: &'a mut dyn io::Write,
 }
 
 impl<'a> Printer<'a> {
-    /// Writes to `out`.
+    /// Creates a printer that writes to `out`.
     pub fn new(output: Output, out: &'a mut dyn io::Write) -> Self {
         Self { output, out }
     }
 
-    /// Writes a report or an error and gives the exit code that belongs to it.
+    /// Writes a report or an error and returns its exit code, or [`Exit::Failed`] if it can't be
+    /// written.
     pub fn print<R: Report>(&mut self, result: Result<R, CtlError>) -> Exit {
         match result {
             Ok(report) => self.write(&report),
@@ -62,8 +63,8 @@
 
     fn write(&mut self, report: &impl Report) -> Exit {
         let written = match self.output {
-            Output::Plain => self.plain(report),
-            Output::Json => self.json(report),
+            Output::Plain => self.write_plain(report),
+            Output::Json => self.write_json(report),
         };
         match written {
             Ok(()) => report.exit(),
@@ -74,7 +75,7 @@
         }
     }
 
-    fn plain(&mut self, report: &impl Report) -> io::Result<()> {
+    fn write_plain(&mut self, report: &impl Report) -> io::Result<()> {
         let text = report.to_string();
         self.out.write_all(text.as_bytes())?;
         if !text.is_empty() && !text.ends_with('\n') {
@@ -83,7 +84,7 @@
         self.out.flush()
     }
 
-    fn json(&mut self, report: &impl Report) -> io::Result<()> {
+    fn write_json(&mut self, report: &impl Report) -> io::Result<()> {
         serde_json::to_writer(&mut *self.out, report)?;
         self.out.write_all(b"\n")?;
         self.out.flush()
--- a/crates/ctl/tests/declarations.rs
+++ b/crates/ctl/tests/declarations.rs
@@ -4,7 +4,7 @@
 
 use common::{File, output, repository, words};
 use dragonflyrill_ctl::{
-    args::{Args, NoArgs},
+    args::{Args, EarlyExit},
     report::Exit,
 };
 
@@ -59,12 +59,12 @@
 fn a_wrong_command_line_is_told_from_a_call_for_help() {
     assert!(matches!(
         Args::parse(&words(&["--help"])),
-        Err(NoArgs::Help(_))
+        Err(EarlyExit::Help(_))
     ));
     assert!(matches!(
         Args::parse(&words(&["frobnicate"])),
-        Err(NoArgs::Usage(_))
+        Err(EarlyExit::Usage(_))
     ));
     let bad = words(&["--platform", "localhost:2379", "status"]);
-    assert!(matches!(Args::parse(&bad), Err(NoArgs::Usage(_))));
+    assert!(matches!(Args::parse(&bad), Err(EarlyExit::Usage(_))));
 }
