--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -14,7 +14,7 @@
 use dragonflyrill_store::catalogue_store::{CatalogueStore, Commit, Loaded, Proposal};
 use serde::Serialize;
 
-use super::{status::LaggingHost, wanted};
+use super::{plan, status::LaggingHost};
 use crate::{
     args,
     context::Context,
@@ -123,7 +123,7 @@
     let store = cx.store()?;
     let loaded = store.load(&cx.objects()?).await?;
     refuse_hosts_above(cx, loaded.catalogue.revision()).await?;
-    let diff = wanted::change(&loaded.catalogue, &declared, cmd.prune)?;
+    let diff = plan::diff(&loaded.catalogue, &declared, cmd.prune)?;
     if diff.is_empty() {
         let revision = loaded.catalogue.revision();
         let lagging = wait_for(cx, cmd, revision).await?;
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: are these files right?
+//! The `check` command: checks declaration files without the platform.
 
 use std::fmt;
 
@@ -12,22 +12,22 @@
     report::{Exit, Report},
 };
 
-/// All is right.
+/// The report of the `check` command when no fault was found.
 #[derive(Debug, Serialize)]
-pub struct Checked {
-    /// How many files were read.
+pub struct CheckReport {
+    /// The number of files read.
     pub files: usize,
-    /// How many entries they declare.
+    /// The number of entries that the files declare.
     pub entries: usize,
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} entries in {} files: ok", self.entries, self.files)
     }
 }
 
-impl Report for Checked {
+impl Report for CheckReport {
     fn exit(&self) -> Exit {
         Exit::Ok
     }
@@ -37,17 +37,17 @@
 ///
 /// # Errors
 /// [`CtlError::Invalid`] with all faults found.
-pub fn run(cmd: &args::Check) -> Result<Checked, CtlError> {
-    let found = files::read(&cmd.files)?;
+pub fn run(cmd: &args::Check) -> Result<CheckReport, CtlError> {
+    let declared = files::read(&cmd.files)?;
     if !cmd.partial {
-        let whole = validate::check(found.entries());
-        whole.map_err(|mut faults| {
-            found.locate(&mut faults.0);
+        let checked = validate::check(declared.entries());
+        checked.map_err(|mut faults| {
+            declared.locate(&mut faults.0);
             faults
         })?;
     }
-    Ok(Checked {
+    Ok(CheckReport {
         files: cmd.files.len(),
-        entries: found.len(),
+        entries: declared.len(),
     })
 }
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -1,11 +1,11 @@
-//! `diff`: what would `apply` change?
+//! The `diff` command: shows what `apply` would change.
 
 use std::fmt;
 
 use dragonflyrill_catalogue::{diff, entry, state::Revision};
 use serde::Serialize;
 
-use super::wanted;
+use super::plan;
 use crate::{
     args,
     context::Context,
@@ -14,10 +14,10 @@
     report::{Exit, Report},
 };
 
-/// What would change.
+/// The report of the `diff` command.
 #[derive(Debug, Serialize)]
 pub struct Differences {
-    /// The newest revision, which the files were compared with.
+    /// The newest revision, with which the files are compared.
     pub base: Revision,
     /// Entries to create or replace.
     pub puts: Vec<entry::Entry>,
@@ -57,10 +57,10 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CtlError`] when the files are wrong or the catalogue can't be read.
+/// [`CtlError`] when the files are invalid or the catalogue can't be read.
 pub async fn run(cx: &Context, cmd: &args::Diff) -> Result<Differences, CtlError> {
     let declared = files::read(&cmd.files)?;
     let loaded = cx.store()?.load(&cx.objects()?).await?;
-    let diff = wanted::change(&loaded.catalogue, &declared, cmd.prune)?;
+    let diff = plan::diff(&loaded.catalogue, &declared, cmd.prune)?;
     Ok(Differences::new(loaded.catalogue.revision(), &diff))
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,9 +1,11 @@
-//! `explain`: what was decided for one request, and what was known when it was.
+//! The `explain` command: shows from logs what was decided for one request and what its host knew at
+//! that time.
 //!
-//! It works on logs collected from hosts, without the platform. A request's own lines come from the
-//! host that read it; around them stand what that host learnt of catalogue, store and peers, and what
-//! any host wrote of the endpoints that the request went to. Lines are put in order by the hosts'
-//! own clocks.
+//! It reads logs collected from hosts and doesn't use the platform. The lines with the request's id
+//! come from the host that accepted the request. Between them are shown that host's lines on
+//! catalogue, store and peers, and the lines of any host on the endpoints that the request was sent
+//! to. Lines are sorted by the time of each host's own clock, so clock skew between hosts affects
+//! their order.
 
 use std::{collections::BTreeSet, fmt, fs, path::Path};
 
@@ -17,30 +19,36 @@
     report::{Exit, Report},
 };
 
-/// The parts of a host's log that tell what it believed.
-const BELIEFS: [&str; 6] = ["catalogue", "fleet", "host", "peers", "roster", "store"];
-/// The fields of a request's lines that name endpoints.
-const NAMING: [&str; 3] = ["to", "chain", "endpoint"];
-/// The fields that are printed before the others, or not at all, in the plain form.
-const LEADING: [&str; 5] = ["t", "level", "part", "m", "id"];
+/// Values of `part` of the log lines that show a host's state: its view of catalogue, store and
+/// peers.
+const HOST_STATE_PARTS: [&str; 6] = ["catalogue", "fleet", "host", "peers", "roster", "store"];
+/// The fields that name endpoints.
+const ENDPOINT_FIELDS: [&str; 3] = ["to", "chain", "endpoint"];
+/// The fields that the plain format leaves out of its `name=value` pairs: it prints them before the
+/// pairs or not at all.
+const HEADER_FIELDS: [&str; 5] = ["t", "level", "part", "m", "id"];
 
 /// One line of a host's log.
 #[derive(Debug, Clone)]
-struct Line {
+struct LogLine {
     host: String,
-    /// By the host's clock, in ms since the epoch.
+    /// The time by the host's clock, in ms since the epoch.
     at_ms: u64,
     fields: Map<String, Value>,
 }
 
-impl Line {
-    /// Reads a line: JSON, before which collectors may have put words whose last one is the host.
-    /// None if it is not the log's.
-    fn read(raw: &str, usual_host: &str) -> Option<Self> {
+impl LogLine {
+    /// Parses a line: a JSON object, before which a log collector may have put words. The last of
+    /// these words is the host; without any, it is `default_host`. Returns `None` if the line is not
+    /// of a gateway's log.
+    fn parse(raw: &str, default_host: &str) -> Option<Self> {
         let (prefix, json) = raw.split_at(raw.find('{')?);
         let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
         let at_ms = fields.get("t")?.as_u64()?;
-        let host = prefix.split_whitespace().next_back().unwrap_or(usual_host);
+        let host = prefix
+            .split_whitespace()
+            .next_back()
+            .unwrap_or(default_host);
         Some(Self {
             host: host.to_owned(),
             at_ms,
@@ -48,6 +56,7 @@
         })
     }
 
+    /// The text of `field`; empty if it is missing or no text.
     fn text(&self, field: &str) -> &str {
         self.fields
             .get(field)
@@ -55,23 +64,24 @@
             .unwrap_or_default()
     }
 
-    /// The line without its time, the same on all hosts that learnt the same.
-    fn told(&self) -> String {
+    /// The line without host and time, which is equal on all hosts that logged the same event.
+    fn without_time(&self) -> String {
         let mut fields = self.fields.clone();
         fields.remove("t");
         Value::Object(fields).to_string()
     }
 
-    fn is_of(&self, id: &str) -> bool {
+    fn has_request_id(&self, id: &str) -> bool {
         self.text("id") == id
     }
 
-    /// The names of the endpoints that this line is about, alone or as the chain
-    /// `ID=LAYERS,ID=LAYERS`. What is wrong with an entry is told of a name, all else of one start.
-    fn endpoints(&self) -> impl Iterator<Item = &str> {
-        let texts = NAMING.iter().map(|f| self.text(f));
-        let parts = texts.flat_map(|text| text.split(','));
-        let ids = parts.map(|part| part.split_once('=').map_or(part, |(id, _)| id));
+    /// The names of the endpoints in this line; a field holds one endpoint or a chain
+    /// `ID=LAYERS,ID=LAYERS`. Lines on a faulty registry entry have the endpoint's name, all others the
+    /// id of one incarnation, so ids are reduced to names.
+    fn endpoint_names(&self) -> impl Iterator<Item = &str> {
+        let texts = ENDPOINT_FIELDS.iter().map(|f| self.text(f));
+        let stages = texts.flat_map(|text| text.split(','));
+        let ids = stages.map(|stage| stage.split_once('=').map_or(stage, |(id, _)| id));
         let names = ids.map(incarnations::name);
         names.filter(|name| !name.is_empty())
     }
@@ -81,22 +91,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Role {
-    /// It is the request's own.
+    /// The line has the request's id.
     Request,
-    /// It concerns an endpoint that the request went to.
+    /// The line is on an endpoint that the request was sent to.
     Endpoint,
-    /// It tells what the request's host believed.
+    /// The line shows the state of the request's host.
     Host,
 }
 
-/// A line that is shown.
+/// A line of the report.
 #[derive(Debug)]
-struct Shown {
+struct ShownLine {
     role: Role,
-    line: Line,
+    line: LogLine,
 }
 
-impl Serialize for Shown {
+impl Serialize for ShownLine {
     fn serialize<S: Serializer>(&self, ser: S) -> Result<S::Ok, S::Error> {
         let mut fields = self.line.fields.clone();
         fields.insert("host".to_owned(), self.line.host.clone().into());
@@ -106,31 +116,31 @@
     }
 }
 
-/// What the logs tell of a request.
+/// The report of the `explain` command.
 #[derive(Debug, Serialize)]
-pub struct Explained {
+pub struct Explanation {
     id: String,
-    /// When its first line was written, in ms since the epoch.
+    /// The time of the request's first line, in ms since the epoch.
     from_ms: u64,
-    /// Lines of the files that are not of the gateway's log.
+    /// The number of lines of the files that are not of a gateway's log.
     skipped: usize,
-    lines: Vec<Shown>,
+    lines: Vec<ShownLine>,
 }
 
-impl fmt::Display for Explained {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}; ms from its first line:", self.id)?;
-        for Shown { role, line } in &self.lines {
-            let mark = match role {
+        for ShownLine { role, line } in &self.lines {
+            let marker = match role {
                 Role::Request => '>',
                 Role::Endpoint => 'e',
                 Role::Host => 'h',
             };
             let after = i128::from(line.at_ms) - i128::from(self.from_ms);
-            let (host, part, m) = (&line.host, line.text("part"), line.text("m"));
-            write!(f, "{mark} {after:>+7} {host} {part}: {m}")?;
+            let (host, part, message) = (&line.host, line.text("part"), line.text("m"));
+            write!(f, "{marker} {after:>+7} {host} {part}: {message}")?;
             for (name, value) in &line.fields {
-                if !LEADING.contains(&name.as_str()) {
+                if !HEADER_FIELDS.contains(&name.as_str()) {
                     write!(f, " {name}={value}")?;
                 }
             }
@@ -143,7 +153,7 @@
     }
 }
 
-impl Report for Explained {
+impl Report for Explanation {
     fn exit(&self) -> Exit {
         Exit::Ok
     }
@@ -152,8 +162,9 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CtlError::Usage`] if no file is given, one can't be read, or none has lines of the request.
-pub fn run(cmd: &args::Explain) -> Result<Explained, CtlError> {
+/// [`CtlError::Usage`] if no file is given, a file can't be read, or no file has a line with the
+/// request's id.
+pub fn run(cmd: &args::Explain) -> Result<Explanation, CtlError> {
     if cmd.files.is_empty() {
         return Err(CtlError::Usage("no log file is given".to_owned()));
     }
@@ -162,55 +173,66 @@
     for file in &cmd.files {
         let text = fs::read_to_string(file)
             .map_err(|e| CtlError::Usage(format!("{file}: cannot be read: {e}")))?;
-        let usual_host = Path::new(file).file_stem().unwrap_or_default();
-        let usual_host = usual_host.to_string_lossy();
+        let default_host = Path::new(file).file_stem().unwrap_or_default();
+        let default_host = default_host.to_string_lossy();
         for raw in text.lines().filter(|raw| !raw.trim().is_empty()) {
-            match Line::read(raw, &usual_host) {
+            match LogLine::parse(raw, &default_host) {
                 Some(line) => lines.push(line),
                 None => skipped += 1,
             }
         }
     }
     explain(&cmd.id, lines, skipped, cmd.before_ms).ok_or_else(|| {
-        let looked = "requests that go well are logged only up to `requests_per_second`";
-        CtlError::Usage(format!("no line has id {}; {looked}", cmd.id))
+        let hint = "successful requests are logged only up to `requests_per_second`";
+        CtlError::Usage(format!("no line has id {}; {hint}", cmd.id))
     })
 }
 
-fn explain(id: &str, mut lines: Vec<Line>, skipped: usize, before_ms: u64) -> Option<Explained> {
+/// Selects the lines to show for request `id`; `None` if no line has this id.
+fn explain(
+    id: &str,
+    mut lines: Vec<LogLine>,
+    skipped: usize,
+    before_ms: u64,
+) -> Option<Explanation> {
     lines.sort_by_key(|line| line.at_ms);
-    let own: Vec<&Line> = lines.iter().filter(|line| line.is_of(id)).collect();
-    let (from_ms, to_ms) = (own.first()?.at_ms, own.last()?.at_ms);
-    let hosts: BTreeSet<String> = own.iter().map(|line| line.host.clone()).collect();
-    let endpoints: BTreeSet<String> = own
+    let request_lines: Vec<&LogLine> = lines
+        .iter()
+        .filter(|line| line.has_request_id(id))
+        .collect();
+    let (from_ms, to_ms) = (request_lines.first()?.at_ms, request_lines.last()?.at_ms);
+    let hosts: BTreeSet<String> = request_lines.iter().map(|line| line.host.clone()).collect();
+    let endpoints: BTreeSet<String> = request_lines
         .iter()
-        .flat_map(|line| line.endpoints())
+        .flat_map(|line| line.endpoint_names())
         .map(str::to_owned)
         .collect();
-    let meanwhile = from_ms.saturating_sub(before_ms)..=to_ms;
-    let mut told = BTreeSet::new();
-    let mut role = |line: &Line| {
-        if line.is_of(id) {
+    let shown_period = from_ms.saturating_sub(before_ms)..=to_ms;
+    let mut seen = BTreeSet::new();
+    let mut role = |line: &LogLine| {
+        if line.has_request_id(id) {
             return Some(Role::Request);
         }
-        if !meanwhile.contains(&line.at_ms) || line.fields.contains_key("id") {
+        if !shown_period.contains(&line.at_ms) || line.fields.contains_key("id") {
             return None;
         }
-        let own_host = hosts.contains(&line.host);
+        let on_request_host = hosts.contains(&line.host);
         let endpoint = incarnations::name(line.text("endpoint"));
         if !endpoint.is_empty() {
-            // Every host writes what the list says; of other hosts the first to know is enough.
-            let concerns = endpoints.contains(endpoint) && (told.insert(line.told()) || own_host);
-            return concerns.then_some(Role::Endpoint);
+            // Every host logs each change in the list of endpoints; of the lines of other hosts only
+            // the first one on an event is shown.
+            let is_shown = endpoints.contains(endpoint)
+                && (seen.insert(line.without_time()) || on_request_host);
+            return is_shown.then_some(Role::Endpoint);
         }
-        let believed = BELIEFS.contains(&line.text("part")) && own_host;
-        believed.then_some(Role::Host)
+        let is_host_state = HOST_STATE_PARTS.contains(&line.text("part")) && on_request_host;
+        is_host_state.then_some(Role::Host)
     };
     let shown = lines.into_iter().filter_map(|line| {
         let role = role(&line)?;
-        Some(Shown { role, line })
+        Some(ShownLine { role, line })
     });
-    Some(Explained {
+    Some(Explanation {
         id: id.to_owned(),
         from_ms,
         skipped,
--- a/crates/ctl/src/commands/get.rs
+++ b/crates/ctl/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! `get`: which entries are in force?
+//! The `get` command: prints the entries in force.
 
 use std::fmt;
 
@@ -12,18 +12,18 @@
     report::{Exit, Report},
 };
 
-/// Entries in force.
+/// The report of the `get` command.
 #[derive(Debug, Serialize)]
 pub struct Entries {
     /// The newest revision.
     pub revision: Revision,
-    /// The id of its change.
+    /// The id of the change that led to this revision.
     pub change_id: String,
-    /// The entries asked for, in key order.
+    /// The selected entries, in key order.
     pub entries: Vec<Entry>,
 }
 
-/// A declaration file; the revision stands in a comment, for `apply --base`.
+/// The plain form is a declaration file. A comment has the revision, for `apply --base`.
 impl fmt::Display for Entries {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "; revision {}", self.revision.0)?;
@@ -44,7 +44,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CtlError`] when the catalogue can't be read or a section asked for is not in it.
+/// [`CtlError`] when the catalogue can't be read or has no entry of a section in `cmd`.
 pub async fn run(cx: &Context, cmd: &args::Get) -> Result<Entries, CtlError> {
     let loaded = cx.store()?.load(&cx.objects()?).await?;
     let all: Vec<Entry> = loaded.catalogue.entries().cloned().collect();
@@ -53,12 +53,12 @@
             return Err(CtlError::Usage(format!("no entry [{section}] is in force")));
         }
     }
-    let asked =
+    let selected =
         |e: &Entry| cmd.sections.is_empty() || cmd.sections.iter().any(|s| is_section(e, s));
     Ok(Entries {
         revision: loaded.catalogue.revision(),
         change_id: loaded.change_id,
-        entries: all.into_iter().filter(asked).collect(),
+        entries: all.into_iter().filter(selected).collect(),
     })
 }
 
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! One module per command, and `plan`, which `apply` and `diff` share.
 
 pub mod apply;
 pub mod check;
@@ -8,4 +8,4 @@
 pub mod status;
 pub mod watch;
 
-mod wanted;
+mod plan;
--- a/crates/ctl/src/commands/watch.rs
+++ b/crates/ctl/src/commands/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: prints changes as they are accepted.
+//! The `watch` command: prints changes as they are accepted.
 
 use std::{fmt, time::Duration};
 
@@ -21,9 +21,9 @@
 /// One accepted change.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
-pub struct Accepted(pub Change);
+pub struct AcceptedChange(pub Change);
 
-impl fmt::Display for Accepted {
+impl fmt::Display for AcceptedChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let change = &self.0;
         writeln!(
@@ -41,19 +41,21 @@
     }
 }
 
-impl Report for Accepted {
+impl Report for AcceptedChange {
     fn exit(&self) -> Exit {
         Exit::Ok
     }
 }
 
-/// Runs the command until the asked number of changes was printed.
+/// Runs the command until the requested number of changes is printed, or without end if there is no
+/// such number.
 ///
-/// A platform that is away is waited for; a store that went back ends the watch.
+/// Polls that fail because the platform is unavailable are retried; a store that holds an older state
+/// than before ends the command with an error.
 pub async fn run(cx: &Context, cmd: &args::Watch, printer: &mut Printer<'_>) -> Exit {
     match watch(cx, cmd, printer).await {
         Ok(()) => Exit::Ok,
-        Err(e) => printer.print::<Accepted>(Err(e)),
+        Err(e) => printer.print::<AcceptedChange>(Err(e)),
     }
 }
 
@@ -63,13 +65,13 @@
         Some(revision) => Revision(revision),
         None => store.read_head().await?.revision,
     };
-    let mut left = cmd.changes;
-    while left != Some(0) {
-        for change in look(&store, after).await? {
+    let mut remaining = cmd.changes;
+    while remaining != Some(0) {
+        for change in poll_changes(&store, after).await? {
             after = change.revision;
-            printer.print(Ok(Accepted(change)));
-            left = left.map(|n| n.saturating_sub(1));
-            if left == Some(0) {
+            printer.print(Ok(AcceptedChange(change)));
+            remaining = remaining.map(|n| n.saturating_sub(1));
+            if remaining == Some(0) {
                 return Ok(());
             }
         }
@@ -78,8 +80,11 @@
     Ok(())
 }
 
-/// The changes after `after`; none while the platform is away.
-async fn look(store: &CatalogueStore<Table>, after: Revision) -> Result<Vec<Change>, CtlError> {
+/// Returns the changes after revision `after`; none while the platform is unavailable.
+async fn poll_changes(
+    store: &CatalogueStore<Table>,
+    after: Revision,
+) -> Result<Vec<Change>, CtlError> {
     let head = match store.read_head().await {
         Ok(head) => head,
         Err(StoreError::Platform(e)) if e.is_transient() => {
@@ -96,7 +101,8 @@
             log::warn!("ctl: {e}");
             Ok(Vec::new())
         }
-        // Trimmed, or left out when the store was brought forward.
+        // The changes after `after` were trimmed, or skipped by a restoration of the store: continue
+        // with the newest change.
         Err(StoreError::Missing { after }) => {
             log::warn!("ctl: changes after revision {} are not kept", after.0);
             let before = head.revision.0.saturating_sub(1);
