--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: makes the entries of the files the ones in force.
+//! The `apply` command: applies the entries of declaration files to the catalogue.
 
 mod conflict;
 mod restore;
@@ -25,35 +25,35 @@
 
 pub use conflict::Conflict;
 
-/// How an apply ended.
+/// The report of the `apply` command.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
-pub enum Applied {
-    /// The files ask for nothing that is not in force already.
+pub enum ApplyReport {
+    /// The files declare nothing that is not in force already.
     Unchanged {
         /// The newest revision.
         revision: Revision,
-        /// Who lags after the wait; empty without one.
+        /// The hosts that lag at the end of the wait; empty without a wait.
         lagging: Vec<LaggingHost>,
     },
-    /// The change has this revision.
+    /// The change is accepted.
     Accepted {
-        /// Its revision.
+        /// The revision of the change.
         revision: Revision,
-        /// Its id.
+        /// The id of the change.
         change_id: String,
-        /// What changed, to read.
+        /// The changed entries, as plain text.
         diff: String,
-        /// Whether it was waited for.
+        /// Whether `--wait` was given.
         waited: bool,
-        /// Who lags after the wait; empty without one.
+        /// The hosts that lag at the end of the wait; empty without a wait.
         lagging: Vec<LaggingHost>,
     },
-    /// Another operator was faster. Nothing was changed.
+    /// Another operator changed the catalogue first. Nothing was applied.
     Conflict(Conflict),
 }
 
-impl fmt::Display for Applied {
+impl fmt::Display for ApplyReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unchanged { revision, lagging } => {
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-impl Report for Applied {
+impl Report for ApplyReport {
     fn exit(&self) -> Exit {
         match self {
             Self::Unchanged { lagging, .. } | Self::Accepted { lagging, .. } => {
@@ -108,26 +108,26 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CtlError`] when the files are wrong, the platform failed, the store went back, or the
-/// outcome is unknown.
-pub async fn run(cx: &Context, cmd: &args::Apply) -> Result<Applied, CtlError> {
+/// [`CtlError`] when the files are invalid, the platform failed, the store holds an older state than
+/// the hosts, or the outcome is unknown.
+pub async fn run(cx: &Context, cmd: &args::Apply) -> Result<ApplyReport, CtlError> {
     match cmd.restore_above {
         Some(above) => restore::run(cx, cmd, Revision(above)).await,
         None => apply(cx, cmd).await,
     }
 }
 
-async fn apply(cx: &Context, cmd: &args::Apply) -> Result<Applied, CtlError> {
+async fn apply(cx: &Context, cmd: &args::Apply) -> Result<ApplyReport, CtlError> {
     let declared = files::read(&cmd.files)?;
     let change_id = change_id(cmd)?;
     let store = cx.store()?;
     let loaded = store.load(&cx.objects()?).await?;
-    refuse_hosts_above(cx, loaded.catalogue.revision()).await?;
+    refuse_if_hosts_ahead(cx, loaded.catalogue.revision()).await?;
     let diff = plan::diff(&loaded.catalogue, &declared, cmd.prune)?;
     if diff.is_empty() {
         let revision = loaded.catalogue.revision();
-        let lagging = wait_for(cx, cmd, revision).await?;
-        return Ok(Applied::Unchanged { revision, lagging });
+        let lagging = wait_if_requested(cx, cmd, revision).await?;
+        return Ok(ApplyReport::Unchanged { revision, lagging });
     }
     let proposal = Proposal {
         base: cmd.base.map_or(loaded.catalogue.revision(), Revision),
@@ -140,12 +140,12 @@
     match store.commit(&proposal).await? {
         Commit::Accepted(revision) => {
             maintain(cx, &store).await?;
-            accepted(cx, cmd, revision, &proposal.change_id, diff.to_string()).await
+            report_accepted(cx, cmd, revision, &proposal.change_id, diff.to_string()).await
         }
         Commit::Conflict { head, since } => {
             let Loaded { catalogue, .. } = store.load(&cx.objects()?).await?;
             let conflict = Conflict::new(&proposal, &head, &since, &catalogue);
-            Ok(Applied::Conflict(conflict))
+            Ok(ApplyReport::Conflict(conflict))
         }
         Commit::Unknown(cause) => Err(CtlError::OutcomeUnknown {
             change_id: proposal.change_id,
@@ -155,39 +155,40 @@
     }
 }
 
-/// The report of an accepted change, after the wait if one is asked for.
-async fn accepted(
+/// Returns the report of an accepted change, after the wait if `--wait` is given.
+async fn report_accepted(
     cx: &Context,
     cmd: &args::Apply,
     revision: Revision,
     change_id: &ChangeId,
     diff: String,
-) -> Result<Applied, CtlError> {
-    Ok(Applied::Accepted {
+) -> Result<ApplyReport, CtlError> {
+    Ok(ApplyReport::Accepted {
         revision,
         change_id: change_id.to_string(),
         diff,
         waited: cmd.wait,
-        lagging: wait_for(cx, cmd, revision).await?,
+        lagging: wait_if_requested(cx, cmd, revision).await?,
     })
 }
 
-/// Keeps the feed of changes short. The change is accepted already, so a failure only means that
-/// the next apply does it.
+/// Trims the feed of changes with a snapshot when it is long. A failure is only logged: the change is accepted
+/// already, and the next apply retries the snapshot.
 async fn maintain(cx: &Context, store: &CatalogueStore<Table>) -> Result<(), CtlError> {
     if let Err(e) = store.maintain(&cx.objects()?).await {
-        log::warn!("ctl: no snapshot was made: {e}");
+        log::warn!("ctl: the snapshot of the catalogue failed: {e}");
     }
     Ok(())
 }
 
-/// Stops when a host has a newer revision in force than the store: the change would get a number
-/// that hosts know as another change, and they would never take it.
-async fn refuse_hosts_above(cx: &Context, head: Revision) -> Result<(), CtlError> {
+/// Fails when a host has a revision above `head` in force. The change would otherwise get a revision
+/// under which that host knows another change, and the host would never apply it. If the list of hosts
+/// can't be read, this check is skipped with a warning.
+async fn refuse_if_hosts_ahead(cx: &Context, head: Revision) -> Result<(), CtlError> {
     let hosts = match host_status::query_listed(cx).await {
         Ok(hosts) => hosts,
         Err(e) => {
-            log::warn!("ctl: entry hosts can't be asked for their revision: {e}");
+            log::warn!("ctl: the revisions of the entry hosts are unknown: {e}");
             return Ok(());
         }
     };
@@ -202,7 +203,9 @@
     }
 }
 
-async fn wait_for(
+/// Waits until `revision` is in force on all entry hosts if `--wait` is given, and returns the hosts
+/// that still lag.
+async fn wait_if_requested(
     cx: &Context,
     cmd: &args::Apply,
     revision: Revision,
@@ -213,17 +216,20 @@
     wait::until_in_force(cx, revision, Duration::from_secs(cmd.within)).await
 }
 
+/// The id given with `--change-id`, or else a new random id.
 fn change_id(cmd: &args::Apply) -> Result<ChangeId, CtlError> {
     let raw = cmd.change_id.clone();
     let raw = raw.unwrap_or_else(|| uuid::Uuid::new_v4().to_string());
     ChangeId::try_from(raw.as_str()).map_err(|e| CtlError::Usage(e.to_string()))
 }
 
+/// The author given with `--author`, or else the user's name.
 fn author(cmd: &args::Apply) -> String {
-    let given = cmd.author.clone();
-    given.unwrap_or_else(|| env::var("USER").unwrap_or_else(|_| "unknown".to_owned()))
+    let author = cmd.author.clone();
+    author.unwrap_or_else(|| env::var("USER").unwrap_or_else(|_| "unknown".to_owned()))
 }
 
+/// The current time in ms since the epoch.
 fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
--- a/crates/ctl/src/commands/apply/conflict.rs
+++ b/crates/ctl/src/commands/apply/conflict.rs
@@ -1,4 +1,4 @@
-//! A conflict, as an operator sees it: both versions and the way out.
+//! The report of a conflict: both versions of each entry, and how to resolve the conflict.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -10,38 +10,38 @@
 use dragonflyrill_store::catalogue_store::{Head, Proposal};
 use serde::Serialize;
 
-/// The most entries listed that only others changed; `watch` shows them all.
-const MAX_LISTED: usize = 10;
+/// The maximum number of listed entries that only others changed. `watch` shows all changes.
+const MAX_LISTED_OTHERS: usize = 10;
 
-/// One entry that both operators changed.
+/// An entry that both this apply and other operators changed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BothChanged {
     /// The entry's section.
     pub section: String,
-    /// What is in force now; `None` where it was removed.
+    /// The version in force; `None` if the entry was removed.
     pub theirs: Option<Entry>,
-    /// What this apply wanted; `None` for its removal.
+    /// The version of this apply; `None` if it removes the entry.
     pub yours: Option<Entry>,
 }
 
-/// Why nothing was applied.
+/// A conflict of an apply with changes of other operators; nothing was applied.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Conflict {
-    /// The revision this apply was made on.
+    /// The revision that this apply is based on.
     pub base: Revision,
     /// The newest revision.
     pub head: Revision,
-    /// Who made the changes since the base.
+    /// The authors of the changes since the base, sorted.
     pub authors: Vec<String>,
-    /// Sections that others changed and this apply didn't.
+    /// Sections of entries that others changed and this apply didn't.
     pub others: Vec<String>,
     /// Entries that both changed.
     pub both: Vec<BothChanged>,
 }
 
 impl Conflict {
-    /// Another operator wrote while the store was brought forward.
-    pub(super) fn of_restore(above: Revision, head: &Head) -> Self {
+    /// A conflict of a restoration above revision `above` with a change of another operator.
+    pub(super) fn during_restore(above: Revision, head: &Head) -> Self {
         Self {
             base: above,
             head: head.revision,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Compares `proposal` with the changes `since` its base; `current` is in force now.
+    /// Compares `proposal` with the changes `since` its base; `current` is the catalogue in force.
     pub fn new(proposal: &Proposal, head: &Head, since: &[Change], current: &Catalogue) -> Self {
-        let yours = touched(&proposal.puts, &proposal.deletes);
+        let yours = changed_entries(&proposal.puts, &proposal.deletes);
         let mut theirs = BTreeMap::new();
         for change in since {
-            theirs.extend(touched(&change.puts, &change.deletes));
+            theirs.extend(changed_entries(&change.puts, &change.deletes));
         }
         let mut authors: Vec<String> = since.iter().map(|c| c.author.clone()).collect();
         authors.sort();
@@ -83,8 +83,8 @@
     }
 }
 
-/// The entries a change touches; `None` is a removal.
-fn touched<'a>(
+/// Returns the entries that a change sets or removes; `None` is a removal.
+fn changed_entries<'a>(
     puts: &'a [Entry],
     deletes: &'a [EntryKey],
 ) -> BTreeMap<EntryKey, Option<&'a Entry>> {
@@ -109,10 +109,15 @@
             write_version(f, "in force", both.theirs.as_ref())?;
             write_version(f, "yours", both.yours.as_ref())?;
         }
-        for section in self.others.iter().take(MAX_LISTED) {
+        for section in self.others.iter().take(MAX_LISTED_OTHERS) {
             writeln!(f, "others changed [{section}]")?;
         }
-        if let Some(more) = self.others.len().checked_sub(MAX_LISTED).filter(|n| *n > 0) {
+        if let Some(more) = self
+            .others
+            .len()
+            .checked_sub(MAX_LISTED_OTHERS)
+            .filter(|n| *n > 0)
+        {
             writeln!(f, "and {more} more entries that you don't change")?;
         }
         writeln!(
--- a/crates/ctl/src/commands/apply/restore.rs
+++ b/crates/ctl/src/commands/apply/restore.rs
@@ -1,27 +1,29 @@
-//! `apply --restore-above`: brings a store that went back forward again.
+//! `apply --restore-above`: raises the revision of a store that holds an older state than the hosts.
 
 use dragonflyrill_catalogue::{diff, state::Revision, validate};
 use dragonflyrill_store::catalogue_store::{Commit, Restoration};
 
-use super::{Applied, Conflict, accepted, author, change_id, now_ms, refuse_hosts_above};
+use super::{
+    ApplyReport, Conflict, author, change_id, now_ms, refuse_if_hosts_ahead, report_accepted,
+};
 use crate::{args, context::Context, error::CtlError, files};
 
-/// Declares the files as the whole catalogue, above `above`.
+/// Commits the files as the complete catalogue, at a revision above `above`.
 ///
 /// # Errors
-/// [`CtlError`] when the files are not a whole catalogue, a host is above `above`, the platform
-/// failed, or the outcome is unknown.
+/// [`CtlError`] when the files are not a complete catalogue, a host has a revision above `above` in
+/// force, the platform failed, or the outcome is unknown.
 pub(super) async fn run(
     cx: &Context,
     cmd: &args::Apply,
     above: Revision,
-) -> Result<Applied, CtlError> {
+) -> Result<ApplyReport, CtlError> {
     let declared = files::read(&cmd.files)?;
     validate::check(declared.entries()).map_err(|mut faults| {
         declared.locate(&mut faults.0);
         faults
     })?;
-    refuse_hosts_above(cx, above).await?;
+    refuse_if_hosts_ahead(cx, above).await?;
     let restoration = Restoration {
         above,
         change_id: change_id(cmd)?,
@@ -35,9 +37,11 @@
             let created = restoration.entries.iter().cloned();
             let diff = diff::Diff(created.map(diff::Difference::Created).collect());
             let id = &restoration.change_id;
-            accepted(cx, cmd, revision, id, diff.to_string()).await
+            report_accepted(cx, cmd, revision, id, diff.to_string()).await
         }
-        Commit::Conflict { head, .. } => Ok(Applied::Conflict(Conflict::of_restore(above, &head))),
+        Commit::Conflict { head, .. } => Ok(ApplyReport::Conflict(Conflict::during_restore(
+            above, &head,
+        ))),
         Commit::Unknown(cause) => Err(CtlError::OutcomeUnknown {
             change_id: restoration.change_id,
             base: above,
