--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -1,26 +1,26 @@
-//! The commands against a platform in memory: what they print and how they end.
+//! Runs the commands against an in-memory platform and checks their output and exit codes.
 
 mod common;
 
 use std::net::TcpListener;
 
-use common::{File, Platform, output, repository};
+use common::{Platform, TempFile, repository_path, run_command};
 use dragonflyrill_ctl::report::Exit;
 
-const ONE: &str = "[workspace co-op]\nweight = 1\n";
-const TWO: &str = "[workspace co-op]\nweight = 2\n";
+const WEIGHT_1: &str = "[workspace co-op]\nweight = 1\n";
+const WEIGHT_2: &str = "[workspace co-op]\nweight = 2\n";
 
 #[actix_rt::test]
-async fn an_applied_catalogue_is_given_back_as_the_same_declarations() {
+async fn get_prints_the_applied_catalogue_as_the_same_declarations() {
     let platform = Platform::start().await;
-    let example = repository("config/catalogue/kiosknetz.ini");
+    let example = repository_path("config/catalogue/kiosknetz.ini");
     let (exit, out) = platform.run(&["apply", &example]).await;
     assert_eq!(exit, Exit::Ok, "{out}");
     assert!(out.contains("accepted: revision 1 (change "), "{out}");
 
     let (exit, text) = platform.run(&["get"]).await;
     assert_eq!(exit, Exit::Ok);
-    let copy = File::new("given-back.ini", &text);
+    let copy = TempFile::new("given-back.ini", &text);
     let (exit, out) = platform.run(&["diff", "--prune", copy.path()]).await;
     assert_eq!(
         (exit, out.as_str()),
@@ -34,11 +34,11 @@
 }
 
 #[actix_rt::test]
-async fn a_conflict_shows_both_versions_and_the_way_out() {
+async fn a_conflict_shows_both_versions_and_how_to_resolve_it() {
     let platform = Platform::start().await;
     let (one, two) = (
-        File::new("conflict-1.ini", ONE),
-        File::new("conflict-2.ini", TWO),
+        TempFile::new("conflict-1.ini", WEIGHT_1),
+        TempFile::new("conflict-2.ini", WEIGHT_2),
     );
     platform
         .run(&["apply", "--author", "kim", one.path()])
@@ -57,10 +57,10 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_resolved_and_the_change_counted_once() {
+async fn a_change_whose_response_is_lost_is_applied_once() {
     let platform = Platform::start().await;
-    let one = File::new("lost.ini", ONE);
-    platform.lose_answers(1);
+    let one = TempFile::new("lost.ini", WEIGHT_1);
+    platform.drop_next_responses(1);
     let (exit, out) = platform.run(&["apply", one.path()]).await;
     assert_eq!(exit, Exit::Ok, "{out}");
     let (_, out) = platform.run(&["status"]).await;
@@ -70,8 +70,8 @@
 #[actix_rt::test]
 async fn wait_ends_when_the_change_is_in_force_on_every_host() {
     let platform = Platform::start().await;
-    let one = File::new("everywhere.ini", ONE);
-    // Hosts ahead of the store would be refused, so the change comes first.
+    let one = TempFile::new("everywhere.ini", WEIGHT_1);
+    // `apply` fails when a host is ahead of the store, so the change is applied before hosts are added.
     let (exit, _) = platform.run(&["apply", one.path()]).await;
     assert_eq!(exit, Exit::Ok);
     platform.add_host("e1", "geoje", 1).await;
@@ -92,7 +92,7 @@
     drop(listener);
     platform.add_host("e1", "geoje", 0).await;
     platform.list_host("e2", "tongyeong", closed).await;
-    let one = File::new("lagging.ini", ONE);
+    let one = TempFile::new("lagging.ini", WEIGHT_1);
     let line = ["apply", "--wait", "--within", "0", one.path()];
     let (exit, out) = platform.run(&line).await;
     assert_eq!(exit, Exit::NotEverywhere);
@@ -118,9 +118,9 @@
 }
 
 #[actix_rt::test]
-async fn wait_without_a_listed_host_does_not_claim_to_be_in_force() {
+async fn wait_without_a_listed_host_does_not_report_in_force() {
     let platform = Platform::start().await;
-    let one = File::new("nowhere.ini", ONE);
+    let one = TempFile::new("nowhere.ini", WEIGHT_1);
     let line = ["apply", "--wait", "--within", "0", one.path()];
     let (exit, out) = platform.run(&line).await;
     assert_eq!(exit, Exit::NotEverywhere);
@@ -128,10 +128,10 @@
 }
 
 #[actix_rt::test]
-async fn a_store_that_went_back_is_refused_until_it_is_brought_forward() {
+async fn apply_to_a_store_behind_its_hosts_fails_until_it_is_restored() {
     let platform = Platform::start().await;
     platform.add_host("e1", "geoje", 9).await;
-    let one = File::new("restored.ini", ONE);
+    let one = TempFile::new("restored.ini", WEIGHT_1);
     let (exit, out) = platform.run(&["apply", one.path()]).await;
     assert_eq!(exit, Exit::Failed);
     assert!(
@@ -155,7 +155,7 @@
     assert_eq!(exit, Exit::Ok, "{out}");
     assert!(out.contains("accepted: revision 11"), "{out}");
     let (_, out) = platform.run(&["get"]).await;
-    assert_eq!(out, format!("; revision 11\n\n{ONE}"));
+    assert_eq!(out, format!("; revision 11\n\n{WEIGHT_1}"));
     let (_, out) = platform
         .run(&["watch", "--after", "9", "--changes", "1"])
         .await;
@@ -163,11 +163,11 @@
 }
 
 #[actix_rt::test]
-async fn a_change_that_would_contradict_the_catalogue_names_its_file() {
+async fn an_inconsistent_change_is_reported_with_its_file() {
     let platform = Platform::start().await;
     let text = "[limit co-op/m/batch]\nrequests_per_second = 1\nin_flight = 1\n\
                 deadline_ms = 1\nrepeatable = true\n";
-    let file = File::new("contradiction.ini", text);
+    let file = TempFile::new("contradiction.ini", text);
     let (exit, out) = platform.run(&["apply", file.path()]).await;
     assert_eq!(exit, Exit::Invalid);
     let start = format!(
@@ -176,20 +176,20 @@
     );
     assert!(out.starts_with(&start), "{out}");
 
-    let whole = platform.run(&["check", file.path()]).await;
-    assert_eq!(whole.0, Exit::Invalid);
-    let part = platform.run(&["check", "--partial", file.path()]).await;
-    assert_eq!(part, (Exit::Ok, "1 entries in 1 files: ok\n".to_owned()));
+    let complete = platform.run(&["check", file.path()]).await;
+    assert_eq!(complete.0, Exit::Invalid);
+    let partial = platform.run(&["check", "--partial", file.path()]).await;
+    assert_eq!(partial, (Exit::Ok, "1 entries in 1 files: ok\n".to_owned()));
 }
 
 #[actix_rt::test]
 async fn an_entry_in_use_is_not_pruned() {
     let platform = Platform::start().await;
-    let example = repository("config/catalogue/namhae.ini");
+    let example = repository_path("config/catalogue/namhae.ini");
     platform.run(&["apply", &example]).await;
     let text = std::fs::read_to_string(&example).expect("the example");
     let without = text.replace("[model drill-lm]\nlayers = 32\ncontext = 8192\n", "");
-    let file = File::new("pruned.ini", &without);
+    let file = TempFile::new("pruned.ini", &without);
     let (exit, out) = platform.run(&["apply", "--prune", file.path()]).await;
     assert_eq!(exit, Exit::Invalid);
     assert_eq!(
@@ -202,8 +202,8 @@
 #[actix_rt::test]
 async fn watch_prints_changes_in_order() {
     let platform = Platform::start().await;
-    for (n, text) in [ONE, TWO].into_iter().enumerate() {
-        let file = File::new("watched.ini", text);
+    for (n, text) in [WEIGHT_1, WEIGHT_2].into_iter().enumerate() {
+        let file = TempFile::new("watched.ini", text);
         let id = format!("c{n}");
         platform
             .run(&["apply", "--author", "kim", "--change-id", &id, file.path()])
@@ -223,7 +223,7 @@
 #[actix_rt::test]
 async fn json_output_names_the_outcome() {
     let platform = Platform::start().await;
-    let one = File::new("json.ini", ONE);
+    let one = TempFile::new("json.ini", WEIGHT_1);
     let line = ["--output", "json", "apply", "--change-id", "c1", one.path()];
     let (_, out) = platform.run(&line).await;
     let start = r#"{"outcome":"accepted","revision":1,"change_id":"c1","#;
@@ -247,11 +247,11 @@
 }
 
 #[actix_rt::test]
-async fn a_platform_that_is_away_ends_with_failed() {
+async fn an_unavailable_platform_gives_exit_code_failed() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let closed = listener.local_addr().expect("an address").to_string();
     drop(listener);
-    let (exit, out) = output(&["--platform", &closed, "get"]).await;
+    let (exit, out) = run_command(&["--platform", &closed, "get"]).await;
     assert_eq!(exit, Exit::Failed);
     assert!(out.starts_with("catalogue: not sent: "), "{out}");
 }
