--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -21,7 +21,7 @@
     /// time limit of a call to the platform or a host, in milliseconds (default 5000)
     #[argh(option, default = "5000")]
     pub call_ms: u64,
-    /// what to do
+    /// the command to run
     #[argh(subcommand)]
     pub command: Command,
 }
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -123,7 +123,7 @@
     let store = cx.store()?;
     let loaded = store.load(&cx.objects()?).await?;
     refuse_if_hosts_ahead(cx, loaded.catalogue.revision()).await?;
-    let diff = plan::diff(&loaded.catalogue, &declared, cmd.prune)?;
+    let diff = plan::compute_diff(&loaded.catalogue, &declared, cmd.prune)?;
     if diff.is_empty() {
         let revision = loaded.catalogue.revision();
         let lagging = wait_if_requested(cx, cmd, revision).await?;
@@ -225,8 +225,8 @@
 
 /// The author given with `--author`, or else the user's name.
 fn author(cmd: &args::Apply) -> String {
-    let author = cmd.author.clone();
-    author.unwrap_or_else(|| env::var("USER").unwrap_or_else(|_| "unknown".to_owned()))
+    let given = cmd.author.clone();
+    given.unwrap_or_else(|| env::var("USER").unwrap_or_else(|_| "unknown".to_owned()))
 }
 
 /// The current time in ms since the epoch.
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -61,6 +61,6 @@
 pub async fn run(cx: &Context, cmd: &args::Diff) -> Result<Differences, CtlError> {
     let declared = files::read(&cmd.files)?;
     let loaded = cx.store()?.load(&cx.objects()?).await?;
-    let diff = plan::diff(&loaded.catalogue, &declared, cmd.prune)?;
+    let diff = plan::compute_diff(&loaded.catalogue, &declared, cmd.prune)?;
     Ok(Differences::new(loaded.catalogue.revision(), &diff))
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -2,9 +2,9 @@
 //! that time.
 //!
 //! It reads logs collected from hosts and doesn't use the platform. The lines with the request's id
-//! come from the host that accepted the request. Between them are shown that host's lines on
-//! catalogue, store and peers, and the lines of any host on the endpoints that the request was sent
-//! to. Lines are sorted by the time of each host's own clock, so clock skew between hosts affects
+//! come from the host that accepted the request. From `--before-ms` before the first of them up to the
+//! last one, it also shows that host's lines on catalogue, store and peers, and the lines of any host
+//! on the endpoints that the request was sent to. Lines are sorted by the time of each host's own clock, so clock skew between hosts affects
 //! their order.
 
 use std::{collections::BTreeSet, fmt, fs, path::Path};
@@ -19,10 +19,10 @@
     report::{Exit, Report},
 };
 
-/// Values of `part` of the log lines that show a host's state: its view of catalogue, store and
-/// peers.
+/// The values of `part` in log lines that show a host's state: its own, and its view of catalogue,
+/// store, peers and endpoints.
 const HOST_STATE_PARTS: [&str; 6] = ["catalogue", "fleet", "host", "peers", "roster", "store"];
-/// The fields that name endpoints.
+/// The fields of a request's lines that name endpoints.
 const ENDPOINT_FIELDS: [&str; 3] = ["to", "chain", "endpoint"];
 /// The fields that the plain format leaves out of its `name=value` pairs: it prints them before the
 /// pairs or not at all.
--- a/crates/ctl/src/commands/plan.rs
+++ b/crates/ctl/src/commands/plan.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// [`CtlError::Invalid`] when the resulting catalogue would be inconsistent.
-pub(super) fn diff(
+pub(super) fn compute_diff(
     current: &Catalogue,
     declared: &Declarations,
     prune: bool,
--- a/crates/ctl/src/host_status.rs
+++ b/crates/ctl/src/host_status.rs
@@ -153,10 +153,10 @@
 /// Queries all hosts concurrently and returns them sorted by data centre and id.
 async fn query_all(cx: &Context, hosts: Vec<EntryHost>) -> Vec<EntryHost> {
     let client = awc::Client::builder().disable_redirects().finish();
-    let timeout = cx.call_timeout;
+    let call_timeout = cx.call_timeout;
     let queries: Vec<_> = hosts
         .into_iter()
-        .map(|host| actix_rt::spawn(query_one(client.clone(), timeout, host)))
+        .map(|host| actix_rt::spawn(query_one(client.clone(), call_timeout, host)))
         .collect();
     let mut queried = Vec::new();
     for query in queries {
@@ -169,10 +169,10 @@
     queried
 }
 
-async fn query_one(client: awc::Client, timeout: Duration, mut host: EntryHost) -> EntryHost {
-    let answer = match time::timeout(timeout, fetch_status(&client, host.addr)).await {
+async fn query_one(client: awc::Client, call_timeout: Duration, mut host: EntryHost) -> EntryHost {
+    let answer = match time::timeout(call_timeout, fetch_status(&client, host.addr)).await {
         Ok(answer) => answer,
-        Err(_) => Err(format!("no answer within {} ms", timeout.as_millis())),
+        Err(_) => Err(format!("no answer within {} ms", call_timeout.as_millis())),
     };
     host.in_force = match answer {
         Ok(status) => {
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -83,7 +83,7 @@
         run_command(&[["--platform", &addr].as_slice(), line].concat()).await
     }
 
-    /// Drops the responses to the next `count` calls of the store, after their effect.
+    /// Drops the responses to the next `count` writes to the store.
     pub(crate) fn drop_next_responses(&self, count: u32) {
         self.store.lose_next(count);
     }
