--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -108,8 +108,8 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CtlError`] when the files are invalid, the platform failed, the store holds an older state than
-/// the hosts, or the outcome is unknown.
+/// [`CtlError`] when the files are invalid, the platform failed, the store holds an older state
+/// than the hosts, or the outcome is unknown.
 pub async fn run(cx: &Context, cmd: &args::Apply) -> Result<ApplyReport, CtlError> {
     match cmd.restore_above {
         Some(above) => restore::run(cx, cmd, Revision(above)).await,
@@ -172,8 +172,8 @@
     })
 }
 
-/// Trims the feed of changes with a snapshot when it is long. A failure is only logged: the change is accepted
-/// already, and the next apply retries the snapshot.
+/// Trims the feed of changes with a snapshot when it is long. A failure is only logged: the change
+/// is accepted already, and the next apply retries the snapshot.
 async fn maintain(cx: &Context, store: &CatalogueStore<Table>) -> Result<(), CtlError> {
     if let Err(e) = store.maintain(&cx.objects()?).await {
         log::warn!("ctl: the snapshot of the catalogue failed: {e}");
@@ -181,9 +181,9 @@
     Ok(())
 }
 
-/// Fails when a host has a revision above `head` in force. The change would otherwise get a revision
-/// under which that host knows another change, and the host would never apply it. If the list of hosts
-/// can't be read, this check is skipped with a warning.
+/// Fails when a host has a revision above `head` in force. The change would otherwise get a
+/// revision under which that host knows another change, and the host would never apply it. If the
+/// list of hosts can't be read, this check is skipped with a warning.
 async fn refuse_if_hosts_ahead(cx: &Context, head: Revision) -> Result<(), CtlError> {
     let hosts = match host_status::query_listed(cx).await {
         Ok(hosts) => hosts,
@@ -203,8 +203,8 @@
     }
 }
 
-/// Waits until `revision` is in force on all entry hosts if `--wait` is given, and returns the hosts
-/// that still lag.
+/// Waits until `revision` is in force on all entry hosts if `--wait` is given, and returns the
+/// hosts that still lag.
 async fn wait_if_requested(
     cx: &Context,
     cmd: &args::Apply,
--- a/crates/ctl/src/commands/apply/restore.rs
+++ b/crates/ctl/src/commands/apply/restore.rs
@@ -1,4 +1,5 @@
-//! `apply --restore-above`: raises the revision of a store that holds an older state than the hosts.
+//! `apply --restore-above`: raises the revision of a store that holds an older state than the
+//! hosts.
 
 use dragonflyrill_catalogue::{diff, state::Revision, validate};
 use dragonflyrill_store::catalogue_store::{Commit, Restoration};
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,11 +1,11 @@
-//! The `explain` command: shows from logs what was decided for one request and what its host knew at
-//! that time.
+//! The `explain` command: shows from logs what was decided for one request and what its host knew
+//! at that time.
 //!
 //! It reads logs collected from hosts and doesn't use the platform. The lines with the request's id
-//! come from the host that accepted the request. From `--before-ms` before the first of them up to the
-//! last one, it also shows that host's lines on catalogue, store and peers, and the lines of any host
-//! on the endpoints that the request was sent to. Lines are sorted by the time of each host's own clock, so clock skew between hosts affects
-//! their order.
+//! come from the host that accepted the request. From `--before-ms` before the first of them up to
+//! the last one, it also shows that host's lines on catalogue, store and peers, and the lines of
+//! any host on the endpoints that the request was sent to. Lines are sorted by the time of each
+//! host's own clock, so clock skew between hosts affects their order.
 
 use std::{collections::BTreeSet, fmt, fs, path::Path};
 
@@ -39,8 +39,8 @@
 
 impl LogLine {
     /// Parses a line: a JSON object, before which a log collector may have put words. The last of
-    /// these words is the host; without any, it is `default_host`. Returns `None` if the line is not
-    /// of a gateway's log.
+    /// these words is the host; without any, it is `default_host`. Returns `None` if the line is
+    /// not of a gateway's log.
     fn parse(raw: &str, default_host: &str) -> Option<Self> {
         let (prefix, json) = raw.split_at(raw.find('{')?);
         let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
@@ -76,8 +76,8 @@
     }
 
     /// The names of the endpoints in this line; a field holds one endpoint or a chain
-    /// `ID=LAYERS,ID=LAYERS`. Lines on a faulty registry entry have the endpoint's name, all others the
-    /// id of one incarnation, so ids are reduced to names.
+    /// `ID=LAYERS,ID=LAYERS`. Lines on a faulty registry entry have the endpoint's name, all others
+    /// the id of one incarnation, so ids are reduced to names.
     fn endpoint_names(&self) -> impl Iterator<Item = &str> {
         let texts = ENDPOINT_FIELDS.iter().map(|f| self.text(f));
         let stages = texts.flat_map(|text| text.split(','));
@@ -219,8 +219,8 @@
         let on_request_host = hosts.contains(&line.host);
         let endpoint = incarnations::name(line.text("endpoint"));
         if !endpoint.is_empty() {
-            // Every host logs each change in the list of endpoints; of the lines of other hosts only
-            // the first one on an event is shown.
+            // Every host logs each change in the list of endpoints; of the lines of other hosts
+            // only the first one on an event is shown.
             let is_shown = endpoints.contains(endpoint)
                 && (seen.insert(line.without_time()) || on_request_host);
             return is_shown.then_some(Role::Endpoint);
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,5 +1,5 @@
-//! The `status` command: shows the revision in force in each data centre and on each host, and which
-//! hosts lag and why.
+//! The `status` command: shows the revision in force in each data centre and on each host, and
+//! which hosts lag and why.
 
 use std::{collections::BTreeMap, fmt};
 
--- a/crates/ctl/src/commands/watch.rs
+++ b/crates/ctl/src/commands/watch.rs
@@ -50,8 +50,8 @@
 /// Runs the command until the requested number of changes is printed, or without end if there is no
 /// such number.
 ///
-/// Polls that fail because the platform is unavailable are retried; a store that holds an older state
-/// than before ends the command with an error.
+/// Polls that fail because the platform is unavailable are retried; a store that holds an older
+/// state than before ends the command with an error.
 pub async fn run(cx: &Context, cmd: &args::Watch, printer: &mut Printer<'_>) -> Exit {
     match watch(cx, cmd, printer).await {
         Ok(()) => Exit::Ok,
@@ -101,8 +101,8 @@
             log::warn!("ctl: {e}");
             Ok(Vec::new())
         }
-        // The changes after `after` were trimmed, or skipped by a restoration of the store: continue
-        // with the newest change.
+        // The changes after `after` were trimmed, or skipped by a restoration of the store:
+        // continue with the newest change.
         Err(StoreError::Missing { after }) => {
             log::warn!("ctl: changes after revision {} are not kept", after.0);
             let before = head.revision.0.saturating_sub(1);
--- a/crates/ctl/src/context.rs
+++ b/crates/ctl/src/context.rs
@@ -18,8 +18,8 @@
 }
 
 impl Context {
-    /// Creates a context from the command line. A missing or invalid platform address is reported only
-    /// when a client is requested.
+    /// Creates a context from the command line. A missing or invalid platform address is reported
+    /// only when a client is requested.
     pub fn new(args: &Args) -> Self {
         Self {
             platform: args.platform_addr(),
--- a/crates/ctl/src/host_status.rs
+++ b/crates/ctl/src/host_status.rs
@@ -41,8 +41,8 @@
 /// An entry host and the outcome of its status query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EntryHost {
-    /// The host's id in the platform's list. For a host given by address: the id that it reports, or
-    /// the address if the query failed.
+    /// The host's id in the platform's list. For a host given by address: the id that it reports,
+    /// or the address if the query failed.
     pub id: String,
     /// The host's data centre; empty if neither the list nor the host reported it.
     pub data_centre: String,
@@ -68,8 +68,8 @@
         since_ms: u64,
         /// Whether the host accepts requests.
         ready: bool,
-        /// How many other hosts it receives updates from. With 0, only the platform can bring it up to
-        /// date.
+        /// How many other hosts it receives updates from. With 0, only the platform can bring it up
+        /// to date.
         peers: u32,
     },
 }
@@ -124,8 +124,8 @@
 /// Queries the status of all entry hosts that the platform lists.
 ///
 /// # Errors
-/// [`CtlError`] when the list can't be read. A host that does not answer is no error: it is returned
-/// as [`InForce::Unreachable`].
+/// [`CtlError`] when the list can't be read. A host that does not answer is no error: it is
+/// returned as [`InForce::Unreachable`].
 pub async fn query_listed(cx: &Context) -> Result<Vec<EntryHost>, CtlError> {
     let listed = entry_hosts::list(&cx.table()?).await?;
     let hosts = listed.into_iter().map(|host| EntryHost {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' program: checks, compares and applies catalogue declarations, shows which revision
-//! is in force on each host, and shows from logs how a request was handled.
+//! The operators' program: checks, compares and applies catalogue declarations, shows which
+//! revision is in force on each host, and shows from logs how a request was handled.
 //!
-//! [`args`] is the command line and [`commands`] has one module for each command; a command
-//! returns a [`report::Report`], which [`run`] prints in the requested format and turns into an exit
-//! code. The operators' page on the catalogue describes the use.
+//! [`args`] is the command line and [`commands`] has one module for each command; a command returns
+//! a [`report::Report`], which [`run`] prints in the requested format and turns into an exit code.
+//! The operators' page on the catalogue describes the use.
 
 pub mod args;
 pub mod commands;
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -71,7 +71,8 @@
 async fn wait_ends_when_the_change_is_in_force_on_every_host() {
     let platform = Platform::start().await;
     let one = TempFile::new("everywhere.ini", WEIGHT_1);
-    // `apply` fails when a host is ahead of the store, so the change is applied before hosts are added.
+    // `apply` fails when a host is ahead of the store, so the change is applied before hosts are
+    // added.
     let (exit, _) = platform.run(&["apply", one.path()]).await;
     assert_eq!(exit, Exit::Ok);
     platform.add_host("e1", "geoje", 1).await;
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -88,7 +88,8 @@
         self.store.lose_next(count);
     }
 
-    /// Starts an entry host that reports `revision` as in force, and adds it to the platform's list.
+    /// Starts an entry host that reports `revision` as in force, and adds it to the platform's
+    /// list.
     pub(crate) async fn add_host(&self, id: &str, data_centre: &str, revision: u64) {
         let addr = serve_body(format!(
             r#"{{"host":"{id}","data_centre":"{data_centre}","revision":{revision},"since_ms":40,
@@ -116,7 +117,8 @@
 pub(crate) struct TempFile(std::path::PathBuf);
 
 impl TempFile {
-    /// Writes `text` to the file `name`. Tests run in parallel, so each name is used by one test only.
+    /// Writes `text` to the file `name`. Tests run in parallel, so each name is used by one test
+    /// only.
     pub(crate) fn new(name: &str, text: &str) -> Self {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::write(&path, text).expect("written");
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -5,7 +5,8 @@
 use common::{TempFile, run_command};
 use dragonflyrill_ctl::report::Exit;
 
-/// The log of the host that accepted request `a1`. Its lines don't name the host: the file name does.
+/// The log of the host that accepted request `a1`. Its lines don't name the host: the file name
+/// does.
 const REQUEST_HOST_LOG: &str = r#"{"t":100,"level":"INFO","part":"catalogue","m":"Catalogue is in force.","version":1}
 {"t":20000,"level":"INFO","part":"catalogue","m":"Catalogue is in force.","version":2}
 {"t":20500,"level":"INFO","part":"forward","m":"Request is answered.","id":"other","status":200}
@@ -15,8 +16,8 @@
 {"t":22000,"level":"INFO","part":"fleet","m":"Endpoint is gone.","endpoint":"e-1"}
 "#;
 
-/// Logs of several hosts in one file, with a time and the host before each line. The last line is not
-/// of a gateway's log.
+/// Logs of several hosts in one file, with a time and the host before each line. The last line is
+/// not of a gateway's log.
 const COLLECTED_LOG: &str = r#"20.9 host-b {"t":20900,"level":"INFO","part":"fleet","m":"Endpoint does not answer and is avoided.","endpoint":"e-2"}
 20.9 host-b {"t":20900,"level":"INFO","part":"fleet","m":"Endpoint does not answer and is avoided.","endpoint":"e-9"}
 20.9 host-c {"t":20905,"level":"INFO","part":"fleet","m":"Endpoint does not answer and is avoided.","endpoint":"e-2"}
@@ -54,8 +55,8 @@
     assert!(lines[5].ends_with(r#"Request is not served. why="Stale""#));
 }
 
-/// The log of a host whose endpoints report their incarnation. An endpoint's id is then its name and
-/// its incarnation, but a line on a faulty registry entry has only the name.
+/// The log of a host whose endpoints report their incarnation. An endpoint's id is then its name
+/// and its incarnation, but a line on a faulty registry entry has only the name.
 const INCARNATIONS_LOG: &str = r#"{"t":20800,"level":"WARN","part":"fleet","m":"An entry names no endpoint to use.","endpoint":"e-1","fault":"field","used_before":true,"why":"missing field `slots`"}
 {"t":20850,"level":"WARN","part":"fleet","m":"An entry names no endpoint to use.","endpoint":"e-10","fault":"field","used_before":true,"why":"missing field `slots`"}
 {"t":21000,"level":"INFO","part":"forward","m":"Request is sent.","id":"a1","to":"e-1·1700000000000=0-4,e-2·1700000000001=4-8"}
