--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -11,7 +11,9 @@
 
 use dragonflyrill_adapter::store::Table;
 use dragonflyrill_catalogue::state::{ChangeId, Revision};
-use dragonflyrill_store::catalogue_store::{CatalogueStore, Commit, Loaded, Proposal};
+use dragonflyrill_store::catalogue_store::{
+    CatalogueStore, CommitOutcome, LoadedCatalogue, Proposal,
+};
 use serde::Serialize;
 
 use super::{status::Lagging, wanted};
@@ -138,16 +140,16 @@
         deletes: diff.deletes(),
     };
     match store.commit(&proposal).await? {
-        Commit::Accepted(revision) => {
+        CommitOutcome::Accepted(revision) => {
             maintain(cx, &store).await?;
             accepted(cx, cmd, revision, &proposal.change_id, diff.to_string()).await
         }
-        Commit::Conflict { head, since } => {
-            let Loaded { catalogue, .. } = store.load(&cx.objects()?).await?;
+        CommitOutcome::Conflict { head, since } => {
+            let LoadedCatalogue { catalogue, .. } = store.load(&cx.objects()?).await?;
             let conflict = Conflict::new(&proposal, &head, &since, &catalogue);
             Ok(Applied::Conflict(conflict))
         }
-        Commit::Unknown(cause) => Err(CtlError::Unknown {
+        CommitOutcome::Unknown(cause) => Err(CtlError::Unknown {
             change_id: proposal.change_id,
             base: proposal.base,
             cause,
--- a/crates/ctl/src/commands/apply/restore.rs
+++ b/crates/ctl/src/commands/apply/restore.rs
@@ -1,7 +1,7 @@
 //! `apply --restore-above`: brings a store that went back forward again.
 
 use dragonflyrill_catalogue::{diff, state::Revision, validate};
-use dragonflyrill_store::catalogue_store::{Commit, Restoration};
+use dragonflyrill_store::catalogue_store::{CommitOutcome, Restoration};
 
 use super::{Applied, Conflict, accepted, author, change_id, now_ms, refuse_hosts_above};
 use crate::{args, context::Context, error::CtlError, files};
@@ -31,14 +31,16 @@
     };
     let store = cx.store()?;
     match store.restore(&cx.objects()?, &restoration).await? {
-        Commit::Accepted(revision) => {
+        CommitOutcome::Accepted(revision) => {
             let created = restoration.entries.iter().cloned();
             let diff = diff::Diff(created.map(diff::Difference::Created).collect());
             let id = &restoration.change_id;
             accepted(cx, cmd, revision, id, diff.to_string()).await
         }
-        Commit::Conflict { head, .. } => Ok(Applied::Conflict(Conflict::of_restore(above, &head))),
-        Commit::Unknown(cause) => Err(CtlError::Unknown {
+        CommitOutcome::Conflict { head, .. } => {
+            Ok(Applied::Conflict(Conflict::of_restore(above, &head)))
+        }
+        CommitOutcome::Unknown(cause) => Err(CtlError::Unknown {
             change_id: restoration.change_id,
             base: above,
             cause,
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -71,7 +71,7 @@
 impl fmt::Display for StoreText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "catalogue: {}", self.0)?;
-        if matches!(self.0, StoreError::Older { .. }) {
+        if matches!(self.0, StoreError::RolledBack { .. }) {
             write!(f, "\n{RESTORE_HINT}")?;
         }
         Ok(())
@@ -83,7 +83,7 @@
         match self {
             Self::Usage(_) => "usage",
             Self::Invalid(_) => "invalid",
-            Self::Store(StoreError::Older { .. }) | Self::HostsAhead { .. } => "store_older",
+            Self::Store(StoreError::RolledBack { .. }) | Self::HostsAhead { .. } => "store_older",
             Self::Store(_) => "store",
             Self::Platform(_) => "platform",
             Self::Unseen { .. } => "unseen",
--- a/crates/ctl/src/host_status.rs
+++ b/crates/ctl/src/host_status.rs
@@ -129,7 +129,7 @@
         id: host.id.to_string(),
         data_centre: host.data_centre.to_string(),
         addr: host.callers,
-        leaving: host.leaving,
+        leaving: host.shutting_down,
         in_force: InForce::Unreachable(String::new()),
     });
     Ok(ask(cx, asked.collect()).await)
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -104,9 +104,9 @@
             callers: addr,
             peers: addr,
             data_centre: data_centre.try_into().expect("a valid name"),
-            leaving: false,
+            shutting_down: false,
         };
-        let announced = entry_hosts::announce(&table, &host).await;
+        let announced = entry_hosts::register(&table, &host).await;
         announced.expect("the store answers");
     }
 }
--- a/crates/delivery/src/record/mod.rs
+++ b/crates/delivery/src/record/mod.rs
@@ -36,7 +36,7 @@
 use std::time::Duration;
 
 use dragonflyrill_protocol::{HostRef, found::CallAnswer};
-use dragonflyrill_store::table::{MAX_ENTRIES, TableCall};
+use dragonflyrill_store::table::{MAX_TXN_ENTRIES, TableCall};
 
 pub use recorder::Recorder;
 pub use row::{Record, RecordState};
@@ -88,7 +88,7 @@
             term: Duration::from_secs(2),
             batch_interval: Duration::from_millis(10),
             answer_timeout: Duration::from_millis(500),
-            max_txn_entries: MAX_ENTRIES,
+            max_txn_entries: MAX_TXN_ENTRIES,
             max_in_flight: 2,
             max_waiting: 1024,
             max_insert_sends: 3,
--- a/crates/delivery/tests/record_steps.rs
+++ b/crates/delivery/tests/record_steps.rs
@@ -13,7 +13,7 @@
 use dragonflyrill_protocol::{HostId, HostRef, found::CallAnswer};
 use dragonflyrill_store::{
     PlatformError,
-    table::{MAX_ENTRIES, TableCall, Txn, memory::MemoryTable},
+    table::{MAX_TXN_ENTRIES, TableCall, Txn, memory::MemoryTable},
 };
 
 fn ms(n: u64) -> Duration {
@@ -131,7 +131,7 @@
         (!actions.is_empty()).then(|| only_txn(actions).1)
     });
     let txn = sent.expect("a full transaction is sent");
-    assert!(txn.conditions.len() + txn.ops.len() <= MAX_ENTRIES);
+    assert!(txn.conditions.len() + txn.ops.len() <= MAX_TXN_ENTRIES);
     assert_eq!(txn.ops.len(), 20);
 }
 
--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/hosts.rs
@@ -78,7 +78,7 @@
         let hosts = entry_hosts::list(&self.table).await?;
         let mine = self.mine();
         if !hosts.contains(&mine) {
-            entry_hosts::announce(&self.table, &mine).await?;
+            entry_hosts::register(&self.table, &mine).await?;
         }
         Ok(Listing {
             hosts: hosts.into_iter().map(listed).collect(),
@@ -93,7 +93,7 @@
             callers: self.me.callers,
             peers: self.me.peers,
             data_centre: self.me.data_centre.clone(),
-            leaving: self.leaving.0.get(),
+            shutting_down: self.leaving.0.get(),
         }
     }
 }
@@ -212,7 +212,7 @@
         id: HostId(host.id.0),
         addr: host.peers,
         data_centre: host.data_centre,
-        shutting_down: host.leaving,
+        shutting_down: host.shutting_down,
     }
 }
 
--- a/crates/entry/src/control/store.rs
+++ b/crates/entry/src/control/store.rs
@@ -39,7 +39,7 @@
     pub fn new(addr: SocketAddr, tx: mpsc::UnboundedSender<Event>) -> Self {
         // The spread polls again by itself; a retry here would only hold its answer back.
         let policy = RetryPolicy {
-            tries: 1,
+            max_attempts: 1,
             ..RetryPolicy::default()
         };
         let retry = Retry::new(policy, rand::random());
@@ -54,10 +54,10 @@
     pub fn read(&self, in_force: Head, after: Revision) {
         let (store, objects, tx) = (self.store.clone(), self.objects.clone(), self.tx.clone());
         actix_rt::spawn(async move {
-            store.note_seen(in_force.clone());
+            store.record_seen_head(in_force.clone());
             let reading = match read(&store, &objects, &in_force, after).await {
                 Ok(reading) => reading,
-                Err(StoreError::Older { found, .. }) => Reading::Head(found),
+                Err(StoreError::RolledBack { found, .. }) => Reading::Head(found),
                 Err(e) => {
                     log::warn!("catalogue: Not read: {e}.");
                     Reading::Away
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use dragonflyrill_fleet::endpoints::Endpoint;
 use dragonflyrill_standins::{Running, engine, reference, service};
 use dragonflyrill_store::{
-    catalogue_store::{CatalogueStore, Commit, Proposal},
+    catalogue_store::{CatalogueStore, CommitOutcome, Proposal},
     table::{
         KeyRange, Row, TableApi,
         retry::{Retry, RetryPolicy},
@@ -134,7 +134,7 @@
             deletes: Vec::new(),
         };
         let commit = store.commit(&proposal).await.expect("the platform is up");
-        assert!(matches!(commit, Commit::Accepted(_)), "{commit:?}");
+        assert!(matches!(commit, CommitOutcome::Accepted(_)), "{commit:?}");
     }
 
     pub(crate) async fn add_host(&mut self, n: usize) {
--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -49,7 +49,7 @@
                 gateway.heard(On::Catalogue, gateway.now());
                 mark = Some(take(&gateway, news, sent_at, mark));
             }
-            Err(PlatformError::HistoryGone) => {
+            Err(PlatformError::HistoryTrimmed) => {
                 log::info!(target: "catalogue", "History is gone; the catalogue is read anew.");
                 mark = None;
             }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -68,7 +68,7 @@
                 self.take(news);
                 Ok(())
             }
-            Err(PlatformError::HistoryGone) => {
+            Err(PlatformError::HistoryTrimmed) => {
                 self.mark = None;
                 Ok(())
             }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -168,9 +168,9 @@
 impl Outcome {
     fn of<T>(result: &Result<T, PlatformError>) -> Self {
         match result {
-            Ok(_) | Err(PlatformError::HistoryGone) => Self::Answered,
+            Ok(_) | Err(PlatformError::HistoryTrimmed) => Self::Answered,
             Err(PlatformError::Malformed(_) | PlatformError::Rejected { .. }) => Self::Unusable,
-            Err(PlatformError::Refused { .. }) => Self::Refused,
+            Err(PlatformError::RateLimited { .. }) => Self::Refused,
             Err(
                 PlatformError::NotSent(_)
                 | PlatformError::Unavailable(_)
--- a/crates/membership/src/spread/incoming.rs
+++ b/crates/membership/src/spread/incoming.rs
@@ -7,7 +7,7 @@
     HostId, HostRef,
     spread::{Digest, Message, Part},
 };
-use dragonflyrill_store::catalogue_store::{Head, Loaded};
+use dragonflyrill_store::catalogue_store::{Head, LoadedCatalogue};
 
 use super::{
     Action, Alarm, Source, Spread, StoreRead,
@@ -110,7 +110,12 @@
         self.apply_changes(now, changes, Source::Store, actions);
     }
 
-    fn apply_store_catalogue(&mut self, now: Duration, loaded: Loaded, actions: &mut Vec<Action>) {
+    fn apply_store_catalogue(
+        &mut self,
+        now: Duration,
+        loaded: LoadedCatalogue,
+        actions: &mut Vec<Action>,
+    ) {
         let found = change_log::digest(loaded.catalogue.revision(), &loaded.change_id);
         if !self.verify_store(found, actions) {
             return;
--- a/crates/membership/src/spread/mod.rs
+++ b/crates/membership/src/spread/mod.rs
@@ -27,7 +27,7 @@
     membership::State,
     spread::{Digest, Message},
 };
-use dragonflyrill_store::catalogue_store::{Head, Loaded};
+use dragonflyrill_store::catalogue_store::{Head, LoadedCatalogue};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -91,7 +91,7 @@
     /// Changes in order of revision and without gaps.
     Changes(Vec<Change>),
     /// A snapshot and the changes after it.
-    Loaded(Loaded),
+    Loaded(LoadedCatalogue),
 }
 
 /// Where a change or a catalogue came from.
@@ -162,7 +162,7 @@
         &self.catalogue
     }
 
-    /// The head in force, for [`dragonflyrill_store::catalogue_store::CatalogueStore::note_seen`].
+    /// The head in force, for [`dragonflyrill_store::catalogue_store::CatalogueStore::record_seen_head`].
     pub fn head(&self) -> Head {
         Head {
             revision: self.catalogue.revision(),
--- a/crates/membership/tests/restoration.rs
+++ b/crates/membership/tests/restoration.rs
@@ -6,7 +6,7 @@
 use dragonflyrill_catalogue::{Catalogue, Change, DataCentre, Name, Revision};
 use dragonflyrill_membership::spread::{Action, Alarm, Budget, Config, Spread, StoreRead};
 use dragonflyrill_protocol::{HostId, HostRef};
-use dragonflyrill_store::catalogue_store::{Head, Loaded};
+use dragonflyrill_store::catalogue_store::{Head, LoadedCatalogue};
 
 const NOW: Duration = Duration::from_secs(60);
 
@@ -45,7 +45,7 @@
 }
 
 fn restored(revision: u64) -> StoreRead {
-    StoreRead::Loaded(Loaded {
+    StoreRead::Loaded(LoadedCatalogue {
         catalogue: Catalogue::from_entries(Revision(revision), []),
         change_id: "restored".into(),
     })
--- a/crates/store/src/catalogue_store/commit.rs
+++ b/crates/store/src/catalogue_store/commit.rs
@@ -1,4 +1,4 @@
-//! Accepting a change, exactly once, against racing operators and lost answers.
+//! Accepts a change at most once, in spite of concurrent operators and lost responses.
 
 use dragonflyrill_catalogue::{
     entry::{Entry, EntryKey},
@@ -14,16 +14,17 @@
     table::{Condition, Op, TableApi, Txn},
 };
 
-/// A change that an operator wants.
+/// A change that an operator proposes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
-    /// The revision the operator looked at.
+    /// The revision on which the operator based the change.
     pub base: Revision,
-    /// The operator's own id of the change, unique to it; the same id again is a retry.
+    /// The id that the operator gave the change. Unique to the change; a second proposal with the
+    /// same id is a retry.
     pub change_id: ChangeId,
-    /// Who makes it.
+    /// The author of the change.
     pub author: String,
-    /// Now, in milliseconds since the epoch.
+    /// The current time in milliseconds since the Unix epoch.
     pub now_ms: u64,
     /// Entries to create or replace.
     pub puts: Vec<Entry>,
@@ -31,34 +32,34 @@
     pub deletes: Vec<EntryKey>,
 }
 
-/// What became of a proposal.
+/// The outcome of a [`Proposal`] or a restoration.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Commit {
-    /// The change is in the store and has this revision.
+pub enum CommitOutcome {
+    /// The store holds the change under this revision.
     Accepted(Revision),
-    /// Others were faster. The change did not take effect and never will.
+    /// Another change was accepted first. This one did not take effect and never will.
     Conflict {
         /// The newest change.
         head: Head,
-        /// All changes since the proposal's base; empty where they are not kept any more.
+        /// All changes since the proposal's base; empty if they are no longer stored.
         since: Vec<Change>,
     },
-    /// No answer tells. Proposing again under the same id settles it.
+    /// The outcome is unknown. A retry with the same id resolves it.
     Unknown(PlatformError),
 }
 
-/// How the tries of one conditional transaction ended.
-pub(super) enum Tried {
-    /// It was done.
+/// The outcome of all attempts of one conditional transaction.
+pub(super) enum TxnAttempts {
+    /// An attempt was applied.
     Done,
-    /// The condition does not hold any more; a try without an answer may be the cause.
-    Moved {
-        /// Whether there was such a try.
+    /// The condition no longer holds. An attempt without a response may be the cause.
+    ConditionFailed {
+        /// Whether there was an attempt without a response.
         in_doubt: bool,
     },
-    /// All tries are spent.
-    GaveUp {
-        /// Whether one of them may have been done, or may still be.
+    /// No attempt is left.
+    Exhausted {
+        /// Whether one of the attempts may have been applied, or may still be.
         in_doubt: bool,
         /// The last failure.
         cause: PlatformError,
@@ -68,103 +69,108 @@
 impl<T: TableApi> CatalogueStore<T> {
     /// Makes `proposal` the next change if the head is still at its base.
     ///
-    /// A lost answer is resolved by reading back under the change id. Trying again is safe: all
-    /// tries are conditional on the same head, so at most one of them takes effect.
+    /// After a lost response, the change id found in the store determines the outcome. A retry is
+    /// safe: all attempts are conditional on the same head, so at most one of them takes effect.
     ///
     /// # Errors
-    /// [`StoreError`] when no try of this call took effect or will. If an earlier call for the
-    /// same id ended as [`Commit::Unknown`], that one is still open.
-    pub async fn commit(&self, proposal: &Proposal) -> Result<Commit, StoreError> {
+    /// [`StoreError`] when no attempt of this call took effect or will. If an earlier call for the
+    /// same id ended as [`CommitOutcome::Unknown`], the outcome of that call is still unknown.
+    pub async fn commit(&self, proposal: &Proposal) -> Result<CommitOutcome, StoreError> {
         let row = self.read_head_row().await?;
         if row.head.revision != proposal.base {
-            return self.settle(proposal, row.head, false).await;
+            return self.resolve(proposal, row.head, false).await;
         }
-        match self.try_txn(&commit_txn(proposal, &row)?).await {
-            Tried::Done => {
+        match self.run_txn(&commit_txn(proposal, &row)?).await {
+            TxnAttempts::Done => {
                 let head = proposal.head();
-                self.note_seen(head.clone());
-                Ok(Commit::Accepted(head.revision))
+                self.record_seen_head(head.clone());
+                Ok(CommitOutcome::Accepted(head.revision))
+            }
+            TxnAttempts::ConditionFailed { in_doubt } => {
+                self.resolve_moved_head(proposal, in_doubt).await
+            }
+            TxnAttempts::Exhausted { in_doubt, cause } => {
+                self.resolve_exhausted(proposal, in_doubt, cause).await
             }
-            Tried::Moved { in_doubt } => self.settle_moved(proposal, in_doubt).await,
-            Tried::GaveUp { in_doubt, cause } => self.give_up(proposal, in_doubt, cause).await,
         }
     }
 
-    /// Tries `txn` until there is an answer, or no try is left.
-    pub(super) async fn try_txn(&self, txn: &Txn) -> Tried {
+    /// Runs `txn` until there is a response, or no attempt is left.
+    pub(super) async fn run_txn(&self, txn: &Txn) -> TxnAttempts {
         let mut in_doubt = false;
-        let mut tried = 0;
+        let mut failed_attempts = 0;
         loop {
             let cause = match self.table.txn(txn).await {
-                Ok(outcome) if outcome.succeeded => return Tried::Done,
-                Ok(_) => return Tried::Moved { in_doubt },
+                Ok(outcome) if outcome.succeeded => return TxnAttempts::Done,
+                Ok(_) => return TxnAttempts::ConditionFailed { in_doubt },
                 Err(cause) => cause,
             };
             in_doubt |= cause.is_unknown();
-            tried += 1;
-            if let Err(cause) = self.retry.pause(tried, cause).await {
-                return Tried::GaveUp { in_doubt, cause };
+            failed_attempts += 1;
+            if let Err(cause) = self.retry.wait_before_retry(failed_attempts, cause).await {
+                return TxnAttempts::Exhausted { in_doubt, cause };
             }
         }
     }
 
-    /// The head is no longer at the base: reads who moved it.
-    async fn settle_moved(
+    /// Resolves a proposal after the head moved from its base: reads which changes moved it.
+    async fn resolve_moved_head(
         &self,
         proposal: &Proposal,
         in_doubt: bool,
-    ) -> Result<Commit, StoreError> {
-        let settled = match self.read_head_row().await {
-            Ok(row) => self.settle(proposal, row.head, in_doubt).await,
+    ) -> Result<CommitOutcome, StoreError> {
+        let resolved = match self.read_head_row().await {
+            Ok(row) => self.resolve(proposal, row.head, in_doubt).await,
             Err(e) => Err(e),
         };
-        match settled {
-            // One of the tries may be what moved the head.
-            Err(StoreError::Platform(e)) if in_doubt => Ok(Commit::Unknown(e)),
-            settled => settled,
+        match resolved {
+            // One of the attempts of this call may have moved the head.
+            Err(StoreError::Platform(e)) if in_doubt => Ok(CommitOutcome::Unknown(e)),
+            resolved => resolved,
         }
     }
 
-    /// Accepted if `proposal` is among the changes since its base, a conflict if not.
-    async fn settle(
+    /// Returns accepted if `proposal` is among the changes since its base, a conflict otherwise.
+    async fn resolve(
         &self,
         proposal: &Proposal,
         head: Head,
         in_doubt: bool,
-    ) -> Result<Commit, StoreError> {
+    ) -> Result<CommitOutcome, StoreError> {
         let since = match self.read_changes(proposal.base).await {
             Ok(since) => since,
-            // The base is older than what is kept.
+            // The changes after the base were trimmed.
             Err(StoreError::Missing { .. }) if !in_doubt => Vec::new(),
             Err(e) => return Err(e),
         };
         match find(&since, &proposal.change_id) {
-            Some(change) => Ok(Commit::Accepted(change.revision)),
-            None => Ok(Commit::Conflict { head, since }),
+            Some(change) => Ok(CommitOutcome::Accepted(change.revision)),
+            None => Ok(CommitOutcome::Conflict { head, since }),
         }
     }
 
-    /// All tries are spent: looks once more whether one of them took effect.
-    async fn give_up(
+    /// Resolves a proposal that has no attempt left: reads the head once more to find out whether
+    /// one of the attempts took effect.
+    async fn resolve_exhausted(
         &self,
         proposal: &Proposal,
         in_doubt: bool,
         cause: PlatformError,
-    ) -> Result<Commit, StoreError> {
+    ) -> Result<CommitOutcome, StoreError> {
         if !in_doubt {
             return Err(cause.into());
         }
         match self.read_head_row().await {
-            // Unchanged, but a delayed try may still arrive.
-            Ok(row) if row.head.revision == proposal.base => Ok(Commit::Unknown(cause)),
-            Ok(_) => self.settle_moved(proposal, in_doubt).await,
-            Err(_) => Ok(Commit::Unknown(cause)),
+            // The head is unchanged, but a delayed attempt may still take effect.
+            Ok(row) if row.head.revision == proposal.base => Ok(CommitOutcome::Unknown(cause)),
+            Ok(_) => self.resolve_moved_head(proposal, in_doubt).await,
+            Err(_) => Ok(CommitOutcome::Unknown(cause)),
         }
     }
 }
 
 impl Proposal {
-    /// The head that this proposal makes.
+    /// The head after this proposal is accepted.
     fn head(&self) -> Head {
         Head {
             revision: self.base.next(),
@@ -174,8 +180,8 @@
 }
 
 impl HeadRow {
-    /// The condition that the head is still this one.
-    pub(super) fn unchanged(&self) -> Condition {
+    /// The condition that the head has not changed since it was read.
+    pub(super) fn unchanged_condition(&self) -> Condition {
         match self.mod_revision {
             None => Condition::Absent(HEAD_KEY.to_owned()),
             Some(mod_revision) => Condition::Unchanged {
@@ -186,7 +192,7 @@
     }
 }
 
-/// The operations that write `change` to a log and make it the newest.
+/// The operations that append `change` to `log` and make it the head.
 pub(super) fn change_ops(change: &Change, log: LogNumber) -> Result<Vec<Op>, PlatformError> {
     let head = Head {
         revision: change.revision,
@@ -205,7 +211,7 @@
     ])
 }
 
-/// The transaction that accepts `proposal` on top of `row`.
+/// The transaction that accepts `proposal` if the head is still `row`.
 fn commit_txn(proposal: &Proposal, row: &HeadRow) -> Result<Txn, PlatformError> {
     let change = Change {
         revision: proposal.base.next(),
@@ -216,7 +222,7 @@
         deletes: proposal.deletes.clone(),
     };
     Ok(Txn {
-        conditions: vec![row.unchanged()],
+        conditions: vec![row.unchanged_condition()],
         ops: change_ops(&change, row.log)?,
     })
 }
--- a/crates/store/src/catalogue_store/read.rs
+++ b/crates/store/src/catalogue_store/read.rs
@@ -1,4 +1,4 @@
-//! Reading the head and the changes.
+//! Reads the head and the changes.
 
 use dragonflyrill_catalogue::state::{Change, Revision};
 
@@ -10,26 +10,26 @@
     table::{KeyRange, Rows, TableApi},
 };
 
-/// The most changes asked for in one read.
-const PAGE: usize = 500;
+/// The maximum number of changes in one read.
+const MAX_CHANGES_PER_READ: usize = 500;
 
-/// The value of the head's row.
+/// The stored value of the head's row.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct StoredHead {
     #[serde(flatten)]
     pub(super) head: Head,
-    /// The log that its change is in.
+    /// The log that contains the head's change.
     #[serde(default)]
     pub(super) log: LogNumber,
 }
 
-/// The head as it stands in the table.
+/// The head as read from the table.
 #[derive(Debug, Clone, Default)]
 pub(super) struct HeadRow {
     pub(super) head: Head,
-    /// The log that its change is in.
+    /// The log that contains the head's change.
     pub(super) log: LogNumber,
-    /// `None` where the key does not exist.
+    /// The revision of the head's row; `None` if the row does not exist.
     pub(super) mod_revision: Option<u64>,
 }
 
@@ -37,8 +37,8 @@
     /// Reads the head.
     ///
     /// # Errors
-    /// [`StoreError::Older`] when the store went back behind a head seen before, or holds another
-    /// change under the same revision.
+    /// [`StoreError::RolledBack`] when the store's head is older than one seen before, or is
+    /// another change with the same revision.
     pub async fn read_head(&self) -> Result<Head, StoreError> {
         Ok(self.read_head_row().await?.head)
     }
@@ -52,7 +52,9 @@
         let mut changes: Vec<Change> = Vec::new();
         loop {
             let last = changes.last().map_or(after, |c| c.revision);
-            let found = self.range(&log.changes_from(last.next()), PAGE).await?;
+            let found = self
+                .range(&log.changes_from(last.next()), MAX_CHANGES_PER_READ)
+                .await?;
             for row in &found.rows {
                 let change: Change = decode(&row.key, &row.value)?;
                 let last = changes.last().map_or(after, |c| c.revision);
@@ -67,13 +69,13 @@
         }
     }
 
-    /// Reads the changes after `known`, which a host has in force, and makes sure that they
-    /// follow on this very change.
+    /// Reads the changes after `known`, the head that a host has in force, and verifies that the
+    /// store holds the change of `known` itself.
     ///
     /// # Errors
-    /// [`StoreError::Older`] when the store has another change under the same revision: it went
-    /// back and was changed since. [`StoreError::Missing`] when changes were trimmed or left out:
-    /// load a snapshot instead.
+    /// [`StoreError::RolledBack`] when the store holds another change with the same revision,
+    /// because it was rolled back and changed afterwards. [`StoreError::Missing`] when changes were
+    /// trimmed or revisions skipped: load a snapshot instead.
     pub async fn read_changes_after(&self, known: &Head) -> Result<Vec<Change>, StoreError> {
         let Some(before) = known.revision.0.checked_sub(1) else {
             return self.read_changes(known.revision).await;
@@ -90,18 +92,18 @@
                 change_id: first.change_id.clone(),
             };
             let seen = known.clone();
-            return Err(StoreError::Older { seen, found });
+            return Err(StoreError::RolledBack { seen, found });
         }
         Ok(newer.to_vec())
     }
 
     pub(super) async fn read_head_row(&self) -> Result<HeadRow, StoreError> {
         let row = self.read_head_row_unchecked().await?;
-        self.check_forward(&row.head)?;
+        self.check_not_rolled_back(&row.head)?;
         Ok(row)
     }
 
-    /// The head, also of a store that went back.
+    /// Reads the head without the check for a rollback of the store.
     pub(super) async fn read_head_row_unchecked(&self) -> Result<HeadRow, StoreError> {
         let found = self.range(&KeyRange::one(HEAD_KEY), 1).await?;
         let Some(row) = found.rows.first() else {
@@ -115,8 +117,9 @@
         })
     }
 
-    /// Remembers `found`, unless the store went back.
-    fn check_forward(&self, found: &Head) -> Result<(), StoreError> {
+    /// Records `found` as seen, or fails with [`StoreError::RolledBack`] if a newer head, or
+    /// another one with the same revision, was seen before.
+    fn check_not_rolled_back(&self, found: &Head) -> Result<(), StoreError> {
         let seen = self.seen();
         let forked = found.revision == seen.revision && found.change_id != seen.change_id;
         if found.revision < seen.revision || forked {
@@ -126,25 +129,25 @@
                 found.revision.0
             );
             let found = found.clone();
-            return Err(StoreError::Older { seen, found });
+            return Err(StoreError::RolledBack { seen, found });
         }
-        self.note_seen(found.clone());
+        self.record_seen_head(found.clone());
         Ok(())
     }
 
-    /// A read, repeated while it fails for a passing cause.
+    /// Reads a range, with retries after transient errors.
     pub(super) async fn range(
         &self,
         range: &KeyRange,
         limit: usize,
     ) -> Result<Rows, PlatformError> {
-        let mut tried = 0;
+        let mut failed_attempts = 0;
         loop {
             match self.table.range(range, limit).await {
                 Ok(rows) => return Ok(rows),
                 Err(cause) => {
-                    tried += 1;
-                    self.retry.pause(tried, cause).await?;
+                    failed_attempts += 1;
+                    self.retry.wait_before_retry(failed_attempts, cause).await?;
                 }
             }
         }
--- a/crates/store/src/catalogue_store/snapshot.rs
+++ b/crates/store/src/catalogue_store/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots in the object store, and trimming of the changes behind them.
+//! Snapshots in the object store, and trimming of the changes that they cover.
 
 use dragonflyrill_catalogue::{
     entry::Entry,
@@ -12,35 +12,35 @@
     table::{Condition, KeyRange, Op, Row, TableApi, Txn},
 };
 
-/// How many changes are kept behind a snapshot, so that a change id can be looked up and a host
-/// that is a little behind needs no snapshot.
-const KEPT_CHANGES: u64 = 1000;
+/// The number of changes kept before a snapshot's revision, so that the id of a recent change can
+/// be looked up and a host that lags slightly needs no snapshot.
+const RETAINED_CHANGES: u64 = 1000;
 
-/// How many changes come between two snapshots.
-const SNAPSHOT_EVERY: u64 = 50;
+/// The number of changes after which a new snapshot is stored.
+const CHANGES_PER_SNAPSHOT: u64 = 50;
 
-/// All entries in force at one revision.
+/// The stored form of a snapshot: all entries in force at the revision of `head`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Snapshot {
     head: Head,
     entries: Vec<Entry>,
 }
 
-/// A catalogue with the head it belongs to.
+/// A catalogue with the id of its newest change.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Loaded {
+pub struct LoadedCatalogue {
     /// The catalogue.
     pub catalogue: Catalogue,
-    /// The id of its newest change.
+    /// The id of the newest change that is folded into the catalogue.
     pub change_id: String,
 }
 
-/// Where the objects of snapshots are kept.
+/// The object store that holds the snapshots.
 pub trait SnapshotStore {
     /// Reads an object.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Vec<u8>>, PlatformError>>;
 
-    /// Writes an object unless it exists.
+    /// Creates an object; leaves an existing object of the same key as it is.
     fn put(&self, key: &str, body: &[u8]) -> impl Future<Output = Result<(), PlatformError>>;
 }
 
@@ -48,8 +48,8 @@
     /// Reads the newest snapshot and the changes after it.
     ///
     /// # Errors
-    /// [`StoreError::Missing`] when neither the snapshot nor the changes it replaces are there.
-    pub async fn load(&self, objects: &impl SnapshotStore) -> Result<Loaded, StoreError> {
+    /// [`StoreError::Missing`] when the snapshot's object or the changes after it are missing.
+    pub async fn load(&self, objects: &impl SnapshotStore) -> Result<LoadedCatalogue, StoreError> {
         let head = self.read_head().await?;
         let mut loaded = self.read_snapshot(objects).await?.unwrap_or_default();
         let changes = self.read_changes(loaded.catalogue.revision()).await?;
@@ -64,20 +64,22 @@
         Ok(loaded)
     }
 
-    /// Stores a snapshot of `loaded`; afterwards it can be loaded by anyone.
+    /// Stores a snapshot of `loaded`, from which other hosts can load it afterwards. Does nothing
+    /// if a snapshot of the same or a higher revision is stored.
     ///
     /// # Errors
-    /// [`StoreError::Platform`]; trying again is safe.
+    /// [`StoreError::Platform`]; a retry is safe.
     pub async fn save_snapshot(
         &self,
         objects: &impl SnapshotStore,
-        loaded: &Loaded,
+        loaded: &LoadedCatalogue,
     ) -> Result<(), StoreError> {
         let row = self.snapshot_row().await?;
-        if pointer(row.as_ref())?.revision >= loaded.catalogue.revision() {
+        if newest_snapshot(row.as_ref())?.revision >= loaded.catalogue.revision() {
             return Ok(());
         }
-        // The object first: a pointer without its object would stop every start.
+        // The object is written before the row that refers to it: without the object, no host
+        // could load the catalogue at startup.
         put_object(objects, loaded).await?;
         let condition = match row {
             None => Condition::Absent(SNAPSHOT_KEY.to_owned()),
@@ -88,25 +90,26 @@
         };
         let txn = Txn {
             conditions: vec![condition],
-            ops: vec![pointer_op(&loaded.head())?],
+            ops: vec![snapshot_row_op(&loaded.head())?],
         };
-        // Another host's newer pointer is as good.
+        // If the condition fails, another host stored a snapshot meanwhile, which serves as well.
         self.table.txn(&txn).await?;
         Ok(())
     }
 
-    /// Stores a snapshot and trims, if enough changes came since the last one.
+    /// Stores a snapshot and trims old changes, if enough changes were accepted since the last
+    /// snapshot.
     ///
     /// # Errors
-    /// See [`CatalogueStore::load`]; nothing is lost when this is left undone.
+    /// See [`CatalogueStore::load`]. A failure loses no data; the next call does the work.
     pub async fn maintain(&self, objects: &impl SnapshotStore) -> Result<(), StoreError> {
         let head = self.read_head().await?;
         let row = self.snapshot_row().await?;
         let behind = head
             .revision
             .0
-            .saturating_sub(pointer(row.as_ref())?.revision.0);
-        if behind < SNAPSHOT_EVERY {
+            .saturating_sub(newest_snapshot(row.as_ref())?.revision.0);
+        if behind < CHANGES_PER_SNAPSHOT {
             return Ok(());
         }
         let loaded = self.load(objects).await?;
@@ -114,14 +117,14 @@
         self.trim().await
     }
 
-    /// Removes changes that lie well behind the newest snapshot, and those of earlier logs.
+    /// Removes the changes that are far older than the newest snapshot, and those of earlier logs.
     ///
     /// # Errors
-    /// [`StoreError::Platform`]; trying again is safe.
+    /// [`StoreError::Platform`]; a retry is safe.
     pub async fn trim(&self) -> Result<(), StoreError> {
         let row = self.snapshot_row().await?;
-        let snapshot = pointer(row.as_ref())?;
-        let end = Revision(snapshot.revision.0.saturating_sub(KEPT_CHANGES));
+        let snapshot = newest_snapshot(row.as_ref())?;
+        let end = Revision(snapshot.revision.0.saturating_sub(RETAINED_CHANGES));
         let log = self.read_head_row_unchecked().await?.log;
         self.table.remove_all(&log.changes_before(end)).await?;
         Ok(())
@@ -130,19 +133,19 @@
     async fn read_snapshot(
         &self,
         objects: &impl SnapshotStore,
-    ) -> Result<Option<Loaded>, StoreError> {
+    ) -> Result<Option<LoadedCatalogue>, StoreError> {
         let row = self.snapshot_row().await?;
         if row.is_none() {
             return Ok(None);
         }
-        let key = object_key(&pointer(row.as_ref())?);
+        let key = object_key(&newest_snapshot(row.as_ref())?);
         let Some(body) = objects.get(&key).await? else {
             return Err(StoreError::Missing {
                 after: Revision::default(),
             });
         };
         let snapshot: Snapshot = decode(&key, &body)?;
-        Ok(Some(Loaded {
+        Ok(Some(LoadedCatalogue {
             catalogue: Catalogue::from_entries(snapshot.head.revision, snapshot.entries),
             change_id: snapshot.head.change_id,
         }))
@@ -154,8 +157,8 @@
     }
 }
 
-impl Loaded {
-    /// The newest change that is folded in.
+impl LoadedCatalogue {
+    /// The newest change that is folded into the catalogue.
     pub fn head(&self) -> Head {
         Head {
             revision: self.catalogue.revision(),
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Folds `change` in if it is the next one.
+    /// Folds `change` into the catalogue if it has the next revision.
     pub fn fold(&mut self, change: &Change) -> Folded {
         let folded = self.catalogue.fold(change);
         if folded == Folded::Applied {
@@ -173,10 +176,10 @@
     }
 }
 
-/// Stores the snapshot's object; it is not used before a pointer names it.
+/// Stores the snapshot's object. It is not used before the snapshot row refers to it.
 pub(super) async fn put_object(
     objects: &impl SnapshotStore,
-    loaded: &Loaded,
+    loaded: &LoadedCatalogue,
 ) -> Result<(), PlatformError> {
     let snapshot = Snapshot {
         head: loaded.head(),
@@ -187,21 +190,21 @@
         .await
 }
 
-/// The operation that makes the snapshot of `head` the newest.
-pub(super) fn pointer_op(head: &Head) -> Result<Op, PlatformError> {
+/// The operation that makes the snapshot row refer to the snapshot of `head`.
+pub(super) fn snapshot_row_op(head: &Head) -> Result<Op, PlatformError> {
     Ok(Op::Put {
         key: SNAPSHOT_KEY.to_owned(),
         value: encode(head)?,
     })
 }
 
-/// The change id is a part of the name: after a restore of the table, the same revision may
-/// belong to another change, and objects are written only once.
+/// The key of a snapshot's object. It includes the change id: after the table was restored from a
+/// backup, the same revision may belong to another change, and an object is never overwritten.
 fn object_key(head: &Head) -> String {
     format!("catalogue-snapshot-{}-{}", head.revision.0, head.change_id)
 }
 
-/// The head of the newest snapshot; the default where there is none.
-fn pointer(row: Option<&Row>) -> Result<Head, PlatformError> {
+/// The head of the newest snapshot, or the default if there is no snapshot.
+fn newest_snapshot(row: Option<&Row>) -> Result<Head, PlatformError> {
     row.map_or(Ok(Head::default()), |r| decode(SNAPSHOT_KEY, &r.value))
 }
--- a/crates/store/src/entry_hosts.rs
+++ b/crates/store/src/entry_hosts.rs
@@ -1,7 +1,8 @@
-//! The rows by which entry hosts make themselves known in the table.
+//! The table rows by which entry hosts discover each other.
 //!
-//! Nothing expires in the table: the row of a host that died stays until a host of the same id
-//! writes it anew. Who is alive is told by the hosts themselves; this list is where to ask.
+//! Rows do not expire: the row of a host that crashed stays until a host with the same id
+//! overwrites it. This list only says which hosts to contact; whether a host is alive follows
+//! from the membership protocol between the hosts.
 
 use std::net::SocketAddr;
 
@@ -13,25 +14,25 @@
     table::{KeyRange, Op, TableApi, Txn},
 };
 
-/// Before the ids of hosts in their keys.
+/// The prefix of a host row's key; the host id follows.
 const PREFIX: &str = "hosts/";
 
 /// One entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryHost {
-    /// Its id.
+    /// The host's id.
     pub id: EndpointId,
-    /// Where callers connect.
+    /// The address to which callers connect.
     pub callers: SocketAddr,
-    /// Where other hosts connect.
+    /// The address to which other hosts connect.
     pub peers: SocketAddr,
-    /// Where it is.
+    /// The data centre that the host is in.
     pub data_centre: DataCentre,
-    /// Whether it is to get no new work.
-    pub leaving: bool,
+    /// Whether the host is shutting down and must get no new work.
+    pub shutting_down: bool,
 }
 
-/// A host as its row says it, not checked yet.
+/// The stored form of a host row, before validation.
 #[derive(Serialize, Deserialize)]
 struct StoredHost {
     callers: SocketAddr,
@@ -41,16 +42,16 @@
     leaving: bool,
 }
 
-/// Writes a host's row.
+/// Writes the row of `host`.
 ///
 /// # Errors
-/// [`PlatformError`]; writing again is safe.
-pub async fn announce(table: &impl TableApi, host: &EntryHost) -> Result<(), PlatformError> {
+/// [`PlatformError`]. Writing is idempotent, so a retry is safe.
+pub async fn register(table: &impl TableApi, host: &EntryHost) -> Result<(), PlatformError> {
     let stored = StoredHost {
         callers: host.callers,
         peers: host.peers,
         data_centre: host.data_centre.to_string(),
-        leaving: host.leaving,
+        leaving: host.shutting_down,
     };
     let value = serde_json::to_vec(&stored);
     let put = Op::Put {
@@ -60,26 +61,29 @@
     table.txn(&Txn::unconditional(vec![put])).await.map(drop)
 }
 
-/// Removes a host's row.
+/// Removes the row of the host `id`.
 ///
 /// # Errors
-/// [`PlatformError`]; removing again is safe.
-pub async fn withdraw(table: &impl TableApi, id: &EndpointId) -> Result<(), PlatformError> {
+/// [`PlatformError`]. Removal is idempotent, so a retry is safe.
+pub async fn deregister(table: &impl TableApi, id: &EndpointId) -> Result<(), PlatformError> {
     let remove = Op::Remove(key(id));
     table.txn(&Txn::unconditional(vec![remove])).await.map(drop)
 }
 
-/// Reads all hosts. A row that can't be used is left out, with a line in the log.
+/// Reads the rows of all hosts. Skips a row that cannot be decoded and logs a warning.
 ///
 /// # Errors
-/// [`PlatformError`] if the table can't be read.
+/// [`PlatformError`] if the table cannot be read.
 pub async fn list(table: &impl TableApi) -> Result<Vec<EntryHost>, PlatformError> {
     let found = table.range(&KeyRange::prefix(PREFIX), 0).await?;
     let mut hosts = Vec::new();
     for row in found.rows {
         match decode(&row.key, &row.value) {
             Ok(host) => hosts.push(host),
-            Err(why) => log::warn!("hosts: Row {} can't be used: {why}.", row.key),
+            Err(why) => log::warn!(
+                "hosts: Skipped row {}, which cannot be decoded: {why}.",
+                row.key
+            ),
         }
     }
     Ok(hosts)
@@ -98,6 +102,6 @@
         callers: stored.callers,
         peers: stored.peers,
         data_centre: data_centre.map_err(|e| e.to_string())?,
-        leaving: stored.leaving,
+        shutting_down: stored.leaving,
     })
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,43 +1,44 @@
-//! The closed list of ways in which a call to the platform fails.
+//! The error type of all calls to the platform.
 
 use std::time::Duration;
 
-/// Why a call to the platform has no usable answer.
+/// Why a call to the platform has no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// The request did not leave this host: no connection. Nothing took effect.
+    /// The request did not leave this host, for lack of a connection. Nothing took effect.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The platform refused the request for its rate. Nothing took effect.
-    #[error("refused for its rate, to be retried after {} ms", .retry_after.as_millis())]
-    Refused {
-        /// How long the platform asks to wait.
+    /// The platform refused the request because of its rate limit. Nothing took effect.
+    #[error("rate limited by the platform, retry after {} ms", .retry_after.as_millis())]
+    RateLimited {
+        /// The minimum delay before a retry, as the platform states it.
         retry_after: Duration,
     },
-    /// The platform did not serve the call. Nothing took effect.
+    /// The platform could not serve the call. Nothing took effect.
     #[error("unavailable: {0}")]
     Unavailable(String),
-    /// The answer to a write was lost: the write may have taken effect, or may still do so.
+    /// The response to a write was lost: the write may have taken effect, or may still do so.
     #[error("outcome unknown: {0}")]
     Unknown(String),
-    /// The platform rejected the request as wrong. Nothing took effect.
+    /// The platform rejected the request as invalid. Nothing took effect.
     #[error("rejected with status {status}: {message}")]
     Rejected {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// The start of the answer.
+        /// The beginning of the response body.
         message: String,
     },
-    /// The answer, or a stored value, is not in the expected format.
+    /// The response, or a stored value, is not in the expected format.
     #[error("malformed: {0}")]
     Malformed(String),
-    /// The history of changes does not reach back to the mark: the whole has to be read anew.
-    #[error("history is gone")]
-    HistoryGone,
+    /// The change history no longer reaches back to the requested revision: the complete state has
+    /// to be read instead.
+    #[error("the change history no longer reaches back to the requested revision")]
+    HistoryTrimmed,
 }
 
 impl PlatformError {
-    /// Whether the write may have taken effect, or may still.
+    /// Whether the write may have taken effect, or may still do so.
     pub fn is_unknown(&self) -> bool {
         matches!(self, Self::Unknown(_))
     }
@@ -45,17 +46,18 @@
     /// Whether the same call may succeed later.
     pub fn is_transient(&self) -> bool {
         match self {
-            Self::NotSent(_) | Self::Refused { .. } | Self::Unavailable(_) | Self::Unknown(_) => {
-                true
-            }
-            Self::Rejected { .. } | Self::Malformed(_) | Self::HistoryGone => false,
+            Self::NotSent(_)
+            | Self::RateLimited { .. }
+            | Self::Unavailable(_)
+            | Self::Unknown(_) => true,
+            Self::Rejected { .. } | Self::Malformed(_) | Self::HistoryTrimmed => false,
         }
     }
 
-    /// How long the platform asks to wait before the next try.
+    /// The minimum delay before the next attempt, if the platform states one.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Refused { retry_after } => Some(*retry_after),
+            Self::RateLimited { retry_after } => Some(*retry_after),
             _ => None,
         }
     }
--- a/crates/store/src/table/calls.rs
+++ b/crates/store/src/table/calls.rs
@@ -1,19 +1,20 @@
-//! Calls to the table and their answers.
+//! The requests to the table and their results.
 
-/// The most conditions and operations of one transaction together, by the store's interface.
-pub const MAX_ENTRIES: usize = 100;
+/// The maximum number of conditions and operations in one transaction, counted together. The
+/// store's interface sets this limit.
+pub const MAX_TXN_ENTRIES: usize = 100;
 
-/// Which keys a read or a removal is about.
+/// The keys that a read or a removal applies to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct KeyRange {
     /// The first key.
     pub start: String,
-    /// The key after the last one; `None` is `start` alone.
+    /// The exclusive end; with `None` the range holds `start` alone.
     pub end: Option<String>,
 }
 
 impl KeyRange {
-    /// One key.
+    /// The range of a single key.
     pub fn one(key: &str) -> Self {
         Self {
             start: key.to_owned(),
@@ -21,7 +22,7 @@
         }
     }
 
-    /// All keys that start with `prefix`, which ends in an ASCII character below DEL.
+    /// All keys that start with `prefix`, whose last character must be ASCII below DEL (0x7F).
     pub fn prefix(prefix: &str) -> Self {
         let mut end = prefix.to_owned();
         if let Some(last) = end.pop() {
@@ -30,7 +31,7 @@
         Self::between(prefix, &end)
     }
 
-    /// The keys from `start` up to and without `end`.
+    /// The keys from `start`, inclusive, to `end`, exclusive.
     pub fn between(start: &str, end: &str) -> Self {
         Self {
             start: start.to_owned(),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Whether `key` is one of them.
+    /// Whether `key` lies in the range.
     pub fn contains(&self, key: &str) -> bool {
         match &self.end {
             None => key == self.start,
@@ -47,51 +48,52 @@
     }
 }
 
-/// One key as stored.
+/// One stored key with its value.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Row {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The table's revision that last changed the key. Unique to a transaction.
+    /// The table revision that last changed the key. Each transaction has a revision of its own.
     pub mod_revision: u64,
 }
 
-/// The keys read, in key order.
+/// The result of a range read, in key order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Rows {
-    /// The table's revision at the time of reading.
+    /// The table's revision at the time of the read.
     pub table_revision: u64,
-    /// The keys.
+    /// The rows read.
     pub rows: Vec<Row>,
-    /// Whether the read's limit left keys out.
+    /// Whether the range holds further keys beyond the read's limit.
     pub more: bool,
 }
 
-/// What must be true for a transaction to be done.
+/// A precondition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Condition {
     /// The key does not exist.
     Absent(String),
-    /// The key was last changed by this revision of the table.
+    /// The key was last changed at this table revision.
     Unchanged {
         /// The key.
         key: String,
-        /// The `mod_revision` it was read with.
+        /// The `mod_revision` with which the key was read.
         mod_revision: u64,
     },
 }
 
 impl Condition {
-    /// The key that it is about.
+    /// The key that the condition checks.
     pub fn key(&self) -> &str {
         match self {
             Self::Absent(key) | Self::Unchanged { key, .. } => key,
         }
     }
 
-    /// Whether it holds for a key that was last changed by that revision, `None` if it is absent.
+    /// Whether the condition holds for a key that was last changed at revision `found`, or that
+    /// does not exist if `found` is `None`.
     pub fn holds(&self, found: Option<u64>) -> bool {
         match self {
             Self::Absent(_) => found.is_none(),
@@ -100,7 +102,7 @@
     }
 }
 
-/// One operation of a transaction. A transaction names each key at most once.
+/// One operation of a transaction. At most one operation of a transaction may use the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Op {
     /// Writes a row.
@@ -115,7 +117,7 @@
 }
 
 impl Op {
-    /// The key that it is about.
+    /// The key that the operation changes.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Remove(key) => key,
@@ -123,19 +125,19 @@
     }
 }
 
-/// A transaction: if all conditions hold it does all operations in one step, else nothing.
+/// A transaction: applies all operations atomically if all conditions hold, and none otherwise.
 ///
-/// Conditions and operations together are at most [`MAX_ENTRIES`].
+/// It has at most [`MAX_TXN_ENTRIES`] conditions and operations together.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Txn {
     /// The conditions.
     pub conditions: Vec<Condition>,
-    /// What is done.
+    /// The operations.
     pub ops: Vec<Op>,
 }
 
 impl Txn {
-    /// A transaction that is done in any case.
+    /// A transaction without conditions.
     pub fn unconditional(ops: Vec<Op>) -> Self {
         let conditions = Vec::new();
         Self { conditions, ops }
@@ -145,28 +147,29 @@
 /// One call to the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum TableCall {
-    /// Reads rows, each as of a moment of its own.
+    /// Reads rows one by one. The reads do not form a consistent snapshot.
     Read(Vec<String>),
     /// Runs a transaction.
     Write(Txn),
-    /// Removes all rows of a range, some at a time: others may see a part of them gone.
+    /// Removes all rows of a range in batches, not atomically: a concurrent reader may see the
+    /// range partly removed.
     RemoveAll(KeyRange),
 }
 
-/// What a call did.
+/// The result of a call.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct TxnOutcome {
-    /// Whether it was done; false only of a transaction whose conditions did not hold.
+    /// Whether the call was applied; false only for a transaction whose conditions did not hold.
     pub succeeded: bool,
-    /// The table's revision after the call; rows that it wrote have it as their `mod_revision`.
+    /// The table's revision after the call. Rows that the call wrote have it as `mod_revision`.
     pub table_revision: u64,
-    /// The rows asked for by a read, or those of the conditions of a transaction that was not
-    /// done; in order, `None` for a key that does not exist. Empty after a write that was done.
+    /// The rows of a read, or those that the conditions of a failed transaction check, in the
+    /// order of the call; `None` for a key that does not exist. Empty after a successful write.
     pub rows: Vec<Option<Row>>,
 }
 
 impl TxnOutcome {
-    /// A call that was done, as of a revision.
+    /// The result of a call that was applied at `table_revision`, without rows.
     pub fn done(table_revision: u64) -> Self {
         Self {
             succeeded: true,
--- a/crates/store/src/table/memory.rs
+++ b/crates/store/src/table/memory.rs
@@ -1,20 +1,20 @@
-//! A table in memory, for tests, searches and benches of what is built on a table.
+//! An in-memory table for tests, model checking and benchmarks of code that uses a table.
 
 use std::collections::BTreeMap;
 
 use super::{Condition, KeyRange, Op, Row, Rows, TableCall, Txn, TxnOutcome};
 
-/// A table in memory: calls are done in one step each, and never fail.
+/// An in-memory table. Each call is atomic and never fails.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct MemoryTable {
     /// The revision of the last write.
     revision: u64,
-    /// Values and the revisions that wrote them.
+    /// By key, the value and the revision that wrote it.
     rows: BTreeMap<String, (Vec<u8>, u64)>,
 }
 
 impl MemoryTable {
-    /// Makes a call.
+    /// Executes a call.
     pub fn call(&mut self, call: &TableCall) -> TxnOutcome {
         match call {
             TableCall::Read(keys) => TxnOutcome {
@@ -84,8 +84,8 @@
         self.rows.keys().map(String::as_str)
     }
 
-    /// Takes the rows of another table over without a revision of its own, as the restoration of
-    /// an older copy does.
+    /// Replaces the rows with those of `copy` and leaves the table's revision as it is, like the
+    /// restoration of a backup.
     pub fn restore(&mut self, copy: &Self) {
         self.rows.clone_from(&copy.rows);
     }
--- a/crates/store/src/table/mod.rs
+++ b/crates/store/src/table/mod.rs
@@ -1,7 +1,7 @@
 //! The transactional table: typed reads and conditional writes.
 //!
-//! [`TableApi`] is what the rest of the system asks of the table; an adapter implements it, and
-//! [`memory::MemoryTable`] is one for tests and searches. [`once`] and
+//! [`TableApi`] is the interface to the table, which an adapter implements.
+//! [`memory::MemoryTable`] is an in-memory table for tests and model checking. [`once`] and
 //! [`catalogue_store`](crate::catalogue_store) build on the trait.
 
 mod calls;
@@ -13,12 +13,12 @@
 
 use crate::error::PlatformError;
 
-pub use calls::{Condition, KeyRange, MAX_ENTRIES, Op, Row, Rows, TableCall, Txn, TxnOutcome};
+pub use calls::{Condition, KeyRange, MAX_TXN_ENTRIES, Op, Row, Rows, TableCall, Txn, TxnOutcome};
 
-/// How many rows are removed by one transaction of [`TableCall::RemoveAll`].
-const REMOVED_AT_ONCE: usize = MAX_ENTRIES;
+/// The maximum number of rows that one transaction of [`TableCall::RemoveAll`] removes.
+const MAX_REMOVALS_PER_TXN: usize = MAX_TXN_ENTRIES;
 
-/// What the system asks of the table. Futures stay on their thread.
+/// The interface to the table. Its futures need not be `Send`.
 pub trait TableApi {
     /// Reads `range`, at most `limit` keys; 0 is no limit.
     fn range(
@@ -30,7 +30,7 @@
     /// Runs `txn`.
     ///
     /// # Errors
-    /// After [`PlatformError::Unknown`] the transaction may have run, or may still run.
+    /// After [`PlatformError::Unknown`] the transaction may have taken effect, or may still do so.
     fn txn(&self, txn: &Txn) -> impl Future<Output = Result<TxnOutcome, PlatformError>>;
 
     /// Reads one key.
@@ -39,10 +39,10 @@
         async move { Ok(self.range(&range, 1).await?.rows.into_iter().next()) }
     }
 
-    /// Makes a call of either kind.
+    /// Makes a call of any kind.
     ///
     /// # Errors
-    /// As [`TableApi::txn`].
+    /// See [`TableApi::txn`].
     fn call(&self, call: &TableCall) -> impl Future<Output = Result<TxnOutcome, PlatformError>> {
         async move {
             match call {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Reads rows one after the other. The revision is the lowest of any of these reads.
+    /// Reads rows one by one. The resulting revision is the lowest of these reads.
     fn read(&self, keys: &[String]) -> impl Future<Output = Result<TxnOutcome, PlatformError>> {
         async move {
             let mut outcome = TxnOutcome::done(u64::MAX);
@@ -66,14 +66,14 @@
         }
     }
 
-    /// Removes all rows of a range, some at a time.
+    /// Removes all rows of a range in batches, not atomically.
     fn remove_all(
         &self,
         range: &KeyRange,
     ) -> impl Future<Output = Result<TxnOutcome, PlatformError>> {
         async move {
             loop {
-                let found = self.range(range, REMOVED_AT_ONCE).await?;
+                let found = self.range(range, MAX_REMOVALS_PER_TXN).await?;
                 let keys = found.rows.into_iter().map(|row| row.key);
                 let ops: Vec<Op> = keys.map(Op::Remove).collect();
                 if ops.is_empty() {
--- a/crates/store/src/table/once.rs
+++ b/crates/store/src/table/once.rs
@@ -1,34 +1,34 @@
-//! Writing keys at most once, however often the write is tried.
+//! Creation of keys with at-most-once effect, however often the write is retried.
 //!
-//! A value is stored together with the id of its write. When an answer is lost, reading the key
-//! back under that id tells whether this very write took effect. Keys written so are not deleted
-//! while one of their writes is tried.
+//! A value is stored together with the id of its write. When a response is lost, a conditional
+//! retry returns the stored value, and its write id shows whether this write or another took
+//! effect. Keys created this way must not be deleted while one of their writes is retried.
 
 use std::collections::HashSet;
 
-use super::{Condition, MAX_ENTRIES, Op, Row, TableApi, Txn, TxnOutcome, retry::Retry};
+use super::{Condition, MAX_TXN_ENTRIES, Op, Row, TableApi, Txn, TxnOutcome, retry::Retry};
 use crate::error::PlatformError;
 
-/// The most writes in one transaction; each has a condition and an operation.
-pub const MAX_BATCH: usize = MAX_ENTRIES / 2;
+/// The maximum number of writes in one transaction. Each needs a condition and an operation.
+pub const MAX_WRITES_PER_TXN: usize = MAX_TXN_ENTRIES / 2;
 
-/// Ends the write id in a stored value.
+/// Terminates the write id in a stored value.
 const SEPARATOR: u8 = b'\n';
 
 /// A value with the id of the write that created it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stored {
-    /// The id of the write. Contains no line break.
+pub struct StoredValue {
+    /// The id of the write, without line breaks.
     pub write_id: String,
     /// The value.
     pub value: Vec<u8>,
 }
 
-impl Stored {
+impl StoredValue {
     /// Reads a value written by [`create_once`] or [`create_all`].
     ///
     /// # Errors
-    /// [`PlatformError::Malformed`] when the bytes were not written so.
+    /// [`PlatformError::Malformed`] when the bytes are not in that format.
     pub fn decode(raw: &[u8]) -> Result<Self, PlatformError> {
         let malformed = |why| PlatformError::Malformed(format!("stored value: {why}"));
         let end = raw.iter().position(|b| *b == SEPARATOR);
@@ -40,7 +40,7 @@
         })
     }
 
-    /// The bytes that are stored.
+    /// The bytes to store.
     pub fn encode(&self) -> Vec<u8> {
         let mut raw = self.write_id.as_bytes().to_vec();
         raw.push(SEPARATOR);
@@ -49,27 +49,28 @@
     }
 }
 
-/// A write that is to take effect at most once.
+/// A write that must take effect at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct KeyedWrite {
     /// The key.
     pub key: String,
-    /// What is stored under it: the value with the write's own id. The id is unique to the
-    /// write; using it again for the same key and value is a retry of the same write.
-    pub stored: Stored,
+    /// The value with the id of the write. The id is unique to the write; the same id with the
+    /// same key and value is a retry of that write.
+    pub stored: StoredValue,
 }
 
-/// What became of a conditional write.
+/// The outcome of a [`KeyedWrite`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Created {
+pub enum CreateOutcome {
     /// The key holds the value of this write.
     Created,
     /// The key holds the value of another write; this one never takes effect.
-    Exists(Stored),
-    /// All tries are spent and no answer tells: the write may have taken effect, or may still.
+    Exists(StoredValue),
+    /// No attempt is left and the outcome is unknown: the write may have taken effect, or may
+    /// still do so.
     Unknown(PlatformError),
-    /// No try took effect, and none will.
-    NotDone(PlatformError),
+    /// No attempt took effect, and none will.
+    NotApplied(PlatformError),
 }
 
 /// Creates `key` with `value` unless it exists, as the write `write_id`.
@@ -79,24 +80,29 @@
     value: &[u8],
     write_id: &str,
     retry: &Retry,
-) -> Created {
-    let write = Write {
+) -> CreateOutcome {
+    let write = KeyedWrite {
         key: key.to_owned(),
-        stored: Stored {
+        stored: StoredValue {
             write_id: write_id.to_owned(),
             value: value.to_vec(),
         },
     };
     let created = create_all(table, &[write], retry).await.pop();
-    created.unwrap_or_else(|| Created::NotDone(changed_meanwhile()))
+    created.unwrap_or_else(|| CreateOutcome::NotApplied(concurrent_change()))
 }
 
-/// Does many writes with few transactions; each has its own outcome, in the order of `writes`.
+/// Performs many writes with few transactions. Returns one outcome for each write, in the order of
+/// `writes`.
 ///
-/// One key that exists does not hold up the others: they are written by the next transaction.
-pub async fn create_all(table: &impl TableApi, writes: &[Write], retry: &Retry) -> Vec<Created> {
+/// A key that already exists does not block the other writes: the next transaction writes them.
+pub async fn create_all(
+    table: &impl TableApi,
+    writes: &[KeyedWrite],
+    retry: &Retry,
+) -> Vec<CreateOutcome> {
     let mut outcomes = Vec::with_capacity(writes.len());
-    for chunk in writes.chunks(MAX_BATCH) {
+    for chunk in writes.chunks(MAX_WRITES_PER_TXN) {
         let chunk = Chunk::new(chunk).run(table, retry).await;
         outcomes.extend(chunk);
     }
@@ -105,15 +111,15 @@
 
 /// Writes that fit into one transaction.
 struct Chunk<'a> {
-    writes: &'a [Write],
-    /// Those settled; in the order of `writes`.
-    outcomes: Vec<Option<Created>>,
-    /// Whether a try without an answer may still take effect.
+    writes: &'a [KeyedWrite],
+    /// The outcome of each write, in the order of `writes`; `None` until it is known.
+    outcomes: Vec<Option<CreateOutcome>>,
+    /// For each write, whether an attempt without a response may still take effect.
     in_doubt: Vec<bool>,
 }
 
 impl<'a> Chunk<'a> {
-    fn new(writes: &'a [Write]) -> Self {
+    fn new(writes: &'a [KeyedWrite]) -> Self {
         Self {
             writes,
             outcomes: vec![None; writes.len()],
@@ -121,32 +127,32 @@
         }
     }
 
-    async fn run(mut self, table: &impl TableApi, retry: &Retry) -> Vec<Created> {
-        let mut tried = 0;
+    async fn run(mut self, table: &impl TableApi, retry: &Retry) -> Vec<CreateOutcome> {
+        let mut failed_attempts = 0;
         loop {
-            let batch = self.batch();
+            let batch = self.unsettled_batch();
             if batch.is_empty() {
                 break;
             }
             let cause = match table.txn(&self.txn(&batch)).await {
-                Ok(outcome) if self.settle(&batch, &outcome) => continue,
-                Ok(_) => changed_meanwhile(),
+                Ok(outcome) if self.record_response(&batch, &outcome) => continue,
+                Ok(_) => concurrent_change(),
                 Err(cause) => cause,
             };
             if cause.is_unknown() {
                 batch.iter().for_each(|i| self.in_doubt[*i] = true);
             }
-            tried += 1;
-            if let Err(cause) = retry.pause(tried, cause).await {
-                self.give_up(&cause);
+            failed_attempts += 1;
+            if let Err(cause) = retry.wait_before_retry(failed_attempts, cause).await {
+                self.fail_unsettled(&cause);
             }
         }
         self.outcomes.into_iter().flatten().collect()
     }
 
-    /// The writes not settled yet. Of those with the same key only the first: a transaction can't
-    /// write a key twice.
-    fn batch(&self) -> Vec<usize> {
+    /// The indexes of the writes without an outcome. Includes only the first write to each key, as
+    /// a transaction cannot write a key twice.
+    fn unsettled_batch(&self) -> Vec<usize> {
         let mut keys = HashSet::new();
         let open = (0..self.writes.len()).filter(|i| self.outcomes[*i].is_none());
         open.filter(|i| keys.insert(self.writes[*i].key.as_str()))
@@ -166,48 +172,49 @@
         }
     }
 
-    /// Takes in an answer; false when it settles nothing.
-    fn settle(&mut self, batch: &[usize], outcome: &TxnOutcome) -> bool {
+    /// Records the outcomes that follow from a response. Returns false when there are none.
+    fn record_response(&mut self, batch: &[usize], outcome: &TxnOutcome) -> bool {
         if outcome.succeeded {
             for i in batch {
-                self.outcomes[*i] = Some(Created::Created);
+                self.outcomes[*i] = Some(CreateOutcome::Created);
             }
             return true;
         }
         let mut settled = false;
         for (i, found) in batch.iter().zip(&outcome.rows) {
             if let Some(row) = found {
-                self.outcomes[*i] = Some(whose(row, &self.writes[*i]));
+                self.outcomes[*i] = Some(outcome_for_existing(row, &self.writes[*i]));
                 settled = true;
             }
         }
         if settled {
-            // An earlier transaction was conditional on the keys that exist now, too.
+            // An earlier attempt whose response was lost has the same conditions. It can no longer
+            // take effect, since one of its keys exists now.
             batch.iter().for_each(|i| self.in_doubt[*i] = false);
         }
         settled
     }
 
-    fn give_up(&mut self, cause: &PlatformError) {
+    fn fail_unsettled(&mut self, cause: &PlatformError) {
         for (outcome, in_doubt) in self.outcomes.iter_mut().zip(&self.in_doubt) {
             outcome.get_or_insert_with(|| match in_doubt {
-                true => Created::Unknown(cause.clone()),
-                false => Created::NotDone(cause.clone()),
+                true => CreateOutcome::Unknown(cause.clone()),
+                false => CreateOutcome::NotApplied(cause.clone()),
             });
         }
     }
 }
 
-/// Whose value `row` holds.
-fn whose(row: &Row, write: &Write) -> Created {
-    match Stored::decode(&row.value) {
-        Ok(found) if found.write_id == write.stored.write_id => Created::Created,
-        Ok(found) => Created::Exists(found),
-        Err(e) => Created::NotDone(e),
+/// The outcome of `write` when its key already holds `row`.
+fn outcome_for_existing(row: &Row, write: &KeyedWrite) -> CreateOutcome {
+    match StoredValue::decode(&row.value) {
+        Ok(found) if found.write_id == write.stored.write_id => CreateOutcome::Created,
+        Ok(found) => CreateOutcome::Exists(found),
+        Err(e) => CreateOutcome::NotApplied(e),
     }
 }
 
-/// A condition failed, but no key that would make it fail was there.
-fn changed_meanwhile() -> PlatformError {
-    PlatformError::Unavailable("the keys changed meanwhile".to_owned())
+/// The error of a transaction that failed its conditions although none of its keys exists.
+fn concurrent_change() -> PlatformError {
+    PlatformError::Unavailable("the keys changed during the transaction".to_owned())
 }
--- a/crates/store/tests/catalogue_store.rs
+++ b/crates/store/tests/catalogue_store.rs
@@ -1,5 +1,5 @@
-//! The catalogue's order of changes: conflicts, lost answers, snapshots, and a store that went
-//! back.
+//! Tests of the catalogue in the store: conflicts, lost responses, snapshots, trimming, and
+//! detection and restoration of a store that was rolled back to a backup.
 
 mod common;
 
@@ -11,7 +11,7 @@
 };
 use dragonflyrill_store::{
     PlatformError,
-    catalogue_store::{CatalogueStore, Commit, Head, Proposal, Restoration, StoreError},
+    catalogue_store::{CatalogueStore, CommitOutcome, Head, Proposal, Restoration, StoreError},
 };
 
 fn change_id(raw: &str) -> ChangeId {
@@ -53,10 +53,11 @@
 
 async fn accept(store: &CatalogueStore<FakeTable>, base: u64, id: &str, puts: Vec<Entry>) {
     let commit = store.commit(&proposal(base, id, puts)).await;
-    assert_eq!(commit, Ok(Commit::Accepted(Revision(base + 1))));
+    assert_eq!(commit, Ok(CommitOutcome::Accepted(Revision(base + 1))));
 }
 
-/// Accepts changes up to revision `count`, each setting workspace `w` to its revision.
+/// Commits the changes after revision `from` up to revision `to`. Each sets the weight of workspace
+/// `w` to its own revision.
 async fn fill(store: &CatalogueStore<FakeTable>, from: u64, to: u64, prefix: &str) {
     for base in from..to {
         let puts = vec![workspace("w", base as u32 + 1)];
@@ -85,14 +86,14 @@
 }
 
 #[actix_rt::test]
-async fn a_racing_operator_gets_a_conflict_with_what_happened_since() {
+async fn a_concurrent_operator_gets_a_conflict_with_the_changes_since_its_base() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
     fill(&store, 0, 2, "c").await;
     let late = store
         .commit(&proposal(1, "late", vec![workspace("w", 9)]))
         .await;
-    let Ok(Commit::Conflict {
+    let Ok(CommitOutcome::Conflict {
         head: newest,
         since,
     }) = late
@@ -106,7 +107,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_resolved_by_the_change_id() {
+async fn a_lost_response_is_resolved_by_the_change_id() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
     let lost = Faults {
@@ -115,51 +116,51 @@
     };
     let first = proposal(0, "c1", vec![workspace("w", 1)]);
     table.set_faults(lost);
-    let accepted = Ok(Commit::Accepted(Revision(1)));
+    let accepted = Ok(CommitOutcome::Accepted(Revision(1)));
     assert_eq!(store.commit(&first).await, accepted);
     table.set_faults(Faults::default());
     fill(&store, 1, 3, "other").await;
     assert_eq!(
         table.store().commit(&first).await,
         accepted,
-        "a retry, later"
+        "a retry after other changes"
     );
 }
 
 #[actix_rt::test]
-async fn a_commit_that_never_left_is_an_error_and_not_unknown() {
+async fn a_commit_that_was_never_sent_is_an_error_and_not_unknown() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
-    let away = Faults {
+    let unreachable = Faults {
         not_sent: 100,
         ..Faults::default()
     };
-    table.set_faults(away);
+    table.set_faults(unreachable);
     let commit = store.commit(&proposal(0, "c1", Vec::new())).await;
     let not_sent = PlatformError::NotSent("fake".to_owned());
     assert_eq!(commit, Err(StoreError::Platform(not_sent)));
 }
 
 #[actix_rt::test]
-async fn a_store_that_went_back_is_reported_and_not_written() {
+async fn a_store_that_was_rolled_back_is_reported_and_not_written() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
     fill(&store, 0, 2, "c").await;
     let backup = table.backup();
     fill(&store, 2, 5, "c").await;
     table.restore(&backup);
-    let older = StoreError::Older {
+    let rolled_back = StoreError::RolledBack {
         seen: head(5, "c5"),
         found: head(2, "c2"),
     };
-    assert_eq!(store.read_head().await, Err(older.clone()));
-    assert_eq!(store.load(&table).await, Err(older.clone()));
+    assert_eq!(store.read_head().await, Err(rolled_back.clone()));
+    assert_eq!(store.load(&table).await, Err(rolled_back.clone()));
     let commit = store.commit(&proposal(2, "d3", Vec::new())).await;
-    assert_eq!(commit, Err(older));
+    assert_eq!(commit, Err(rolled_back));
 }
 
 #[actix_rt::test]
-async fn another_change_under_a_known_revision_is_reported() {
+async fn another_change_with_a_known_revision_is_reported() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
     fill(&store, 0, 2, "c").await;
@@ -168,7 +169,7 @@
     table.restore(&backup);
     fill(&table.store(), 2, 6, "d").await;
     let known = head(4, "c4");
-    let forked = StoreError::Older {
+    let forked = StoreError::RolledBack {
         seen: known.clone(),
         found: head(4, "d4"),
     };
@@ -182,7 +183,7 @@
 }
 
 #[actix_rt::test]
-async fn a_restored_store_is_brought_forward_above_what_hosts_have() {
+async fn a_restoration_gets_a_revision_above_those_of_the_hosts() {
     let table = FakeTable::new(1, Faults::default());
     let host = table.store();
     fill(&host, 0, 2, "c").await;
@@ -198,7 +199,7 @@
         entries: vec![workspace("v", 7)],
     };
     let operator = table.store();
-    let accepted = Ok(Commit::Accepted(Revision(7)));
+    let accepted = Ok(CommitOutcome::Accepted(Revision(7)));
     assert_eq!(operator.restore(&table, &restoration).await, accepted);
     assert_eq!(
         operator.restore(&table, &restoration).await,
@@ -206,7 +207,8 @@
         "a retry"
     );
 
-    // A host that had the lost revisions must not fold: it finds a gap and loads.
+    // A host that has the lost revisions in force must not fold the restoration into its catalogue:
+    // it finds a gap and loads the snapshot.
     assert_eq!(host.read_head().await, Ok(head(7, "again")));
     let missing = Err(StoreError::Missing { after: Revision(4) });
     assert_eq!(host.read_changes_after(&head(5, "c5")).await, missing);
@@ -216,7 +218,7 @@
 }
 
 #[actix_rt::test]
-async fn a_host_whose_revision_was_used_again_loads_the_restoration() {
+async fn a_host_whose_revision_was_reused_loads_the_restoration() {
     let table = FakeTable::new(1, Faults::default());
     let host = table.store();
     fill(&host, 0, 2, "c").await;
@@ -225,7 +227,7 @@
     table.restore(&backup);
     fill(&table.store(), 2, 6, "d").await;
     let restoration = restoration(6, "again", vec![workspace("v", 7)]);
-    let accepted = Ok(Commit::Accepted(Revision(8)));
+    let accepted = Ok(CommitOutcome::Accepted(Revision(8)));
     assert_eq!(table.store().restore(&table, &restoration).await, accepted);
 
     let missing = |after| {
@@ -244,7 +246,7 @@
 }
 
 #[actix_rt::test]
-async fn a_restoration_keeps_its_outcome_with_lost_answers() {
+async fn a_restoration_reports_its_true_outcome_when_responses_are_lost() {
     for seed in 0..50 {
         let table = FakeTable::new(seed, Faults::default());
         fill(&table.store(), 0, 1, "c").await;
@@ -265,16 +267,16 @@
         table.deliver_delayed();
         let revision = table.store().read_head().await.expect("a head").revision;
         match outcome {
-            Ok(Commit::Accepted(accepted)) => assert_eq!(accepted, revision),
-            Ok(Commit::Unknown(_)) => {}
+            Ok(CommitOutcome::Accepted(accepted)) => assert_eq!(accepted, revision),
+            Ok(CommitOutcome::Unknown(_)) => {}
             Err(_) => assert_eq!(revision, Revision(1)),
-            Ok(Commit::Conflict { .. }) => panic!("nobody else writes"),
+            Ok(CommitOutcome::Conflict { .. }) => panic!("nobody else writes"),
         }
     }
 }
 
 #[actix_rt::test]
-async fn a_start_reads_a_snapshot_and_the_changes_after_it() {
+async fn a_load_reads_a_snapshot_and_the_changes_after_it() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
     fill(&store, 0, 49, "c").await;
@@ -290,7 +292,7 @@
 }
 
 #[actix_rt::test]
-async fn changes_far_behind_a_snapshot_are_trimmed_and_the_rest_stays_readable() {
+async fn changes_far_before_a_snapshot_are_trimmed_and_the_rest_stays_readable() {
     let table = FakeTable::new(1, Faults::default());
     let store = table.store();
     fill(&store, 0, 1100, "c").await;
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! An in-memory table and object store that fail on demand, from a seed.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! An in-memory table and object store that injects faults, drawn from a seeded generator.
+#![allow(dead_code, reason = "each test file uses a different subset")]
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -15,22 +15,22 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// In how many of a hundred calls what goes wrong.
+/// How often each fault occurs, in percent of the calls.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Faults {
     /// The call does not reach the table.
     pub(crate) not_sent: u32,
-    /// The table refuses for its rate.
+    /// The table refuses the call because of its rate limit.
     pub(crate) refused: u32,
-    /// The answer is lost, and a write did not take effect.
+    /// The response is lost, and a write did not take effect.
     pub(crate) lost_before: u32,
-    /// The answer is lost, and a write took effect.
+    /// The response is lost, and a write took effect.
     pub(crate) lost_after: u32,
-    /// The answer is lost, and a write takes effect at some later time.
+    /// The response is lost, and a write takes effect at some later time.
     pub(crate) delayed: u32,
 }
 
-/// How often what happened.
+/// How often each fault occurred.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Counts {
     pub(crate) not_sent: u32,
@@ -38,11 +38,11 @@
     pub(crate) lost_before: u32,
     pub(crate) lost_after: u32,
     pub(crate) delayed: u32,
-    /// Delayed transactions whose condition held when they arrived.
+    /// Delayed transactions whose conditions held when they arrived.
     pub(crate) delayed_done: u32,
 }
 
-enum Fate {
+enum CallResult {
     Answered,
     NotSent,
     Refused,
@@ -60,7 +60,7 @@
     rng: SmallRng,
 }
 
-/// The table; clones share their state.
+/// The table with fault injection. Clones share their state.
 #[derive(Clone)]
 pub(crate) struct FakeTable(Rc<RefCell<State>>);
 
@@ -80,11 +80,11 @@
     }
 
     pub(crate) fn store(&self) -> CatalogueStore<Self> {
-        self.store_with_tries(6)
+        self.store_with_attempts(6)
     }
 
-    pub(crate) fn store_with_tries(&self, tries: u32) -> CatalogueStore<Self> {
-        CatalogueStore::new(self.clone(), retry(tries))
+    pub(crate) fn store_with_attempts(&self, max_attempts: u32) -> CatalogueStore<Self> {
+        CatalogueStore::new(self.clone(), retry(max_attempts))
     }
 
     pub(crate) fn set_faults(&self, faults: Faults) {
@@ -107,101 +107,103 @@
         Backup(self.0.borrow().table.clone())
     }
 
-    /// Replaces the contents; objects stay, as they lie in another service.
+    /// Replaces the table's contents. Objects stay, as another service stores them.
     pub(crate) fn restore(&self, backup: &Backup) {
         self.0.borrow_mut().table.restore(&backup.0);
     }
 
-    /// Lets all delayed transactions arrive.
+    /// Executes all delayed transactions.
     pub(crate) fn deliver_delayed(&self) {
         let mut state = self.0.borrow_mut();
         while let Some(txn) = state.delayed.pop() {
-            state.late(&txn);
+            state.run_delayed(&txn);
         }
     }
 
-    /// Lets other tasks run, for a while that differs.
-    async fn pause(&self) {
-        let turns = self.0.borrow_mut().rng.random_range(0..4);
-        for _ in 0..turns {
+    /// Yields to other tasks a random number of times.
+    async fn yield_randomly(&self) {
+        let yields = self.0.borrow_mut().rng.random_range(0..4);
+        for _ in 0..yields {
             task::yield_now().await;
         }
     }
 }
 
 impl State {
-    fn fate(&mut self) -> Fate {
+    fn draw_result(&mut self) -> CallResult {
         let f = self.faults;
         let mut drawn = self.rng.random_range(0..100);
-        for (share, fate) in [
-            (f.not_sent, Fate::NotSent),
-            (f.refused, Fate::Refused),
-            (f.lost_before, Fate::LostBefore),
-            (f.lost_after, Fate::LostAfter),
-            (f.delayed, Fate::Delayed),
+        for (percent, result) in [
+            (f.not_sent, CallResult::NotSent),
+            (f.refused, CallResult::Refused),
+            (f.lost_before, CallResult::LostBefore),
+            (f.lost_after, CallResult::LostAfter),
+            (f.delayed, CallResult::Delayed),
         ] {
-            if drawn < share {
-                return fate;
+            if drawn < percent {
+                return result;
             }
-            drawn -= share;
+            drawn -= percent;
         }
-        Fate::Answered
+        CallResult::Answered
     }
 
-    fn late(&mut self, txn: &Txn) {
+    fn run_delayed(&mut self, txn: &Txn) {
         if self.table.txn(txn).succeeded {
             self.counts.delayed_done += 1;
         }
     }
 }
 
-fn refused() -> PlatformError {
-    PlatformError::Refused {
+fn rate_limited() -> PlatformError {
+    PlatformError::RateLimited {
         retry_after: Duration::ZERO,
     }
 }
 
 impl TableApi for FakeTable {
     async fn range(&self, range: &KeyRange, limit: usize) -> Result<Rows, PlatformError> {
-        self.pause().await;
+        self.yield_randomly().await;
         let state = &mut *self.0.borrow_mut();
-        match state.fate() {
-            // Faults that let a write take effect concern writes only.
-            Fate::Answered | Fate::LostAfter | Fate::Delayed => Ok(state.table.range(range, limit)),
-            Fate::Refused => Err(refused()),
-            Fate::NotSent => Err(PlatformError::NotSent("fake".to_owned())),
-            Fate::LostBefore => Err(PlatformError::Unavailable("fake".to_owned())),
+        match state.draw_result() {
+            // A read has no effect that could follow a lost response, so these count as answered.
+            CallResult::Answered | CallResult::LostAfter | CallResult::Delayed => {
+                Ok(state.table.range(range, limit))
+            }
+            CallResult::Refused => Err(rate_limited()),
+            CallResult::NotSent => Err(PlatformError::NotSent("fake".to_owned())),
+            CallResult::LostBefore => Err(PlatformError::Unavailable("fake".to_owned())),
         }
     }
 
     async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, PlatformError> {
-        self.pause().await;
+        self.yield_randomly().await;
         let state = &mut *self.0.borrow_mut();
         if !state.delayed.is_empty() && state.rng.random_bool(0.3) {
-            let late = state.delayed.swap_remove(0);
-            state.late(&late);
+            let delayed = state.delayed.swap_remove(0);
+            state.run_delayed(&delayed);
         }
         let unknown = Err(PlatformError::Unknown("fake".to_owned()));
-        match state.fate() {
-            Fate::Answered => Ok(state.table.txn(txn)),
-            Fate::NotSent => {
+        match state.draw_result() {
+            CallResult::Answered => Ok(state.table.txn(txn)),
+            CallResult::NotSent => {
                 state.counts.not_sent += 1;
                 Err(PlatformError::NotSent("fake".to_owned()))
             }
-            Fate::Refused => {
+            CallResult::Refused => {
                 state.counts.refused += 1;
-                Err(refused())
+                Err(rate_limited())
             }
-            Fate::LostBefore => {
+            CallResult::LostBefore => {
                 state.counts.lost_before += 1;
                 unknown
             }
-            Fate::LostAfter => {
+            CallResult::LostAfter => {
                 state.counts.lost_after += 1;
                 state.table.txn(txn);
                 unknown
             }
-            Fate::Delayed => {
+            CallResult::Delayed => {
                 state.counts.delayed += 1;
                 state.delayed.push(txn.clone());
                 unknown
@@ -225,12 +227,12 @@
     }
 }
 
-/// Up to `tries` tries without waits between them.
-pub(crate) fn retry(tries: u32) -> Retry {
+/// Up to `max_attempts` attempts without delays between them.
+pub(crate) fn retry(max_attempts: u32) -> Retry {
     let policy = RetryPolicy {
-        tries,
-        first_wait: Duration::ZERO,
-        max_wait: Duration::ZERO,
+        max_attempts,
+        initial_backoff: Duration::ZERO,
+        max_backoff: Duration::ZERO,
     };
     Retry::new(policy, 7)
 }
--- a/crates/store/tests/race.rs
+++ b/crates/store/tests/race.rs
@@ -1,5 +1,6 @@
-//! Operators race each other against a table that loses answers: every apply ends as accepted or
-//! conflict, and none is lost.
+//! Guards against changes that are lost, or applied twice, when several operators change the
+//! catalogue concurrently and the table loses responses: every apply must end as accepted or as a
+//! conflict, as the stored changes show.
 
 mod common;
 
@@ -11,13 +12,13 @@
     name::{Name, WorkspaceName},
     state::{ChangeId, Revision},
 };
-use dragonflyrill_store::catalogue_store::{CatalogueStore, Commit, Proposal, StoreError};
+use dragonflyrill_store::catalogue_store::{CatalogueStore, CommitOutcome, Proposal, StoreError};
 
 const OPERATORS: usize = 12;
 const APPLIES: usize = 20;
 const SEEDS: u64 = 10;
 
-/// The most calls to settle one apply.
+/// The maximum number of calls until the outcome of one apply is known.
 const MAX_CALLS: usize = 200;
 
 const FAULTS: Faults = Faults {
@@ -28,7 +29,7 @@
     delayed: 10,
 };
 
-/// How one apply ended.
+/// The final outcome of one apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
     Accepted(Revision),
@@ -36,23 +37,27 @@
 }
 
 #[derive(Debug, Default)]
-struct Sum {
+struct OutcomeCounts {
     accepted: usize,
     conflicts: usize,
-    /// Applies that were unknown in between.
-    settled_later: usize,
+    /// Applies whose outcome was unknown at first.
+    resolved_later: usize,
 }
 
-async fn apply(store: &CatalogueStore<FakeTable>, proposal: &Proposal, sum: &mut Sum) -> End {
+async fn apply(
+    store: &CatalogueStore<FakeTable>,
+    proposal: &Proposal,
+    sum: &mut OutcomeCounts,
+) -> End {
     let mut unknown = false;
     for _ in 0..MAX_CALLS {
         match store.commit(proposal).await {
-            Ok(Commit::Accepted(revision)) => {
+            Ok(CommitOutcome::Accepted(revision)) => {
                 sum.accepted += 1;
-                sum.settled_later += usize::from(unknown);
+                sum.resolved_later += usize::from(unknown);
                 return End::Accepted(revision);
             }
-            Ok(Commit::Conflict { head, since }) => {
+            Ok(CommitOutcome::Conflict { head, since }) => {
                 assert!(head.revision > proposal.base);
                 assert!(
                     since
@@ -60,24 +65,24 @@
                         .all(|c| c.change_id != proposal.change_id.as_str())
                 );
                 sum.conflicts += 1;
-                sum.settled_later += usize::from(unknown);
+                sum.resolved_later += usize::from(unknown);
                 return End::Conflict;
             }
-            Ok(Commit::Unknown(_)) => unknown = true,
+            Ok(CommitOutcome::Unknown(_)) => unknown = true,
             Err(StoreError::Platform(e)) => assert!(e.is_transient(), "{e}"),
             Err(e) => panic!("{e}"),
         }
     }
     panic!(
-        "{} is not settled after {MAX_CALLS} calls",
+        "the outcome of {} is unknown after {MAX_CALLS} calls",
         proposal.change_id
     );
 }
 
-async fn operate(table: FakeTable, operator: usize) -> (Sum, BTreeMap<String, End>) {
-    // So few tries that outcomes stay unknown at times and have to be settled later.
-    let store = table.store_with_tries(2);
-    let mut sum = Sum::default();
+async fn operate(table: FakeTable, operator: usize) -> (OutcomeCounts, BTreeMap<String, End>) {
+    // With so few attempts, some outcomes stay unknown and have to be resolved by a later call.
+    let store = table.store_with_attempts(2);
+    let mut sum = OutcomeCounts::default();
     let mut ends = BTreeMap::new();
     for n in 0..APPLIES {
         let base = loop {
@@ -103,7 +108,7 @@
     (sum, ends)
 }
 
-/// What was told, against what the store holds after every delayed write has arrived.
+/// Compares the reported outcomes with what the store holds after all delayed writes arrived.
 async fn verify(table: &FakeTable, ends: &BTreeMap<String, End>) {
     table.deliver_delayed();
     table.set_faults(Faults::default());
@@ -130,7 +135,7 @@
 
 #[actix_rt::test]
 async fn every_apply_ends_as_accepted_or_conflict_and_none_is_lost() {
-    let (mut accepted, mut conflicts, mut settled_later) = (0, 0, 0);
+    let (mut accepted, mut conflicts, mut resolved_later) = (0, 0, 0);
     let (mut lost, mut delayed_done) = (0, 0);
     for seed in 0..SEEDS {
         let table = FakeTable::new(seed, FAULTS);
@@ -139,10 +144,10 @@
             .collect();
         let mut ends = BTreeMap::new();
         for operator in operators {
-            let (sum, own) = operator.await.expect("an operator ends");
+            let (sum, own) = operator.await.expect("the operator's task ended normally");
             accepted += sum.accepted;
             conflicts += sum.conflicts;
-            settled_later += sum.settled_later;
+            resolved_later += sum.resolved_later;
             ends.extend(own);
         }
         assert_eq!(ends.len(), OPERATORS * APPLIES);
@@ -153,9 +158,9 @@
     }
     assert_eq!(accepted + conflicts, SEEDS as usize * OPERATORS * APPLIES);
     println!(
-        "accepted {accepted}, conflicts {conflicts}, of these settled after unknown \
-         {settled_later}; answers lost {lost}, delayed writes that took effect {delayed_done}"
+        "accepted {accepted}, conflicts {conflicts}, of these resolved after unknown \
+         {resolved_later}; responses lost {lost}, delayed writes that took effect {delayed_done}"
     );
-    // The race is one, and the faults were met.
-    assert!(accepted > 0 && conflicts > 0 && settled_later > 0 && delayed_done > 0);
+    // Ensures that operators did conflict and that the faults occurred.
+    assert!(accepted > 0 && conflicts > 0 && resolved_later > 0 && delayed_done > 0);
 }
