--- a/crates/catalogue/src/declare/mod.rs
+++ b/crates/catalogue/src/declare/mod.rs
@@ -1,6 +1,6 @@
-//! Reads declarations: INI text into checked entries.
+//! Parses declarations: INI text into validated entries.
 //!
-//! A file has one section for each entry, in any order:
+//! A file has one section per entry, in any order:
 //!
 //! ```ini
 //! [workspace co-op]
@@ -45,15 +45,16 @@
 //! layers_per_second = 8
 //! ```
 //!
-//! A comment is a line of its own and starts with `;` or `#`. Quotes and backslashes have no
-//! special meaning. Every mistake of a file is reported, not only the first.
+//! A comment is a line of its own and starts with `;` or `#`. Quotes have no special meaning, and
+//! a backslash outside a comment is refused. All mistakes in a file are reported, not only the
+//! first.
 
 mod lines;
 mod section;
 mod value;
 
 pub(crate) use section::{RANGE_PREFIX, SHARE_PREFIX};
-pub(crate) use value::{MAX_DECIMAL, is_prefix, is_version};
+pub(crate) use value::{MAX_DECIMAL_VALUE, is_path_prefix, is_version};
 
 use std::collections::BTreeMap;
 
@@ -66,15 +67,15 @@
 /// The text of one file.
 #[derive(Debug, Clone, Copy)]
 pub struct Source<'a> {
-    /// The file's name, used in messages only.
+    /// The file's name, used only in fault messages.
     pub file: &'a str,
-    /// What it contains.
+    /// The file's contents.
     pub text: &'a str,
 }
 
-/// One entry and the file that declares it.
+/// An entry with the name of the file that declares it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Declared {
+pub struct DeclaredEntry {
     /// The entry.
     pub entry: Entry,
     /// The file's name.
@@ -83,9 +84,9 @@
 
 /// The entries of one or more files.
 ///
-/// Invariant: no two entries have the same key, and the map's key is the entry's own.
+/// Invariant: no two entries have the same key, and each entry is stored under its own key.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Declarations(BTreeMap<EntryKey, Declared>);
+pub struct Declarations(BTreeMap<EntryKey, DeclaredEntry>);
 
 impl Declarations {
     /// The entries in key order.
@@ -93,7 +94,7 @@
         self.0.values().map(|d| &d.entry)
     }
 
-    /// Names the declaring file in every fault whose section was declared here.
+    /// Sets the file name in every fault whose section one of these declarations declares.
     pub fn locate(&self, faults: &mut [Fault]) {
         let files: BTreeMap<String, &str> = self
             .0
@@ -108,12 +109,12 @@
         }
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -146,7 +147,7 @@
 }
 
 impl Declarations {
-    /// Adds the entries of `source`; what is wrong with it goes into `faults`.
+    /// Adds the entries of `source`, and its mistakes to `faults`.
     fn read(&mut self, source: Source<'_>, faults: &mut Vec<Fault>) {
         let text = lines::normalise(source, faults);
         let ini = match lines::parse(&text) {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Adds one entry unless its key is taken.
+    /// Adds one entry, or a fault if its key is already declared.
     fn add(&mut self, entry: Entry, file: &str, faults: &mut Vec<Fault>) {
         let key = entry.key();
         if let Some(first) = self.0.get(&key) {
@@ -193,7 +194,7 @@
             faults.push(fault.in_section(&render::section(&key)));
             return;
         }
-        let declared = Declared {
+        let declared = DeclaredEntry {
             entry,
             file: file.to_owned(),
         };
--- a/crates/catalogue/src/declare/section.rs
+++ b/crates/catalogue/src/declare/section.rs
@@ -1,4 +1,4 @@
-//! One section of a declaration file into one entry.
+//! Parses one section of a declaration file into one entry.
 
 mod group;
 
@@ -14,29 +14,30 @@
     name::DataCentre,
 };
 
-/// The prefix of the keys that give a data centre its share.
+/// The prefix of the keys that declare a data centre's share; the data centre's name follows.
 pub(crate) const SHARE_PREFIX: &str = "share.";
 
-/// The prefix of the keys that give a layer range its minimum of replicas.
+/// The prefix of the keys that declare a layer range's minimum number of replicas; the range
+/// follows.
 pub(crate) const RANGE_PREFIX: &str = "range.";
 
-/// Keys of which a section can have any number.
-struct Family {
+/// Keys with a common prefix, of which a section can have any number.
+struct KeyFamily {
     prefix: &'static str,
-    /// The whole key, for messages.
+    /// The form of a complete key, for fault messages.
     form: &'static str,
 }
 
-const SHARES: Family = Family {
+const SHARE_KEYS: KeyFamily = KeyFamily {
     prefix: SHARE_PREFIX,
     form: "share.DATA_CENTRE",
 };
 
-const SECTIONS: &str = "[workspace NAME], [model NAME], [service NAME], \
+const EXPECTED_SECTIONS: &str = "[workspace NAME], [model NAME], [service NAME], \
     [limit WORKSPACE/TARGET/CLASS], [endpoint ID], [link DATA_CENTRE DATA_CENTRE], \
     [data_centre NAME] or [group MODEL DATA_CENTRE]";
 
-/// A section as it stands in the file.
+/// A section as parsed from the file.
 pub(super) struct Section<'a> {
     pub(super) file: &'a str,
     pub(super) name: &'a str,
@@ -44,12 +45,13 @@
 }
 
 impl Section<'_> {
-    /// The entry this section declares, or `None` with what is wrong in `faults`.
+    /// The entry that this section declares. If it has mistakes, returns `None` and adds them to
+    /// `faults`.
     pub(super) fn entry(&self, faults: &mut Vec<Fault>) -> Option<Entry> {
         let mut words = self.name.split_whitespace();
         let kind = words.next().unwrap_or_default();
         let words: Vec<&str> = words.collect();
-        let before = faults.len();
+        let faults_before = faults.len();
         let entry = match (kind, words.as_slice()) {
             ("workspace", [name]) => self.workspace(name, faults),
             ("model", [name]) => self.model(name, faults),
@@ -60,27 +62,27 @@
             ("data_centre", [name]) => self.data_centre(name, faults),
             ("group", [model, data_centre]) => self.group(model, data_centre, faults),
             _ => {
-                faults.push(self.fault(FaultKind::Section, SECTIONS));
+                faults.push(self.fault(FaultKind::Section, EXPECTED_SECTIONS));
                 None
             }
         };
-        entry.filter(|_| faults.len() == before)
+        entry.filter(|_| faults.len() == faults_before)
     }
 
     fn workspace(&self, name: &str, faults: &mut Vec<Fault>) -> Option<Entry> {
-        self.allow(&["weight"], None, faults);
+        self.check_keys(&["weight"], None, faults);
         let entry = WorkspaceEntry {
-            name: self.name(name, faults)?,
-            weight: self.value("weight", Some(1), value::positive, faults)?,
+            name: self.parse_name(name, faults)?,
+            weight: self.parse_value("weight", Some(1), value::positive, faults)?,
         };
         Some(Entry::Workspace(entry))
     }
 
     fn model(&self, name: &str, faults: &mut Vec<Fault>) -> Option<Entry> {
-        self.allow(&["layers", "context"], None, faults);
-        let name = self.name(name, faults);
-        let layers = self.value("layers", None, value::positive, faults);
-        let context = self.value("context", None, value::positive, faults);
+        self.check_keys(&["layers", "context"], None, faults);
+        let name = self.parse_name(name, faults);
+        let layers = self.parse_value("layers", None, value::positive, faults);
+        let context = self.parse_value("context", None, value::positive, faults);
         let entry = ModelEntry {
             name: name?,
             layers: layers?,
@@ -90,10 +92,10 @@
     }
 
     fn service(&self, name: &str, faults: &mut Vec<Fault>) -> Option<Entry> {
-        self.allow(&["not_repeatable"], None, faults);
-        let name = self.name(name, faults);
+        self.check_keys(&["not_repeatable"], None, faults);
+        let name = self.parse_name(name, faults);
         let not_repeatable =
-            self.value("not_repeatable", Some(Vec::new()), value::prefixes, faults);
+            self.parse_value("not_repeatable", Some(Vec::new()), value::prefixes, faults);
         let entry = ServiceEntry {
             name: name?,
             not_repeatable: not_repeatable?,
@@ -111,15 +113,15 @@
             "deadline_ms",
             "repeatable",
         ];
-        self.allow(&KEYS, Some(&SHARES), faults);
+        self.check_keys(&KEYS, Some(&SHARE_KEYS), faults);
         let key = self.limit_key(path, faults);
-        let requests_per_second = self.value(KEYS[0], None, value::above_zero, faults);
-        let tokens_per_second = self.value(KEYS[1], Some(0.0), value::decimal, faults);
-        let in_flight = self.value(KEYS[2], None, value::positive, faults);
-        let burst_seconds = self.value(KEYS[3], Some(1.0), value::above_zero, faults);
-        let priority = self.value(KEYS[4], Some(0), value::priority, faults);
-        let deadline_ms = self.value(KEYS[5], None, value::positive, faults);
-        let repeatable = self.value(KEYS[6], None, value::boolean, faults);
+        let requests_per_second = self.parse_value(KEYS[0], None, value::above_zero, faults);
+        let tokens_per_second = self.parse_value(KEYS[1], Some(0.0), value::decimal, faults);
+        let in_flight = self.parse_value(KEYS[2], None, value::positive, faults);
+        let burst_seconds = self.parse_value(KEYS[3], Some(1.0), value::above_zero, faults);
+        let priority = self.parse_value(KEYS[4], Some(0), value::priority, faults);
+        let deadline_ms = self.parse_value(KEYS[5], None, value::positive, faults);
+        let repeatable = self.parse_value(KEYS[6], None, value::boolean, faults);
         let shares = self.shares(faults);
         let entry = LimitEntry {
             key: key?,
@@ -142,9 +144,9 @@
             return None;
         };
         Some(LimitKey {
-            workspace: self.name(workspace, faults)?,
-            target: self.name(target, faults)?,
-            class: self.name(class, faults)?,
+            workspace: self.parse_name(workspace, faults)?,
+            target: self.parse_name(target, faults)?,
+            class: self.parse_name(class, faults)?,
         })
     }
 
@@ -163,7 +165,7 @@
                     continue;
                 }
             };
-            if let Some(share) = self.checked(key, raw, value::fraction, faults) {
+            if let Some(share) = self.check_value(key, raw, value::fraction, faults) {
                 shares.insert(data_centre, share);
             }
         }
@@ -171,11 +173,11 @@
     }
 
     fn endpoint(&self, id: &str, faults: &mut Vec<Fault>) -> Option<Entry> {
-        self.allow(&["intent", "checks_fence"], None, faults);
-        let id = self.name(id, faults);
+        self.check_keys(&["intent", "checks_fence"], None, faults);
+        let id = self.parse_name(id, faults);
         let serve = Some(EndpointIntent::Serve);
-        let intent = self.value("intent", serve, value::intent, faults);
-        let checks_fence = self.value("checks_fence", Some(false), value::boolean, faults);
+        let intent = self.parse_value("intent", serve, value::intent, faults);
+        let checks_fence = self.parse_value("checks_fence", Some(false), value::boolean, faults);
         let entry = EndpointEntry {
             id: id?,
             intent: intent?,
@@ -185,11 +187,11 @@
     }
 
     fn link(&self, a: &str, b: &str, faults: &mut Vec<Fault>) -> Option<Entry> {
-        self.allow(&["latency_us", "mbit_per_second"], None, faults);
-        let a: Option<DataCentre> = self.name(a, faults);
-        let b = self.name(b, faults);
-        let latency_us = self.value("latency_us", None, value::count, faults);
-        let mbit_per_second = self.value("mbit_per_second", None, value::positive, faults);
+        self.check_keys(&["latency_us", "mbit_per_second"], None, faults);
+        let a: Option<DataCentre> = self.parse_name(a, faults);
+        let b = self.parse_name(b, faults);
+        let latency_us = self.parse_value("latency_us", None, value::count, faults);
+        let mbit_per_second = self.parse_value("mbit_per_second", None, value::positive, faults);
         let (a, b) = (a?, b?);
         if a == b {
             faults.push(self.fault(FaultKind::Section, "a link between two data centres"));
@@ -205,13 +207,14 @@
     }
 
     fn data_centre(&self, name: &str, faults: &mut Vec<Fault>) -> Option<Entry> {
-        self.allow(&[], None, faults);
-        let name = self.name(name, faults)?;
+        self.check_keys(&[], None, faults);
+        let name = self.parse_name(name, faults)?;
         Some(Entry::DataCentre(DataCentreEntry { name }))
     }
 
-    /// Reports every key that is neither one of `keys` nor of the `family`, and every key that stands twice.
-    fn allow(&self, keys: &[&str], family: Option<&Family>, faults: &mut Vec<Fault>) {
+    /// Reports every key that is neither one of `keys` nor in `family`, and every key that occurs
+    /// twice.
+    fn check_keys(&self, keys: &[&str], family: Option<&KeyFamily>, faults: &mut Vec<Fault>) {
         let mut seen = Vec::new();
         for (key, raw) in self.properties.iter() {
             let in_family = family.is_some_and(|f| key.starts_with(f.prefix));
@@ -234,8 +237,8 @@
         }
     }
 
-    /// A name out of the section's own name.
-    fn name<'n, N>(&self, raw: &'n str, faults: &mut Vec<Fault>) -> Option<N>
+    /// Parses a name that is part of the section's name.
+    fn parse_name<'n, N>(&self, raw: &'n str, faults: &mut Vec<Fault>) -> Option<N>
     where
         N: TryFrom<&'n str>,
         N::Error: std::fmt::Display,
@@ -250,8 +253,9 @@
         }
     }
 
-    /// The value of `key`, or `default` when the key is missing.
-    fn value<T>(
+    /// Parses the value of `key`, or returns `default` when the key is missing. Without a default,
+    /// a missing key is a fault.
+    fn parse_value<T>(
         &self,
         key: &str,
         default: Option<T>,
@@ -259,7 +263,7 @@
         faults: &mut Vec<Fault>,
     ) -> Option<T> {
         match self.properties.get(key) {
-            Some(raw) => self.checked(key, raw, check, faults),
+            Some(raw) => self.check_value(key, raw, check, faults),
             None if default.is_some() => default,
             None => {
                 let fault = self.fault(FaultKind::MissingKey, check("").err()?);
@@ -269,7 +273,7 @@
         }
     }
 
-    fn checked<T>(
+    fn check_value<T>(
         &self,
         key: &str,
         raw: &str,
--- a/crates/catalogue/src/declare/section/group.rs
+++ b/crates/catalogue/src/declare/section/group.rs
@@ -1,13 +1,13 @@
-//! A `[group MODEL DATA_CENTRE]` section.
+//! Parses a `[group MODEL DATA_CENTRE]` section.
 
-use super::{Family, RANGE_PREFIX, Section};
+use super::{KeyFamily, RANGE_PREFIX, Section};
 use crate::{
     declare::value,
     entry::{Entry, GroupEntry, RangeEntry},
     fault::{Fault, FaultKind},
 };
 
-const RANGES: Family = Family {
+const RANGE_KEYS: KeyFamily = KeyFamily {
     prefix: RANGE_PREFIX,
     form: "range.FIRST..END",
 };
@@ -26,15 +26,15 @@
             "loads_at_once",
             "layers_per_second",
         ];
-        self.allow(&KEYS, Some(&RANGES), faults);
-        let model = self.name(model, faults);
-        let data_centre = self.name(data_centre, faults);
-        let version = self.value(KEYS[0], None, value::version, faults);
+        self.check_keys(&KEYS, Some(&RANGE_KEYS), faults);
+        let model = self.parse_name(model, faults);
+        let data_centre = self.parse_name(data_centre, faults);
+        let version = self.parse_value(KEYS[0], None, value::version, faults);
         let ranges = self.ranges(faults);
-        let spares = self.value(KEYS[1], Some(0), value::count, faults);
-        let endpoints = self.value(KEYS[2], None, value::endpoints, faults);
-        let loads_at_once = self.value(KEYS[3], Some(1), value::positive, faults);
-        let layers_per_second = self.value(KEYS[4], None, value::positive, faults);
+        let spares = self.parse_value(KEYS[1], Some(0), value::count, faults);
+        let endpoints = self.parse_value(KEYS[2], None, value::endpoints, faults);
+        let loads_at_once = self.parse_value(KEYS[3], Some(1), value::positive, faults);
+        let layers_per_second = self.parse_value(KEYS[4], None, value::positive, faults);
         let entry = GroupEntry {
             model: model?,
             data_centre: data_centre?,
@@ -48,7 +48,7 @@
         Some(Entry::Group(entry))
     }
 
-    /// The ranges in order of layers; whether they cover the model is not known here.
+    /// The ranges in layer order. Whether they cover the model is checked by [`crate::validate`].
     fn ranges(&self, faults: &mut Vec<Fault>) -> Vec<RangeEntry> {
         let mut ranges = Vec::new();
         for (key, raw) in self.properties.iter() {
@@ -61,7 +61,7 @@
                 faults.push(fault.at_key(key).with_value(raw));
                 continue;
             };
-            if let Some(min) = self.checked(key, raw, value::positive, faults) {
+            if let Some(min) = self.check_value(key, raw, value::positive, faults) {
                 ranges.push(RangeEntry { first, end, min });
             }
         }
--- a/crates/catalogue/src/diff.rs
+++ b/crates/catalogue/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a change would do: puts and deletes between two sets of entries.
+//! The differences between two sets of entries, as the puts and deletes of a change.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -11,26 +11,26 @@
 /// One entry that differs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Difference {
-    /// Only the wanted side has it.
+    /// The entry is only among the wanted ones.
     Created(Entry),
-    /// Both sides have it, with different values.
+    /// The entry is in both sets, with different values.
     Replaced {
         /// The entry in force.
         old: Entry,
-        /// The entry wanted.
+        /// The wanted entry.
         new: Entry,
     },
-    /// Only the side in force has it.
+    /// The entry is only among those in force.
     Removed(Entry),
 }
 
-/// The differences between what is in force and what is wanted, in key order.
+/// The differences between the entries in force and the wanted ones, in key order.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Diff(pub Vec<Difference>);
 
 /// What happens to entries in force that are not among the wanted ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Others {
+pub enum UndeclaredEntries {
     /// They stay.
     Keep,
     /// They are removed.
@@ -42,7 +42,7 @@
     pub fn between<'a>(
         current: &Catalogue,
         wanted: impl IntoIterator<Item = &'a Entry>,
-        others: Others,
+        undeclared: UndeclaredEntries,
     ) -> Self {
         let wanted: BTreeMap<EntryKey, &Entry> = wanted.into_iter().map(|e| (e.key(), e)).collect();
         let mut found = BTreeMap::new();
@@ -56,7 +56,7 @@
                 }
             }
         }
-        if others == Others::Prune {
+        if undeclared == UndeclaredEntries::Prune {
             for old in current.entries() {
                 if !wanted.contains_key(&old.key()) {
                     found.insert(old.key(), Difference::Removed(old.clone()));
@@ -66,7 +66,7 @@
         Self(found.into_values().collect())
     }
 
-    /// Whether both sides are the same.
+    /// Whether both sets of entries are equal.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -90,7 +90,8 @@
     }
 }
 
-/// One line for each entry, and below a replaced one each value that changes.
+/// Writes one line for each entry that differs. The values of a created entry and the changed
+/// values of a replaced one follow on lines of their own.
 impl fmt::Display for Diff {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|d| d.fmt(f))
@@ -110,8 +111,8 @@
             Self::Removed(old) => writeln!(f, "- [{}]", render::section(&old.key())),
             Self::Replaced { old, new } => {
                 writeln!(f, "~ [{}]", render::section(&new.key()))?;
-                let old = values(old);
-                let new = values(new);
+                let old = property_values(old);
+                let new = property_values(new);
                 for (key, value) in &old {
                     match new.get(key) {
                         Some(now) if now == value => {}
@@ -128,7 +129,7 @@
     }
 }
 
-fn values(entry: &Entry) -> BTreeMap<String, String> {
+fn property_values(entry: &Entry) -> BTreeMap<String, String> {
     let properties = render::properties(entry).into_iter();
     properties.map(|p| (p.key, p.value)).collect()
 }
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entries an operator can declare.
+//! The entries that an operator can declare.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     Service(TargetName),
     /// The limits of one workspace, target and class.
     Limit(LimitKey),
-    /// An operator's word on one endpoint.
+    /// The operator's intent for one endpoint.
     Endpoint(EndpointId),
     /// The cost of the link between two data centres.
     Link(DataCentre, DataCentre),
@@ -28,10 +28,10 @@
     Group(TargetName, DataCentre),
 }
 
-/// Whose limit it is: one owner, one model or service, one class of work.
+/// What a limit applies to: one workspace, one model or service, and one class of work.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LimitKey {
-    /// The owner.
+    /// The workspace.
     pub workspace: WorkspaceName,
     /// The model or service.
     pub target: TargetName,
@@ -51,7 +51,7 @@
     Service(ServiceEntry),
     /// The limits of one workspace, target and class.
     Limit(LimitEntry),
-    /// An operator's word on one endpoint.
+    /// The operator's intent for one endpoint.
     Endpoint(EndpointEntry),
     /// The cost of the link between two data centres.
     Link(LinkEntry),
@@ -61,12 +61,12 @@
     Group(GroupEntry),
 }
 
-/// An owner of work.
+/// A workspace: a customer that sends requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceEntry {
-    /// The owner's name.
+    /// The workspace's name.
     pub name: WorkspaceName,
-    /// The weight of this owner in fair queueing against others. At least 1.
+    /// The weight of this workspace in fair queueing. At least 1.
     pub weight: u32,
 }
 
@@ -77,14 +77,14 @@
     pub name: TargetName,
     /// The number of layers; a chain covers `0..layers` exactly once. At least 1.
     pub layers: u32,
-    /// The most tokens a request may have, prompt and answer together.
+    /// The maximum number of tokens of a request, prompt and answer together.
     pub context: u32,
 }
 
 /// A plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// The service's name, as it stands in the caller's path.
+    /// The service's name, as callers send it in the request path.
     pub name: TargetName,
     /// Path prefixes whose calls must run at most once.
     pub not_repeatable: Vec<String>,
@@ -93,72 +93,74 @@
 /// The limits of one workspace, target and class, over the whole fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitEntry {
-    /// Whose limit it is.
+    /// The workspace, target and class that the limit applies to.
     pub key: LimitKey,
-    /// Admitted requests a second.
+    /// The maximum rate of admitted requests, per second.
     pub requests_per_second: f64,
-    /// Tokens a second, prompt and generated.
+    /// The maximum rate of tokens, prompt and generated together, per second.
     pub tokens_per_second: f64,
-    /// Requests in flight at one instant.
+    /// The maximum number of requests in flight at the same time.
     pub in_flight: u32,
-    /// How many seconds' worth of unused rate may be kept for later.
+    /// How much unused rate accumulates for a later burst, in seconds of the full rate.
     pub burst_seconds: f64,
-    /// 0 is served first.
+    /// The priority of the requests; 0 is served first.
     pub priority: u8,
     /// The deadline of a request that states none, in milliseconds.
     pub deadline_ms: u32,
-    /// Whether a request that doesn't say may be run again.
+    /// Whether a request may be run again if it does not itself state whether it may.
     pub repeatable: bool,
-    /// Fractions of the limit held by data centres; empty means by demand. Sum at most 1.
+    /// The fixed fractions of the limit that data centres hold; their sum is at most 1. If empty,
+    /// the limit is split by demand.
     pub shares: BTreeMap<DataCentre, f64>,
 }
 
-/// What an operator wants of one endpoint.
+/// What an operator intends for one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointIntent {
-    /// Take work as usual.
+    /// The endpoint gets work.
     Serve,
-    /// Take no new work.
-    Leave,
+    /// The endpoint gets no new work.
+    #[serde(rename = "leave")]
+    Drain,
 }
 
-/// An operator's word on one endpoint. An endpoint without an entry serves.
+/// The operator's intent for one endpoint. An endpoint without an entry serves.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub id: EndpointId,
-    /// What the operator wants of it.
+    /// The operator's intent.
     pub intent: EndpointIntent,
-    /// Whether the endpoint refuses orders with an old fencing number.
+    /// Whether the endpoint refuses orders with an outdated fencing number.
     pub checks_fence: bool,
 }
 
-/// The declared cost of the link between two data centres, the same both ways.
+/// The declared cost of the link between two data centres, the same in both directions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LinkEntry {
-    /// One end.
+    /// The data centre at one end, the first of the two in alphabetical order.
     pub a: DataCentre,
-    /// The other end.
+    /// The data centre at the other end.
     pub b: DataCentre,
-    /// One-way latency in microseconds.
+    /// The one-way latency in microseconds.
     pub latency_us: u32,
-    /// Bandwidth in megabits a second.
+    /// The bandwidth in megabits per second.
     pub mbit_per_second: u32,
 }
 
-/// A data centre over which limits are split.
+/// A data centre among which limits are split.
 ///
-/// The declared ones, not those that hosts say they are in, make the split: a share is held for a
-/// data centre also while it is cut off or has no host.
+/// Limits are split among the declared data centres, not among those that hosts report to be in: a
+/// data centre keeps its share even while it is unreachable or has no host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DataCentreEntry {
     /// The data centre.
     pub name: DataCentre,
 }
 
-/// The desired state of the engines of one model in one data centre. Without such an entry the
-/// engines are given no orders.
+/// The desired state of the engines of one model in one data centre. Without such an entry, the
+/// engines get no orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupEntry {
     /// The model.
@@ -168,19 +170,20 @@
     /// The version of the weights: 1 to [`MAX_VERSION_LEN`] printable ASCII characters without
     /// spaces and backslashes.
     pub version: String,
-    /// The layer ranges that are served, in order. They cover the model's layers exactly once.
+    /// The served layer ranges, in order. They cover the model's layers exactly once.
     pub ranges: Vec<RangeEntry>,
-    /// Endpoints that the ranges leave free.
+    /// The number of endpoints that are kept out of all ranges as spares.
     pub spares: u32,
-    /// The endpoints, each once and in no other group; enough for all minimums and the spares.
+    /// The endpoints, each once and in no other group. There must be enough of them for the
+    /// minimums of all ranges and the spares.
     pub endpoints: Vec<EndpointId>,
-    /// Endpoints that may load weights at one time. At least 1.
+    /// The maximum number of endpoints that load weights at the same time. At least 1.
     pub loads_at_once: u32,
-    /// Layers that may be loaded in a second, over all endpoints. At least 1.
+    /// The maximum number of layers loaded per second, over all endpoints. At least 1.
     pub layers_per_second: u32,
 }
 
-/// The longest accepted version of a [`GroupEntry`], in bytes.
+/// The maximum length of the version of a [`GroupEntry`], in bytes.
 pub const MAX_VERSION_LEN: usize = 128;
 
 /// A layer range of a group.
@@ -190,7 +193,7 @@
     pub first: u32,
     /// One past the last layer.
     pub end: u32,
-    /// How many live replicas there are at least. At least 1.
+    /// The minimum number of live replicas. At least 1.
     pub min: u32,
 }
 
--- a/crates/catalogue/src/fault.rs
+++ b/crates/catalogue/src/fault.rs
@@ -1,36 +1,36 @@
-//! What is wrong with a declaration, and where.
+//! Faults: mistakes in declarations, with their location.
 
 use std::fmt;
 
-/// The kinds of mistakes found in declarations.
+/// The kinds of mistakes in declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FaultKind {
     /// The file could not be read.
     Unreadable,
-    /// A line is not INI.
+    /// A line that is not valid INI.
     Syntax,
-    /// A section that has no meaning here, or a badly formed section name.
+    /// An unknown section, or a malformed section name.
     Section,
-    /// A key that has no meaning in its section.
+    /// A key that the section does not allow.
     UnknownKey,
-    /// A key that the section needs and does not have.
+    /// A required key that is missing from the section.
     MissingKey,
-    /// A value that cannot be accepted.
+    /// An invalid value.
     Value,
-    /// The same entry or key a second time.
+    /// An entry or key that is declared twice.
     Duplicate,
     /// An entry that contradicts the rest of the catalogue.
     Conflict,
 }
 
-/// One mistake, with its place and what would be right.
+/// One mistake, with its location and what was expected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The kind of mistake.
     pub kind: FaultKind,
-    /// The file as it was named by the operator; empty for an entry that is in force already.
+    /// The file as the operator named it; empty for an entry that is already in force.
     pub file: String,
-    /// The line, from 1, where it is known.
+    /// The line number from 1, if known.
     pub line: Option<usize>,
     /// The section without its brackets.
     pub section: Option<String>,
@@ -38,12 +38,12 @@
     pub key: Option<String>,
     /// The value found.
     pub value: Option<String>,
-    /// What would be right.
+    /// A description of what would be valid.
     pub expected: String,
 }
 
 impl Fault {
-    /// A fault of `file` as a whole.
+    /// A fault of the whole `file`, without a more precise location.
     pub(crate) fn new(kind: FaultKind, file: &str, expected: impl Into<String>) -> Self {
         Self {
             kind,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A fault of `file`, because reading it failed with `cause`.
+    /// The fault of a `file` that could not be read because of `cause`.
     pub fn unreadable(file: &str, cause: &dyn fmt::Display) -> Self {
         Self {
             value: Some(cause.to_string()),
@@ -122,7 +122,7 @@
     }
 }
 
-/// All mistakes of one reading. Never empty.
+/// All faults found in one run of a parser or a check. Never empty.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,12 +1,13 @@
-//! The catalogue: what operators declare, as checked types.
+//! The catalogue: the configuration that operators declare, as validated types.
 //!
 //! An operator keeps [`Entry`] declarations in INI files under version control and applies them
-//! with `dragonflyrillctl`. Every accepted [`Change`] gets the next [`Revision`]; a host folds
-//! changes, in revision order and never backwards, into a [`Catalogue`].
+//! with `dragonflyrillctl`. Every accepted [`Change`] gets the next [`Revision`]. A host folds the
+//! changes into a [`Catalogue`] in revision order and never returns to a lower revision.
 //!
-//! Start with [`entry`] for what can be declared, then [`state`] for how changes are folded.
-//! [`declare`] reads files, [`validate`] checks a whole catalogue, [`diff`] compares two and
-//! [`render`] writes entries back to INI. What is wrong with a declaration is a [`fault`].
+//! Start with [`entry`] for the kinds of entries, then [`state`] for how changes are folded.
+//! [`declare`] parses files, [`validate`] checks a complete catalogue, [`diff`] compares two sets
+//! of entries and [`render`] writes entries as INI. Mistakes in declarations are reported as
+//! [`fault`]s.
 
 pub mod declare;
 pub mod diff;
--- a/crates/catalogue/src/name.rs
+++ b/crates/catalogue/src/name.rs
@@ -1,26 +1,27 @@
-//! Checked names: the identifiers that declarations, settings and requests share.
+//! Validated names: the identifiers that declarations, settings and requests share.
 
 use std::{borrow::Borrow, fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest accepted name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 63;
 
 /// Why a string is not a valid [`Name`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
-    /// The name is empty or longer than [`MAX_NAME_LEN`].
+    /// The name is empty or longer than [`MAX_NAME_LEN`]. Holds its length in bytes.
     #[error("a name has 1 to {MAX_NAME_LEN} characters, this one has {0}")]
     Length(usize),
-    /// The name contains a character outside `a-z 0-9 . _ -`, or starts with a punctuation mark.
+    /// The name contains a character outside `a-z 0-9 . _ -`, or starts with one of `. _ -`. Holds
+    /// the character and its position from 0.
     #[error(
         "{0:?} is not allowed at position {1}: a name is a-z, 0-9, '.', '_' and '-', starting with a letter or digit"
     )]
     Character(char, usize),
 }
 
-/// A checked identifier, cheap to clone.
+/// A validated identifier that is cheap to clone.
 ///
 /// Invariant: 1 to [`MAX_NAME_LEN`] characters of `a-z 0-9 . _ -`, the first a letter or digit.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -42,9 +43,9 @@
             return Err(NameError::Length(raw.len()));
         }
         for (i, c) in raw.chars().enumerate() {
-            let inner = matches!(c, 'a'..='z' | '0'..='9');
+            let alphanumeric = matches!(c, 'a'..='z' | '0'..='9');
             let punctuation = matches!(c, '.' | '_' | '-');
-            if !(inner || (i > 0 && punctuation)) {
+            if !(alphanumeric || (i > 0 && punctuation)) {
                 return Err(NameError::Character(c, i));
             }
         }
@@ -84,7 +85,7 @@
     }
 }
 
-macro_rules! names {
+macro_rules! name_types {
     ($($(#[$doc:meta])* $ty:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -126,15 +127,15 @@
     )*};
 }
 
-names! {
-    /// An owner of work: requests are admitted against its limits.
+name_types! {
+    /// The name of a workspace, against whose limits requests are admitted.
     WorkspaceName;
-    /// What a request asks for: a model or a plain service.
+    /// The name of the target of a request: a model or a plain service.
     TargetName;
-    /// A class of work within a workspace, such as `interactive` or `batch`.
+    /// The name of a class of work within a workspace, such as `interactive` or `batch`.
     ClassName;
-    /// A data centre.
+    /// The name of a data centre.
     DataCentre;
-    /// The stable identity of an endpoint; its address may change.
+    /// The stable id of an endpoint, whose address may change.
     EndpointId;
 }
--- a/crates/catalogue/src/render.rs
+++ b/crates/catalogue/src/render.rs
@@ -1,4 +1,4 @@
-//! An entry back to INI, as [`crate::declare`] reads it.
+//! Renders entries as INI that [`crate::declare`] can parse.
 
 use crate::{
     declare::{RANGE_PREFIX, SHARE_PREFIX},
@@ -19,7 +19,7 @@
     }
 }
 
-/// One line of a section.
+/// One `key = value` line of a section.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Property {
     /// The key.
@@ -28,65 +28,65 @@
     pub value: String,
 }
 
-/// All keys and values of `entry`, defaults included.
+/// All keys and values of `entry`, including defaults.
 pub fn properties(entry: &Entry) -> Vec<Property> {
-    let mut lines = Lines::default();
+    let mut properties = PropertyList::default();
     match entry {
-        Entry::Workspace(e) => lines.add("weight", e.weight),
+        Entry::Workspace(e) => properties.add("weight", e.weight),
         Entry::Model(e) => {
-            lines.add("layers", e.layers);
-            lines.add("context", e.context);
+            properties.add("layers", e.layers);
+            properties.add("context", e.context);
         }
-        Entry::Service(e) => lines.add("not_repeatable", e.not_repeatable.join(", ")),
+        Entry::Service(e) => properties.add("not_repeatable", e.not_repeatable.join(", ")),
         Entry::Limit(e) => {
-            lines.add("requests_per_second", e.requests_per_second);
-            lines.add("tokens_per_second", e.tokens_per_second);
-            lines.add("in_flight", e.in_flight);
-            lines.add("burst_seconds", e.burst_seconds);
-            lines.add("priority", e.priority);
-            lines.add("deadline_ms", e.deadline_ms);
-            lines.add("repeatable", e.repeatable);
+            properties.add("requests_per_second", e.requests_per_second);
+            properties.add("tokens_per_second", e.tokens_per_second);
+            properties.add("in_flight", e.in_flight);
+            properties.add("burst_seconds", e.burst_seconds);
+            properties.add("priority", e.priority);
+            properties.add("deadline_ms", e.deadline_ms);
+            properties.add("repeatable", e.repeatable);
             for (data_centre, share) in &e.shares {
-                lines.add(&format!("{SHARE_PREFIX}{data_centre}"), share);
+                properties.add(&format!("{SHARE_PREFIX}{data_centre}"), share);
             }
         }
         Entry::Endpoint(e) => {
             let intent = match e.intent {
                 EndpointIntent::Serve => "serve",
-                EndpointIntent::Leave => "leave",
+                EndpointIntent::Drain => "leave",
             };
-            lines.add("intent", intent);
-            lines.add("checks_fence", e.checks_fence);
+            properties.add("intent", intent);
+            properties.add("checks_fence", e.checks_fence);
         }
         Entry::Link(e) => {
-            lines.add("latency_us", e.latency_us);
-            lines.add("mbit_per_second", e.mbit_per_second);
+            properties.add("latency_us", e.latency_us);
+            properties.add("mbit_per_second", e.mbit_per_second);
         }
-        // The name says it all.
+        // The section has no keys; its name declares the data centre.
         Entry::DataCentre(_) => {}
-        Entry::Group(e) => group(e, &mut lines),
+        Entry::Group(e) => add_group(e, &mut properties),
     }
-    lines.0
+    properties.0
 }
 
-fn group(e: &GroupEntry, lines: &mut Lines) {
+fn add_group(e: &GroupEntry, properties: &mut PropertyList) {
     let endpoints: Vec<&str> = e.endpoints.iter().map(|id| id.as_str()).collect();
-    lines.add("version", &e.version);
+    properties.add("version", &e.version);
     for range in &e.ranges {
-        lines.add(&range_key(range), range.min);
+        properties.add(&range_key(range), range.min);
     }
-    lines.add("spares", e.spares);
-    lines.add("endpoints", endpoints.join(", "));
-    lines.add("loads_at_once", e.loads_at_once);
-    lines.add("layers_per_second", e.layers_per_second);
+    properties.add("spares", e.spares);
+    properties.add("endpoints", endpoints.join(", "));
+    properties.add("loads_at_once", e.loads_at_once);
+    properties.add("layers_per_second", e.layers_per_second);
 }
 
-/// The key that declares `range`.
+/// The key under which a section declares `range`.
 pub(crate) fn range_key(range: &RangeEntry) -> String {
     format!("{RANGE_PREFIX}{}..{}", range.first, range.end)
 }
 
-/// The whole section of `entry`, with a line break at its end.
+/// The complete section of `entry`, with a line break at its end.
 pub fn entry(entry: &Entry) -> String {
     let mut text = format!("[{}]\n", section(&entry.key()));
     for property in properties(entry) {
@@ -95,16 +95,16 @@
     text
 }
 
-/// A file of `entries`, in the given order.
+/// A file with the sections of `entries`, in the given order.
 pub fn file<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> String {
     let sections: Vec<String> = entries.into_iter().map(entry).collect();
     sections.join("\n")
 }
 
 #[derive(Default)]
-struct Lines(Vec<Property>);
+struct PropertyList(Vec<Property>);
 
-impl Lines {
+impl PropertyList {
     fn add(&mut self, key: &str, value: impl ToString) {
         self.0.push(Property {
             key: key.to_owned(),
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -1,4 +1,4 @@
-//! Accepted changes and the state they fold into.
+//! Accepted changes and the catalogue into which they are folded.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -6,7 +6,7 @@
 
 use crate::entry::{Entry, EntryKey};
 
-/// The position of an accepted change in the one order of changes. 0 is the empty catalogue.
+/// The position of an accepted change in the total order of changes. 0 is the empty catalogue.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,16 +20,16 @@
     }
 }
 
-/// The longest accepted [`ChangeId`], in bytes.
+/// The maximum length of a [`ChangeId`], in bytes.
 pub const MAX_CHANGE_ID_LEN: usize = 64;
 
-/// A checked id of a change, as it may stand in keys and paths of the platform.
+/// The validated id of a change, which can be part of keys and paths of the platform.
 ///
 /// Invariant: 1 to [`MAX_CHANGE_ID_LEN`] characters of `A-Z a-z 0-9 _ -`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(String);
 
-/// A string is not a valid [`ChangeId`].
+/// The error of a string that is not a valid [`ChangeId`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "{0:?} is not a change id: expected 1 to {MAX_CHANGE_ID_LEN} of A-Z, a-z, 0-9, '_' and '-'"
@@ -64,13 +64,13 @@
 /// One accepted change: all of its entries come into force together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision this change made.
+    /// The revision of the catalogue after this change.
     pub revision: Revision,
-    /// The operator's own id of the change, by which a lost answer is resolved.
+    /// The id that the operator gave the change. It identifies the change after a lost response.
     pub change_id: String,
-    /// Who made it.
+    /// The author of the change.
     pub author: String,
-    /// When it was accepted, in milliseconds since the epoch by the operator's clock.
+    /// The time of acceptance by the operator's clock, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
     /// Entries created or replaced.
     pub puts: Vec<Entry>,
@@ -80,21 +80,21 @@
 
 /// The catalogue as of one revision.
 ///
-/// Invariant: `revision` only grows, and `entries` is the fold of all changes up to it.
+/// Invariant: `revision` never decreases, and `entries` is the result of all changes up to it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalogue {
     revision: Revision,
     entries: BTreeMap<EntryKey, Entry>,
 }
 
-/// What [`Catalogue::fold`] did with a change.
+/// The outcome of [`Catalogue::fold`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Folded {
+pub enum FoldOutcome {
     /// The change is now in force.
     Applied,
-    /// The change was in force already.
-    Known,
-    /// Changes before this one are missing; nothing was done.
+    /// The change, or a later one, was already in force.
+    AlreadyApplied,
+    /// Changes before this one are missing. The catalogue is unchanged.
     Gap,
 }
 
@@ -115,18 +115,18 @@
         self.entries.values()
     }
 
-    /// The entry in force under `key`.
+    /// The entry in force under `key`, if any.
     pub fn get(&self, key: &EntryKey) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Folds `change` in if it is the next one.
-    pub fn fold(&mut self, change: &Change) -> Folded {
+    /// Folds `change` into the catalogue if it has the next revision.
+    pub fn fold(&mut self, change: &Change) -> FoldOutcome {
         if change.revision <= self.revision {
-            return Folded::Known;
+            return FoldOutcome::AlreadyApplied;
         }
         if change.revision != self.revision.next() {
-            return Folded::Gap;
+            return FoldOutcome::Gap;
         }
         for key in &change.deletes {
             self.entries.remove(key);
@@ -135,6 +135,6 @@
             self.entries.insert(entry.key(), entry.clone());
         }
         self.revision = change.revision;
-        Folded::Applied
+        FoldOutcome::Applied
     }
 }
--- a/crates/catalogue/src/validate.rs
+++ b/crates/catalogue/src/validate.rs
@@ -1,7 +1,7 @@
-//! Checks that look at a whole catalogue: no entry may contradict another.
+//! Checks of a complete catalogue, in which no entry may contradict another.
 //!
-//! Entries read from a file passed the checks of [`crate::declare`] already. Those of a stored
-//! change did not have to, so the bounds of single values are checked here again.
+//! Entries parsed from a file have passed the checks of [`crate::declare`]. Those of a stored
+//! change may not have, so the bounds of single values are checked here again.
 
 mod group;
 
@@ -15,22 +15,22 @@
     render,
 };
 
-/// By how much the shares of a limit may exceed 1 through rounding.
+/// The amount by which rounding may raise the sum of a limit's shares above 1.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Checks that `entries` make a catalogue; every fault found is in the error.
+/// Checks that `entries` form a valid catalogue. The error holds every fault found.
 ///
 /// # Errors
 /// [`Faults`] of kind [`FaultKind::Conflict`] or [`FaultKind::Value`], with an empty file name:
 /// see [`declare::Declarations::locate`].
 pub fn check<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> Result<(), Faults> {
     let entries: Vec<&Entry> = entries.into_iter().collect();
-    let known = Known::of(&entries);
-    let mut found = Found::default();
+    let names = DeclaredNames::of(&entries);
+    let mut found = FoundFaults::default();
     for entry in &entries {
-        known.check(entry, &mut found);
+        names.check(entry, &mut found);
     }
-    known.split(&entries, &mut found);
+    names.check_limits_can_be_split(&entries, &mut found);
     if found.0.is_empty() {
         Ok(())
     } else {
@@ -38,128 +38,134 @@
     }
 }
 
-/// The names that entries may refer to.
+/// The declared names to which entries may refer.
 #[derive(Default)]
-struct Known<'a> {
+struct DeclaredNames<'a> {
     workspaces: BTreeSet<&'a WorkspaceName>,
-    /// With their number of layers.
+    /// The models with their number of layers.
     models: BTreeMap<&'a TargetName, u32>,
     services: BTreeSet<&'a TargetName>,
     data_centres: BTreeSet<&'a DataCentre>,
-    /// The groups that name an endpoint.
+    /// The groups that list each endpoint.
     groups: BTreeMap<&'a EndpointId, BTreeSet<EntryKey>>,
 }
 
-impl<'a> Known<'a> {
+impl<'a> DeclaredNames<'a> {
     fn of(entries: &[&'a Entry]) -> Self {
-        let mut known = Self::default();
+        let mut names = Self::default();
         for entry in entries {
             match entry {
-                Entry::Workspace(e) => drop(known.workspaces.insert(&e.name)),
-                Entry::Model(e) => drop(known.models.insert(&e.name, e.layers)),
-                Entry::Service(e) => drop(known.services.insert(&e.name)),
-                Entry::DataCentre(e) => drop(known.data_centres.insert(&e.name)),
+                Entry::Workspace(e) => drop(names.workspaces.insert(&e.name)),
+                Entry::Model(e) => drop(names.models.insert(&e.name, e.layers)),
+                Entry::Service(e) => drop(names.services.insert(&e.name)),
+                Entry::DataCentre(e) => drop(names.data_centres.insert(&e.name)),
                 Entry::Group(e) => {
                     for id in &e.endpoints {
-                        known.groups.entry(id).or_default().insert(entry.key());
+                        names.groups.entry(id).or_default().insert(entry.key());
                     }
                 }
                 Entry::Limit(_) | Entry::Endpoint(_) | Entry::Link(_) => {}
             }
         }
-        known
+        names
     }
 
-    /// Limits need a data centre to be split over. Reported once, at the first limit.
-    fn split(&self, entries: &[&Entry], found: &mut Found) {
+    /// Reports a fault if there are limits but no data centre among which to split them. It is
+    /// reported once, at the first limit.
+    fn check_limits_can_be_split(&self, entries: &[&Entry], found: &mut FoundFaults) {
         let limits = |e: &&&Entry| matches!(e, Entry::Limit(_));
         let first = entries.iter().find(limits);
         if let (Some(limit), true) = (first, self.data_centres.is_empty()) {
             let expected = "at least one [data_centre NAME] for limits to be split over";
-            found.conflict(&limit.key(), None, None, expected);
+            found.add_conflict(&limit.key(), None, None, expected);
         }
     }
 
-    fn check(&self, entry: &Entry, found: &mut Found) {
+    fn check(&self, entry: &Entry, found: &mut FoundFaults) {
         let key = entry.key();
         match entry {
-            Entry::Workspace(e) => found.at_least_one(&key, "weight", e.weight),
+            Entry::Workspace(e) => found.require_at_least_one(&key, "weight", e.weight),
             Entry::Model(e) => {
-                found.at_least_one(&key, "layers", e.layers);
-                found.at_least_one(&key, "context", e.context);
+                found.require_at_least_one(&key, "layers", e.layers);
+                found.require_at_least_one(&key, "context", e.context);
             }
             Entry::Service(e) => {
                 for prefix in &e.not_repeatable {
-                    if !declare::is_prefix(prefix) {
-                        found.value(&key, "not_repeatable", prefix, "path prefixes, each with /");
+                    if !declare::is_path_prefix(prefix) {
+                        found.add_value_fault(
+                            &key,
+                            "not_repeatable",
+                            prefix,
+                            "path prefixes, each with /",
+                        );
                     }
                 }
                 if self.models.contains_key(&e.name) {
                     let expected = "a name that no model has";
-                    found.conflict(&key, None, Some(&e.name), expected);
+                    found.add_conflict(&key, None, Some(&e.name), expected);
                 }
             }
-            Entry::Limit(e) => self.limit(&key, e, found),
+            Entry::Limit(e) => self.check_limit(&key, e, found),
             Entry::Endpoint(_) | Entry::DataCentre(_) => {}
             Entry::Link(e) => {
-                self.data_centre(&key, None, &e.a, found);
-                self.data_centre(&key, None, &e.b, found);
+                self.check_data_centre(&key, None, &e.a, found);
+                self.check_data_centre(&key, None, &e.b, found);
                 if e.a >= e.b {
-                    found.conflict(
+                    found.add_conflict(
                         &key,
                         None,
                         Some(&e.b),
                         "two data centres in alphabetical order",
                     );
                 }
-                found.at_least_one(&key, "mbit_per_second", e.mbit_per_second);
+                found.require_at_least_one(&key, "mbit_per_second", e.mbit_per_second);
             }
             Entry::Group(e) => group::check(self, &key, e, found),
         }
     }
 
-    fn limit(&self, key: &EntryKey, e: &LimitEntry, found: &mut Found) {
+    fn check_limit(&self, key: &EntryKey, e: &LimitEntry, found: &mut FoundFaults) {
         if !self.workspaces.contains(&e.key.workspace) {
             let expected = "a workspace that is declared";
-            found.conflict(key, None, Some(&e.key.workspace), expected);
+            found.add_conflict(key, None, Some(&e.key.workspace), expected);
         }
         let model = self.models.contains_key(&e.key.target);
         if !model && !self.services.contains(&e.key.target) {
             let expected = "a model or service that is declared";
-            found.conflict(key, None, Some(&e.key.target), expected);
+            found.add_conflict(key, None, Some(&e.key.target), expected);
         }
-        found.above_zero(key, "requests_per_second", e.requests_per_second);
+        found.require_above_zero(key, "requests_per_second", e.requests_per_second);
         if model || e.tokens_per_second != 0.0 {
-            found.above_zero(key, "tokens_per_second", e.tokens_per_second);
+            found.require_above_zero(key, "tokens_per_second", e.tokens_per_second);
         }
-        found.at_least_one(key, "in_flight", e.in_flight);
-        found.above_zero(key, "burst_seconds", e.burst_seconds);
-        found.at_least_one(key, "deadline_ms", e.deadline_ms);
-        self.shares(key, e, found);
+        found.require_at_least_one(key, "in_flight", e.in_flight);
+        found.require_above_zero(key, "burst_seconds", e.burst_seconds);
+        found.require_at_least_one(key, "deadline_ms", e.deadline_ms);
+        self.check_shares(key, e, found);
     }
 
-    fn shares(&self, key: &EntryKey, e: &LimitEntry, found: &mut Found) {
+    fn check_shares(&self, key: &EntryKey, e: &LimitEntry, found: &mut FoundFaults) {
         for (data_centre, share) in &e.shares {
             let property = format!("{}{data_centre}", declare::SHARE_PREFIX);
             if !(0.0..=1.0).contains(share) {
-                found.value(key, &property, share, "a fraction from 0 to 1");
+                found.add_value_fault(key, &property, share, "a fraction from 0 to 1");
             }
-            self.data_centre(key, Some(&property), data_centre, found);
+            self.check_data_centre(key, Some(&property), data_centre, found);
         }
         let sum: f64 = e.shares.values().sum();
         if sum > 1.0 + SHARE_TOLERANCE {
             let expected = "shares that sum to at most 1";
-            found.conflict(key, Some("share.*"), Some(&sum), expected);
+            found.add_conflict(key, Some("share.*"), Some(&sum), expected);
         }
     }
 
-    /// Reports `name` unless it is declared.
-    fn data_centre(
+    /// Reports a fault unless the data centre `name` is declared.
+    fn check_data_centre(
         &self,
         key: &EntryKey,
         property: Option<&str>,
         name: &DataCentre,
-        found: &mut Found,
+        found: &mut FoundFaults,
     ) {
         if self.data_centres.contains(name) {
             return;
@@ -170,28 +176,34 @@
             names => names.join(", "),
         };
         let expected = format!("a data centre that is declared; declared: {declared}");
-        found.conflict(key, property, Some(name), &expected);
+        found.add_conflict(key, property, Some(name), &expected);
     }
 }
 
 #[derive(Default)]
-struct Found(Vec<Fault>);
+struct FoundFaults(Vec<Fault>);
 
-impl Found {
-    fn at_least_one(&mut self, key: &EntryKey, property: &str, n: u32) {
+impl FoundFaults {
+    fn require_at_least_one(&mut self, key: &EntryKey, property: &str, n: u32) {
         if n == 0 {
-            self.value(key, property, &n, "a whole number of at least 1");
+            self.add_value_fault(key, property, &n, "a whole number of at least 1");
         }
     }
 
-    fn above_zero(&mut self, key: &EntryKey, property: &str, n: f64) {
-        let possible = n > 0.0 && n <= declare::MAX_DECIMAL;
+    fn require_above_zero(&mut self, key: &EntryKey, property: &str, n: f64) {
+        let possible = n > 0.0 && n <= declare::MAX_DECIMAL_VALUE;
         if !possible {
-            self.value(key, property, &n, "a number above 0, up to 1000000000");
+            self.add_value_fault(key, property, &n, "a number above 0, up to 1000000000");
         }
     }
 
-    fn value(&mut self, key: &EntryKey, property: &str, value: &dyn ToString, expected: &str) {
+    fn add_value_fault(
+        &mut self,
+        key: &EntryKey,
+        property: &str,
+        value: &dyn ToString,
+        expected: &str,
+    ) {
         let fault = Fault::new(FaultKind::Value, "", expected)
             .in_section(&render::section(key))
             .at_key(property)
@@ -199,7 +211,7 @@
         self.0.push(fault);
     }
 
-    fn conflict(
+    fn add_conflict(
         &mut self,
         key: &EntryKey,
         property: Option<&str>,
--- a/crates/catalogue/tests/common/mod.rs
+++ b/crates/catalogue/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Generators of valid entries, and a small valid catalogue.
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses a different subset")]
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 };
 use proptest::{collection, prelude::*, sample};
 
-/// A valid catalogue as an operator writes it.
+/// A valid catalogue as an operator would write it.
 pub(crate) const CATALOGUE: &str = "\
 ; an example
 [workspace co-op]
@@ -47,13 +47,13 @@
 mbit_per_second = 1000
 ";
 
-/// Reads one file of the name `test.ini`.
+/// Parses `text` as a file with the name `test.ini`.
 pub(crate) fn parse(text: &str) -> Result<Vec<Entry>, Faults> {
     let file = "test.ini";
     Vec::try_from(Source { file, text })
 }
 
-/// The faults of `text`, one line each.
+/// The faults of `text`, as one message each.
 pub(crate) fn faults(text: &str) -> Vec<String> {
     let faults = parse(text).expect_err("the text has a fault");
     faults.0.iter().map(ToString::to_string).collect()
@@ -63,7 +63,7 @@
     "[a-z0-9][a-z0-9._-]{0,12}".prop_map(|raw| Name::try_from(raw).expect("a valid name"))
 }
 
-/// A number with at most 6 digits after the point, from `low` millionths up to `high`.
+/// A number with at most 6 digits after the decimal point, from `low` millionths up to `high`.
 fn decimal(low: u64, high: u64) -> impl Strategy<Value = f64> {
     (low..=high * 1_000_000).prop_map(|n| n as f64 / 1e6)
 }
@@ -96,8 +96,8 @@
     })
 }
 
-/// Ranges of the given lengths and minimums, one after another from layer 0.
-fn ranges(parts: Vec<(u32, u32)>) -> Vec<RangeEntry> {
+/// Contiguous ranges from layer 0, with the given lengths and minimums.
+fn ranges(sizes: Vec<(u32, u32)>) -> Vec<RangeEntry> {
     let mut first = 0;
     let range = |(len, min)| {
         let end = first + len;
@@ -105,21 +105,21 @@
         first = end;
         range
     };
-    parts.into_iter().map(range).collect()
+    sizes.into_iter().map(range).collect()
 }
 
 fn group() -> impl Strategy<Value = Entry> {
     let version = "[!-\\[\\]-~]{1,20}";
-    let parts = collection::vec((1..100_u32, 1..=u32::MAX), 0..4);
+    let sizes = collection::vec((1..100_u32, 1..=u32::MAX), 0..4);
     let endpoints = collection::btree_set(name().prop_map(EndpointId), 1..5);
     let numbers = (any::<u32>(), 1..=u32::MAX, 1..=u32::MAX);
-    (name(), name(), version, parts, endpoints, numbers).prop_map(
-        |(model, data_centre, version, parts, endpoints, numbers)| {
+    (name(), name(), version, sizes, endpoints, numbers).prop_map(
+        |(model, data_centre, version, sizes, endpoints, numbers)| {
             Entry::Group(GroupEntry {
                 model: dragonflyrill_catalogue::TargetName(model),
                 data_centre: DataCentre(data_centre),
                 version,
-                ranges: ranges(parts),
+                ranges: ranges(sizes),
                 spares: numbers.0,
                 endpoints: endpoints.into_iter().collect(),
                 loads_at_once: numbers.1,
@@ -152,7 +152,7 @@
             not_repeatable,
         })
     });
-    let intent = sample::select(vec![EndpointIntent::Serve, EndpointIntent::Leave]);
+    let intent = sample::select(vec![EndpointIntent::Serve, EndpointIntent::Drain]);
     let endpoint = (name(), intent, any::<bool>()).prop_map(|(id, intent, checks_fence)| {
         let id = EndpointId(id);
         Entry::Endpoint(EndpointEntry {
--- a/crates/catalogue/tests/faults.rs
+++ b/crates/catalogue/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every mistake is reported with its place and what would be right.
+//! Tests that every mistake in a declaration is reported, with its location and the valid values.
 
 mod common;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_fault_names_file_section_key_value_and_what_would_be_right() {
+fn a_fault_names_file_section_key_value_and_the_valid_values() {
     let text = "[workspace a]\nweight = none\n";
     assert_eq!(
         faults(text),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_same_entry_twice_is_refused_whatever_the_order_of_a_links_ends() {
+fn a_duplicate_entry_is_refused_in_either_order_of_a_links_ends() {
     let link = "latency_us = 1\nmbit_per_second = 1\n";
     let text = format!("[link a b]\n{link}[link b a]\n{link}");
     assert_eq!(
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_same_key_twice_is_refused() {
+fn a_duplicate_key_is_refused() {
     assert_eq!(
         faults("[workspace a]\nweight = 1\nweight = 2\n"),
         ["test.ini: [workspace a] weight = \"2\": declared twice; expected each key once"]
--- a/crates/catalogue/tests/groups.rs
+++ b/crates/catalogue/tests/groups.rs
@@ -1,10 +1,10 @@
-//! Declared groups of engines: what is read, refused and shown.
+//! Tests of declared groups of engines: parsing, checks and diffs.
 
 mod common;
 
 use common::{CATALOGUE, faults};
 use dragonflyrill_catalogue::{
-    diff::{Diff, Others},
+    diff::{Diff, UndeclaredEntries},
     entry::{Entry, GroupEntry, RangeEntry},
     render,
     state::{Catalogue, Revision},
@@ -30,7 +30,7 @@
     }
 }
 
-/// The faults of the example catalogue with `groups`.
+/// The faults of the example catalogue together with `groups`.
 fn contradictions(groups: &str) -> Vec<String> {
     let entries = common::parse(&format!("{CATALOGUE}{groups}")).expect("valid alone");
     match validate::check(&entries) {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_group_is_read_with_ranges_and_endpoints_in_order() {
+fn a_group_is_parsed_with_ranges_and_endpoints_in_order() {
     let e = group(GROUP);
     let range = |first, end, min| RangeEntry { first, end, min };
     assert_eq!(e.version, "2026-11");
@@ -189,7 +189,7 @@
         .replace("2026-11", "2026-12")
         .replace("8..32 = 1", "8..20 = 1\nrange.20..32 = 1");
     let new = Entry::Group(group(&text));
-    let diff = Diff::between(&old, [&new], Others::Keep);
+    let diff = Diff::between(&old, [&new], UndeclaredEntries::Keep);
     assert_eq!(
         diff.to_string(),
         "~ [group drill-lm geoje]\n    range.8..32: 1 -> none\n    version: 2026-11 -> 2026-12\n    \
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -1,13 +1,14 @@
-//! Properties of reading, rendering and comparing declarations.
+//! Property tests of parsing, rendering and comparing declarations: no entry may be lost or
+//! changed, and no text may cause a panic.
 
 mod common;
 
 use dragonflyrill_catalogue::{
     declare::{Declarations, Source},
-    diff::{Diff, Others},
+    diff::{Diff, UndeclaredEntries},
     entry::Entry,
     render,
-    state::{Catalogue, Change, Folded, Revision},
+    state::{Catalogue, Change, FoldOutcome, Revision},
 };
 use proptest::prelude::*;
 
@@ -24,13 +25,13 @@
 
 proptest! {
     #[test]
-    fn a_rendered_file_reads_back_as_the_same_entries(entries in common::entries()) {
+    fn a_rendered_file_parses_to_the_same_entries(entries in common::entries()) {
         let text = render::file(&entries);
         prop_assert_eq!(common::parse(&text).expect(&text), entries);
     }
 
     #[test]
-    fn an_entry_is_unchanged_by_its_way_through_json(entry in common::entry()) {
+    fn an_entry_is_unchanged_by_a_round_trip_through_json(entry in common::entry()) {
         let json = serde_json::to_string(&entry).expect("JSON");
         let back: Entry = serde_json::from_str(&json).expect("an entry");
         prop_assert_eq!(back, entry);
@@ -42,7 +43,7 @@
     }
 
     #[test]
-    fn text_made_of_the_format_never_panics_and_never_declares_silently(
+    fn text_made_of_format_tokens_never_panics_and_declares_one_entry_per_section(
         words in prop::collection::vec(
             prop::sample::select(vec![
                 "[", "]", "=", ":", "\n", "\r", "\\", "\"", "'", ";", "#", " ", "\t", ",", "/",
@@ -54,22 +55,22 @@
     ) {
         let text = words.concat();
         if let Ok(entries) = common::parse(&text) {
-            // What was accepted is what stands there: one section line for each entry.
+            // Accepted text declares exactly one entry for each section line.
             let sections = text.lines().filter(|l| l.trim().starts_with('[')).count();
             prop_assert_eq!(entries.len(), sections, "{:?}", text);
         }
     }
 
     #[test]
-    fn a_diff_with_prune_makes_exactly_what_is_wanted(
+    fn a_diff_with_prune_results_in_exactly_the_wanted_entries(
         old in common::entries(),
         new in common::entries(),
     ) {
         let mut catalogue = Catalogue::from_entries(Revision(4), old);
-        let diff = Diff::between(&catalogue, &new, Others::Prune);
-        prop_assert_eq!(catalogue.fold(&change(&diff, 5)), Folded::Applied);
+        let diff = Diff::between(&catalogue, &new, UndeclaredEntries::Prune);
+        prop_assert_eq!(catalogue.fold(&change(&diff, 5)), FoldOutcome::Applied);
         prop_assert!(catalogue.entries().eq(&new));
-        prop_assert!(Diff::between(&catalogue, &new, Others::Prune).is_empty());
+        prop_assert!(Diff::between(&catalogue, &new, UndeclaredEntries::Prune).is_empty());
     }
 
     #[test]
@@ -78,7 +79,7 @@
         new in common::entries(),
     ) {
         let catalogue = Catalogue::from_entries(Revision(4), old);
-        let diff = Diff::between(&catalogue, &new, Others::Keep);
+        let diff = Diff::between(&catalogue, &new, UndeclaredEntries::Keep);
         prop_assert!(diff.deletes().is_empty());
         prop_assert!(diff.puts().iter().all(|e| new.contains(e)));
     }
--- a/crates/ctl/src/commands/wanted.rs
+++ b/crates/ctl/src/commands/wanted.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_catalogue::{
     declare::Declarations,
-    diff::{Diff, Others},
+    diff::{Diff, UndeclaredEntries},
     entry::{Entry, EntryKey},
     state::Catalogue,
     validate,
@@ -21,7 +21,11 @@
     declared: &Declarations,
     prune: bool,
 ) -> Result<Diff, CtlError> {
-    let others = if prune { Others::Prune } else { Others::Keep };
+    let others = if prune {
+        UndeclaredEntries::Prune
+    } else {
+        UndeclaredEntries::Keep
+    };
     let diff = Diff::between(current, declared.entries(), others);
     let after = after(current, &diff);
     validate::check(after.values()).map_err(|mut faults| {
--- a/crates/entry/src/control/engines.rs
+++ b/crates/entry/src/control/engines.rs
@@ -152,7 +152,7 @@
     /// Takes in the catalogue in force.
     pub fn intents(&mut self, now: Duration, catalogue: &Catalogue, actions: &mut Vec<Action>) {
         let leaving = catalogue.entries().filter_map(|entry| match entry {
-            Entry::Endpoint(e) if e.intent == EndpointIntent::Leave => Some(e.id.clone()),
+            Entry::Endpoint(e) if e.intent == EndpointIntent::Drain => Some(e.id.clone()),
             _ => None,
         });
         self.intents = leaving.collect();
--- a/crates/membership/src/spread/incoming.rs
+++ b/crates/membership/src/spread/incoming.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dragonflyrill_catalogue::{Catalogue, Change, state::Folded};
+use dragonflyrill_catalogue::{Catalogue, Change, state::FoldOutcome};
 use dragonflyrill_protocol::{
     HostId, HostRef,
     spread::{Digest, Message, Part},
@@ -147,9 +147,9 @@
         let mut applied = Vec::new();
         for change in changes {
             match self.catalogue.fold(&change) {
-                Folded::Known => {}
-                Folded::Gap => break,
-                Folded::Applied => {
+                FoldOutcome::AlreadyApplied => {}
+                FoldOutcome::Gap => break,
+                FoldOutcome::Applied => {
                     self.change_id.clone_from(&change.change_id);
                     let budget = &self.cfg.budget;
                     let (max_changes, max_bytes) = (budget.max_log_changes, budget.max_log_bytes);
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -228,7 +228,7 @@
     fn apply_intent(&mut self, at: u32) {
         let slot = self.table.slot(at);
         let known = self.intents.iter().find(|e| e.id == slot.endpoint.id);
-        let draining = known.is_some_and(|e| e.intent == EndpointIntent::Leave);
+        let draining = known.is_some_and(|e| e.intent == EndpointIntent::Drain);
         if slot.signs.intent != draining {
             self.table.update_signs(at, |signs| signs.intent = draining);
         }
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -243,7 +243,7 @@
         intent,
         checks_fence: true,
     };
-    router.set_intents(&[intent(EndpointIntent::Leave)]);
+    router.set_intents(&[intent(EndpointIntent::Drain)]);
     assert!(choose(&mut router, ms(0)).is_err());
     router.set_intents(&[intent(EndpointIntent::Serve)]);
     assert!(choose(&mut router, ms(0)).is_ok());
@@ -269,7 +269,7 @@
     let mut router = router(1, []);
     router.set_intents(&[EndpointEntry {
         id: id("e000"),
-        intent: EndpointIntent::Leave,
+        intent: EndpointIntent::Drain,
         checks_fence: false,
     }]);
     router.table_mut().upsert(identical_engines(1).remove(0));
--- a/crates/store/src/catalogue_store/snapshot.rs
+++ b/crates/store/src/catalogue_store/snapshot.rs
@@ -2,7 +2,7 @@
 
 use dragonflyrill_catalogue::{
     entry::Entry,
-    state::{Catalogue, Change, Folded, Revision},
+    state::{Catalogue, Change, FoldOutcome, Revision},
 };
 use serde::{Deserialize, Serialize};
 
@@ -167,9 +167,9 @@
     }
 
     /// Folds `change` into the catalogue if it has the next revision.
-    pub fn fold(&mut self, change: &Change) -> Folded {
+    pub fn fold(&mut self, change: &Change) -> FoldOutcome {
         let folded = self.catalogue.fold(change);
-        if folded == Folded::Applied {
+        if folded == FoldOutcome::Applied {
             self.change_id.clone_from(&change.change_id);
         }
         folded
