--- a/crates/store/src/table/once.rs
+++ b/crates/store/src/table/once.rs
@@ -130,7 +130,7 @@
     async fn run(mut self, table: &impl TableApi, retry: &Retry) -> Vec<CreateOutcome> {
         let mut failed_attempts = 0;
         loop {
-            let batch = self.unsettled_batch();
+            let batch = self.unresolved_batch();
             if batch.is_empty() {
                 break;
             }
@@ -144,7 +144,7 @@
             }
             failed_attempts += 1;
             if let Err(cause) = retry.wait_before_retry(failed_attempts, cause).await {
-                self.fail_unsettled(&cause);
+                self.fail_unresolved(&cause);
             }
         }
         self.outcomes.into_iter().flatten().collect()
@@ -152,7 +152,7 @@
 
     /// The indexes of the writes without an outcome. Includes only the first write to each key, as
     /// a transaction cannot write a key twice.
-    fn unsettled_batch(&self) -> Vec<usize> {
+    fn unresolved_batch(&self) -> Vec<usize> {
         let mut keys = HashSet::new();
         let open = (0..self.writes.len()).filter(|i| self.outcomes[*i].is_none());
         open.filter(|i| keys.insert(self.writes[*i].key.as_str()))
@@ -180,22 +180,22 @@
             }
             return true;
         }
-        let mut settled = false;
+        let mut resolved = false;
         for (i, found) in batch.iter().zip(&outcome.rows) {
             if let Some(row) = found {
                 self.outcomes[*i] = Some(outcome_for_existing(row, &self.writes[*i]));
-                settled = true;
+                resolved = true;
             }
         }
-        if settled {
+        if resolved {
             // An earlier attempt whose response was lost has the same conditions. It can no longer
             // take effect, since one of its keys exists now.
             batch.iter().for_each(|i| self.in_doubt[*i] = false);
         }
-        settled
+        resolved
     }
 
-    fn fail_unsettled(&mut self, cause: &PlatformError) {
+    fn fail_unresolved(&mut self, cause: &PlatformError) {
         for (outcome, in_doubt) in self.outcomes.iter_mut().zip(&self.in_doubt) {
             outcome.get_or_insert_with(|| match in_doubt {
                 true => CreateOutcome::Unknown(cause.clone()),
