--- a/crates/ctl/src/commands/apply/restore.rs
+++ b/crates/ctl/src/commands/apply/restore.rs
@@ -2,7 +2,7 @@
 //! hosts.
 
 use dragonflyrill_catalogue::{diff, state::Revision, validate};
-use dragonflyrill_store::catalogue_store::{Commit, Restoration};
+use dragonflyrill_store::catalogue_store::{CommitOutcome, Restoration};
 
 use super::{
     ApplyReport, Conflict, author, change_id, now_ms, refuse_if_hosts_ahead, report_accepted,
@@ -34,16 +34,16 @@
     };
     let store = cx.store()?;
     match store.restore(&cx.objects()?, &restoration).await? {
-        Commit::Accepted(revision) => {
+        CommitOutcome::Accepted(revision) => {
             let created = restoration.entries.iter().cloned();
             let diff = diff::Diff(created.map(diff::Difference::Created).collect());
             let id = &restoration.change_id;
             report_accepted(cx, cmd, revision, id, diff.to_string()).await
         }
-        Commit::Conflict { head, .. } => Ok(ApplyReport::Conflict(Conflict::during_restore(
-            above, &head,
-        ))),
-        Commit::Unknown(cause) => Err(CtlError::OutcomeUnknown {
+        CommitOutcome::Conflict { head, .. } => Ok(ApplyReport::Conflict(
+            Conflict::during_restore(above, &head),
+        )),
+        CommitOutcome::Unknown(cause) => Err(CtlError::OutcomeUnknown {
             change_id: restoration.change_id,
             base: above,
             cause,
--- a/crates/ctl/src/commands/plan.rs
+++ b/crates/ctl/src/commands/plan.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrill_catalogue::{
     declare::Declarations,
-    diff::{Diff, Others},
+    diff::{Diff, UndeclaredEntries},
     entry::{Entry, EntryKey},
     state::Catalogue,
     validate,
@@ -22,7 +22,11 @@
     declared: &Declarations,
     prune: bool,
 ) -> Result<Diff, CtlError> {
-    let others = if prune { Others::Prune } else { Others::Keep };
+    let others = if prune {
+        UndeclaredEntries::Prune
+    } else {
+        UndeclaredEntries::Keep
+    };
     let diff = Diff::between(current, declared.entries(), others);
     let result = apply_diff(current, &diff);
     validate::check(result.values()).map_err(|mut faults| {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -71,7 +71,7 @@
 impl fmt::Display for DisplayStoreError<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "catalogue: {}", self.0)?;
-        if matches!(self.0, StoreError::Older { .. }) {
+        if matches!(self.0, StoreError::RolledBack { .. }) {
             write!(f, "\n{RESTORE_HINT}")?;
         }
         Ok(())
@@ -84,7 +84,7 @@
         match self {
             Self::Usage(_) => "usage",
             Self::Invalid(_) => "invalid",
-            Self::Store(StoreError::Older { .. }) | Self::HostsAhead { .. } => "store_older",
+            Self::Store(StoreError::RolledBack { .. }) | Self::HostsAhead { .. } => "store_older",
             Self::Store(_) => "store",
             Self::Platform(_) => "platform",
             Self::InForceUnknown { .. } => "unseen",
--- a/crates/ctl/src/host_status.rs
+++ b/crates/ctl/src/host_status.rs
@@ -132,7 +132,7 @@
         id: host.id.to_string(),
         data_centre: host.data_centre.to_string(),
         addr: host.callers,
-        leaving: host.leaving,
+        leaving: host.shutting_down,
         in_force: InForce::Unreachable(String::new()),
     });
     Ok(query_all(cx, hosts.collect()).await)
--- a/crates/gateway/src/control/catalogue.rs
+++ b/crates/gateway/src/control/catalogue.rs
@@ -49,7 +49,7 @@
                 gateway.record_store_answer(StoreRead::Catalogue, gateway.now());
                 revision = Some(apply_update(&gateway, update, sent_at, revision));
             }
-            Err(PlatformError::HistoryGone) => {
+            Err(PlatformError::HistoryTrimmed) => {
                 log::info!(target: "catalogue", "The store's history is truncated; the catalogue is read in full.");
                 revision = None;
             }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -77,7 +77,7 @@
                 self.apply_update(update);
                 Ok(())
             }
-            Err(PlatformError::HistoryGone) => {
+            Err(PlatformError::HistoryTrimmed) => {
                 self.revision = None;
                 Ok(())
             }
--- a/crates/membership/src/spread/incoming.rs
+++ b/crates/membership/src/spread/incoming.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use dragonflyrill_catalogue::{Catalogue, Change, state::Folded};
+use dragonflyrill_catalogue::{Catalogue, Change, state::FoldOutcome};
 use dragonflyrill_protocol::{
     HostId, HostRef,
     spread::{Digest, Message, Part},
 };
-use dragonflyrill_store::catalogue_store::{Head, Loaded};
+use dragonflyrill_store::catalogue_store::{Head, LoadedCatalogue};
 
 use super::{
     Action, Alarm, Source, Spread, StoreRead,
@@ -110,7 +110,12 @@
         self.apply_changes(now, changes, Source::Store, actions);
     }
 
-    fn apply_store_catalogue(&mut self, now: Duration, loaded: Loaded, actions: &mut Vec<Action>) {
+    fn apply_store_catalogue(
+        &mut self,
+        now: Duration,
+        loaded: LoadedCatalogue,
+        actions: &mut Vec<Action>,
+    ) {
         let found = change_log::digest(loaded.catalogue.revision(), &loaded.change_id);
         if !self.verify_store(found, actions) {
             return;
@@ -142,9 +147,9 @@
         let mut applied = Vec::new();
         for change in changes {
             match self.catalogue.fold(&change) {
-                Folded::Known => {}
-                Folded::Gap => break,
-                Folded::Applied => {
+                FoldOutcome::AlreadyApplied => {}
+                FoldOutcome::Gap => break,
+                FoldOutcome::Applied => {
                     self.change_id.clone_from(&change.change_id);
                     let budget = &self.cfg.budget;
                     let (max_changes, max_bytes) = (budget.max_log_changes, budget.max_log_bytes);
