--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -170,7 +170,7 @@
                 if let Some(step) = self.take_underway(&endpoint, result.attempt, result.start) {
                     let outcome = outcome_of(&result, now.saturating_sub(step.sent));
                     if outcome == routing::Outcome::Draining {
-                        self.host.endpoint_refused(&endpoint);
+                        self.host.report_draining_refusal(&endpoint);
                     }
                     let mut router = self.host.router.borrow_mut();
                     router.ended_step(now, &endpoint, outcome, step.work);
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -1,4 +1,4 @@
-//! The state of an entry host that requests touch. Lives on the request arbiter alone.
+//! The state of an entry host that requests share. Only the request arbiter's thread accesses it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -37,69 +37,70 @@
     settings::Settings,
 };
 
-/// How long a transaction on the table may take.
-const TABLE_LIMIT: Duration = Duration::from_secs(2);
+/// The timeout of a transaction on the store's table.
+const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Everything requests share on one host.
+/// The state that all requests of one host share.
 pub struct Host {
-    /// The settings.
+    /// The settings that the host was started with.
     pub settings: Settings,
-    /// The clock.
+    /// The monotonic clock of all times in this state.
     pub clock: Clock,
     /// Connections to endpoints.
     pub pool: Pool,
-    /// Choice of endpoints.
+    /// Chooses the endpoints of requests.
     pub router: RefCell<routing::Router>,
-    /// Owners' limits.
+    /// Admits requests under the limits of their workspaces.
     pub admission: Rc<Admission>,
-    /// Records of calls that are not repeatable.
+    /// Writes the records of calls that are not repeatable.
     pub recording: Rc<Recording>,
-    /// Owners' budgets of retries.
+    /// The retry budgets of the workspaces.
     pub retries: Retries,
-    /// How long steps take.
+    /// Estimates of step durations, carried over from one generation to the next.
     pub step_times: Cell<StepTimes>,
-    /// Known requests.
+    /// The running and recently finished requests.
     pub requests: RefCell<Requests>,
-    /// Whether no new requests are taken.
+    /// Whether the host is shutting down and accepts no new requests.
     pub draining: Cell<bool>,
-    /// The counters.
+    /// The host's metrics.
     pub metrics: Metrics,
-    /// This host, as its peers know it.
+    /// This host's id and incarnation, by which its peers know it.
     pub me: HostRef,
-    /// Questions to peers about requests.
+    /// Sends claims and queries about requests to peers.
     pub outbox: Outbox,
-    /// The control task.
+    /// Sends events to the control arbiter.
     pub control: ControlSender,
     peers: RefCell<Rc<[PeerInfo]>>,
-    /// Endpoints that leave by a shared sign, listed or not.
-    leaving: RefCell<BTreeSet<EndpointId>>,
+    /// Endpoints that a sign of a host of the data centre reports as draining, listed or not.
+    draining_endpoints: RefCell<BTreeSet<EndpointId>>,
     claims: RefCell<Claims>,
     catalogue: RefCell<Rc<Catalogue>>,
+    /// When the catalogue of this revision came into force, by `clock`.
     in_force_since: Cell<Duration>,
 }
 
-/// Another entry host that lives.
+/// Another live entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerInfo {
     /// The host.
     pub host: HostRef,
-    /// Where it takes peers.
+    /// The address that its peers connect to.
     pub addr: SocketAddr,
-    /// Where it is.
+    /// Its data centre.
     pub data_centre: DataCentre,
 }
 
 impl Host {
-    /// A host that knows nothing yet.
+    /// Creates a host without a catalogue, endpoints or peers.
     pub fn new(settings: Settings, clock: Clock, control: ControlSender) -> Rc<Self> {
         let seed = rand::random();
-        // The incarnation grows with each start: milliseconds since the epoch.
+        // Milliseconds since the epoch, so that each incarnation is higher than the one before.
         let me = HostRef {
             id: HostId(settings.host.clone()),
             incarnation: wall_ms(),
         };
         let router = routing::Router::new(settings.data_centre.clone(), seed);
-        let table = Table::new(settings.platform, TABLE_LIMIT);
+        let table = Table::new(settings.platform, TABLE_TIMEOUT);
         let dc = settings.data_centre.clone();
         let admission = Admission::new(clock, me.clone(), dc, control.clone(), table.clone());
         Rc::new(Self {
@@ -118,14 +119,14 @@
             me,
             control,
             peers: RefCell::new(Rc::new([])),
-            leaving: RefCell::default(),
+            draining_endpoints: RefCell::default(),
             claims: RefCell::default(),
             catalogue: RefCell::default(),
             in_force_since: Cell::default(),
         })
     }
 
-    /// Time since the host started.
+    /// The time since the host started, by its monotonic clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -145,24 +146,26 @@
         self.catalogue.borrow().revision().0 > 0 && !self.draining.get()
     }
 
-    /// Takes in what the control arbiter learned.
-    pub fn learn(self: &Rc<Self>, news: control::News) {
+    /// Applies an update from the control arbiter.
+    pub fn apply_update(self: &Rc<Self>, news: control::News) {
         match news {
-            control::News::Catalogue(catalogue) => self.take_catalogue(catalogue),
-            control::News::Endpoints(endpoints) => self.take_endpoints(endpoints),
-            control::News::Leaving { endpoint, leaving } => self.take_leaving(endpoint, leaving),
-            control::News::Loads(reports) => self.take_loads(&reports),
+            control::News::Catalogue(catalogue) => self.install_catalogue(catalogue),
+            control::News::Endpoints(endpoints) => self.replace_endpoints(endpoints),
+            control::News::Leaving { endpoint, leaving } => {
+                self.set_endpoint_draining(endpoint, leaving)
+            }
+            control::News::Loads(reports) => self.apply_load_reports(&reports),
             control::News::CacheEvents(endpoint, events) => {
                 let mut router = self.router.borrow_mut();
                 router.apply_cache_events(self.now(), &endpoint, &events);
             }
-            control::News::Peers(peers) => self.take_peers(peers),
-            control::News::Asked(inbound) => self.answer_peer(inbound),
+            control::News::Peers(peers) => self.replace_peers(peers),
+            control::News::Asked(inbound) => self.answer_peer_call(inbound),
             control::News::Rights(from, message) => self.admission.receive(&from, message),
         }
     }
 
-    fn take_catalogue(&self, catalogue: Catalogue) {
+    fn install_catalogue(&self, catalogue: Catalogue) {
         if catalogue.revision() <= self.catalogue.borrow().revision() {
             return;
         }
@@ -182,12 +185,14 @@
         self.peers.borrow().clone()
     }
 
-    fn take_peers(&self, peers: Vec<PeerInfo>) {
+    fn replace_peers(&self, peers: Vec<PeerInfo>) {
         self.admission.peers(&peers);
         self.peers.replace(peers.into());
     }
 
     /// Answers a claim to a request whose home this host is.
+    ///
+    /// A claim whose holder is no longer among the live hosts is released first.
     pub fn claim(&self, claim: Claim) -> Claimed {
         let keep = self.settings.keep_answers + self.settings.deadline;
         let claimed = self
@@ -195,7 +200,7 @@
             .borrow_mut()
             .claim(self.now(), keep, claim.clone());
         match claimed {
-            Claimed::Taken(by) if self.is_gone(&by) => {
+            Claimed::Taken(by) if self.is_absent(&by) => {
                 self.claims.borrow_mut().forget_holder(&by);
                 self.claims.borrow_mut().claim(self.now(), keep, claim)
             }
@@ -203,14 +208,14 @@
         }
     }
 
-    fn is_gone(&self, host: &HostRef) -> bool {
+    fn is_absent(&self, host: &HostRef) -> bool {
         host.id != self.me.id && self.peers().iter().all(|p| p.host.id != host.id)
     }
 
-    fn answer_peer(self: &Rc<Self>, inbound: Inbound) {
+    fn answer_peer_call(self: &Rc<Self>, inbound: Inbound) {
         match inbound {
             Inbound::Claim(claim, tx) => {
-                // The asker may have given up.
+                // The peer's call may have timed out.
                 let _ = tx.send(self.claim(claim));
             }
             Inbound::Find(query, tx) => {
@@ -238,27 +243,28 @@
         router.set_intents(&intents);
     }
 
-    fn take_endpoints(&self, listed: Vec<routing::Endpoint>) {
+    fn replace_endpoints(&self, listed: Vec<routing::Endpoint>) {
         let mut router = self.router.borrow_mut();
         let table = router.table_mut();
         table.replace_all(listed);
-        // A sign may come before the endpoint is listed, and outlives a change of its address.
-        for endpoint in self.leaving.borrow().iter() {
+        // A sign may arrive before its endpoint is listed, and stays valid when the endpoint's
+        // address changes.
+        for endpoint in self.draining_endpoints.borrow().iter() {
             table.set_draining(endpoint, true);
         }
     }
 
-    fn take_leaving(&self, endpoint: EndpointId, leaving: bool) {
+    fn set_endpoint_draining(&self, endpoint: EndpointId, leaving: bool) {
         let mut router = self.router.borrow_mut();
         router.table_mut().set_draining(&endpoint, leaving);
-        let mut known = self.leaving.borrow_mut();
+        let mut known = self.draining_endpoints.borrow_mut();
         match leaving {
             true => known.insert(endpoint),
             false => known.remove(&endpoint),
         };
     }
 
-    fn take_loads(&self, reports: &[wire::LoadReport]) {
+    fn apply_load_reports(&self, reports: &[wire::LoadReport]) {
         let now = self.now();
         let mut router = self.router.borrow_mut();
         for report in reports {
@@ -266,19 +272,19 @@
         }
     }
 
-    /// Tells the hosts of the data centre that an endpoint refused work because it is leaving.
-    pub fn endpoint_refused(&self, endpoint: &EndpointId) {
+    /// Reports to the hosts of the data centre that an endpoint refused work because it is draining.
+    pub fn report_draining_refusal(&self, endpoint: &EndpointId) {
         let sign = Sign {
             endpoint: endpoint.clone(),
             incarnation: 0,
             kind: SignKind::Refusal,
             ttl_ms: engines::SIGN_TTL.as_millis() as u32,
         };
-        // Closed only when the control arbiter has stopped already.
+        // The channel is closed only after the control arbiter has stopped.
         let _ = self.control.send(actor::Event::Seen(sign));
     }
 
-    /// The model `name`, if declared.
+    /// The model `name`, if the catalogue declares it.
     pub fn model(&self, name: &TargetName) -> Option<ModelEntry> {
         match self.catalogue().get(&EntryKey::Model(name.clone())) {
             Some(Entry::Model(e)) => Some(e.clone()),
@@ -286,7 +292,7 @@
         }
     }
 
-    /// The service `name`, if declared.
+    /// The service `name`, if the catalogue declares it.
     pub fn service(&self, name: &TargetName) -> Option<ServiceEntry> {
         match self.catalogue().get(&EntryKey::Service(name.clone())) {
             Some(Entry::Service(e)) => Some(e.clone()),
@@ -294,7 +300,7 @@
         }
     }
 
-    /// The limit under `key`, if declared.
+    /// The limit under `key`, if the catalogue declares it.
     pub fn limit(&self, key: &LimitKey) -> Option<LimitEntry> {
         match self.catalogue().get(&EntryKey::Limit(key.clone())) {
             Some(Entry::Limit(e)) => Some(e.clone()),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,12 +1,13 @@
-//! The entry host: callers' HTTP in, chains of endpoints out.
+//! The entry host: serves callers over HTTP and runs their requests on chains of endpoints.
 //!
-//! One thread, the request arbiter, owns all state that a request touches ([`host::Host`]); a
-//! second, the control arbiter, talks to the platform and to other hosts ([`control`]) and sends
-//! what it learns to the first. So control work never delays a token, and no lock is needed.
+//! One thread, the request arbiter, owns all state that requests share ([`host::Host`]). A second
+//! one, the control arbiter, communicates with the platform and with other hosts ([`control`]) and
+//! sends updates to the first. So control work never delays a token, and no lock is needed.
 //!
-//! A request comes in at [`caller`], is admitted and found a chain by [`host`], is driven by
-//! [`drive`] over the connections of [`pool`], and its answer is kept in [`requests`], from where
-//! any number of callers may read it. [`node`] puts it all together.
+//! [`caller`] parses and checks a request; [`admission`] admits it under its workspace's limit. The
+//! router in [`host`] chooses its chain of endpoints, and [`drive`] runs it over the connections of
+//! [`pool`]. [`requests`] keeps the answer, which any number of callers may read. [`node`] assembles
+//! these parts.
 
 pub mod admission;
 pub mod caller;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole entry host: its listeners, its two arbiters, its end.
+//! Assembles an entry host: its listeners, its two arbiters and its shutdown.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -7,25 +7,25 @@
 
 use crate::{clock::Clock, control, host::Host, serve, settings::Settings};
 
-/// A running entry host. Lives on the request arbiter.
+/// A running entry host. Belongs to the thread of the request arbiter.
 pub struct Node {
-    /// The state requests touch.
+    /// The state that requests share.
     pub host: Rc<Host>,
-    callers: SocketAddr,
-    peers: SocketAddr,
+    callers_addr: SocketAddr,
+    peers_addr: SocketAddr,
     control: actix_rt::Arbiter,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Node {
-    /// Listens, and starts both arbiters' work.
+    /// Binds the listeners and starts the work of both arbiters.
     ///
     /// # Errors
-    /// An address of the settings can't be listened on.
+    /// An address of the settings can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Self> {
         let callers = listen(settings.callers).await?;
-        let peers =
-            std::net::TcpListener::bind(settings.peers).map_err(|e| at(settings.peers, &e))?;
+        let peers = std::net::TcpListener::bind(settings.peers)
+            .map_err(|e| bind_error(settings.peers, &e))?;
         let addrs = (callers.local_addr()?, peers.local_addr()?);
         let (control_tx, control_rx) = mpsc::unbounded_channel();
         let host = Host::new(settings.clone(), Clock::start(), control_tx.clone());
@@ -49,29 +49,29 @@
         control.spawn_fn(move || control::start(start, control_tx, control_rx, tx));
         log::info!("entry: {} listens on {}.", host.settings.host, addrs.0);
         let tasks = vec![
-            actix_rt::spawn(learn(host.clone(), rx)),
-            actix_rt::spawn(accept(host.clone(), callers)),
+            actix_rt::spawn(apply_updates(host.clone(), rx)),
+            actix_rt::spawn(serve_callers(host.clone(), callers)),
         ];
         Ok(Self {
             host,
-            callers: addrs.0,
-            peers: addrs.1,
+            callers_addr: addrs.0,
+            peers_addr: addrs.1,
             control,
             tasks,
         })
     }
 
-    /// Where callers connect.
+    /// The bound address that callers connect to.
     pub fn callers(&self) -> SocketAddr {
-        self.callers
+        self.callers_addr
     }
 
-    /// Where other hosts connect.
+    /// The bound address that other hosts connect to.
     pub fn peers(&self) -> SocketAddr {
-        self.peers
+        self.peers_addr
     }
 
-    /// Stops at once; see [`serve::drain`] for a graceful end.
+    /// Stops at once and cuts off running requests; see [`serve::drain`] for a graceful shutdown.
     pub fn stop(self) {
         self.host.admission.stop();
         for task in &self.tasks {
@@ -82,20 +82,22 @@
 }
 
 async fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
-    TcpListener::bind(addr).await.map_err(|e| at(addr, &e))
+    TcpListener::bind(addr)
+        .await
+        .map_err(|e| bind_error(addr, &e))
 }
 
-fn at(addr: SocketAddr, e: &io::Error) -> io::Error {
+fn bind_error(addr: SocketAddr, e: &io::Error) -> io::Error {
     io::Error::new(e.kind(), format!("can't listen on {addr}: {e}"))
 }
 
-async fn learn(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::News>) {
+async fn apply_updates(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::News>) {
     while let Some(news) = rx.recv().await {
-        host.learn(news);
+        host.apply_update(news);
     }
 }
 
-async fn accept(host: Rc<Host>, listener: TcpListener) {
+async fn serve_callers(host: Rc<Host>, listener: TcpListener) {
     if let Err(e) = serve::serve(host, listener).await {
         log::error!("entry: Callers are not served: {e}.");
     }
--- a/crates/entry/tests/reports.rs
+++ b/crates/entry/tests/reports.rs
@@ -120,7 +120,7 @@
 #[actix_rt::test]
 async fn refusal_seen_by_one_host_keeps_the_others_away_too() {
     let fleet = fleet_with_spare().await;
-    fleet.nodes[1].host.endpoint_refused(&id(SPARE));
+    fleet.nodes[1].host.report_draining_refusal(&id(SPARE));
     gets_no_new_work(&fleet).await;
 }
 
