--- a/crates/entry/src/bin/dragonflyrill-entry.rs
+++ b/crates/entry/src/bin/dragonflyrill-entry.rs
@@ -1,4 +1,4 @@
-//! The entry host program.
+//! The program of an entry host.
 
 use std::{
     io,
@@ -28,25 +28,25 @@
 }
 
 /// The exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_BAD_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     logs::init();
     let args: Args = argh::from_env();
     let settings = match Settings::read(&args.settings) {
         Ok(settings) => settings,
-        Err(errors) => return refuse(&errors),
+        Err(errors) => return reject_settings(&errors),
     };
     if args.check {
         println!("{}: ok", args.settings.display());
         return ExitCode::SUCCESS;
     }
-    // Kept to the end, so that the last spans are sent.
+    // Dropped at the end of `main`, so that the last spans are exported.
     let _spans = match open_spans(&settings) {
         Ok(guard) => guard,
         Err(e) => {
             log::error!("spans: {} can't be used: {e}.", settings.host);
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     match actix_rt::System::new().block_on(run(settings)) {
@@ -58,11 +58,11 @@
     }
 }
 
-fn refuse(errors: &[SettingError]) -> ExitCode {
+fn reject_settings(errors: &[SettingError]) -> ExitCode {
     for e in errors {
         eprintln!("{e}");
     }
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(EXIT_BAD_SETTINGS)
 }
 
 fn open_spans(settings: &Settings) -> io::Result<Option<spans::Guard>> {
@@ -79,13 +79,13 @@
 
 async fn run(settings: Settings) -> anyhow::Result<()> {
     let node = Node::start(settings).await?;
-    wait_for_end(&node.host).await?;
+    wait_for_shutdown(&node.host).await?;
     node.stop();
     Ok(())
 }
 
-/// Waits for a signal, then drains; a second signal ends the drain.
-async fn wait_for_end(host: &Host) -> anyhow::Result<()> {
+/// Waits for SIGTERM or SIGINT, then drains; a second signal ends the drain.
+async fn wait_for_shutdown(host: &Host) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM can't be watched")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT can't be watched")?;
     tokio::select! {
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -30,7 +30,7 @@
     caller::{answer, attach::attach, body, envelope::Envelope},
     drive,
     host::Host,
-    recording::Recorded,
+    recording::RecordResult,
     requests::{CallAnswer, End, Failure, Reader, Refusal, Slot},
 };
 
@@ -229,9 +229,9 @@
         Err(refusal) => return Err(drive::refused_once(slot, refusal, req)),
     };
     let record = match host.recording.begin(&slot.key, slot.fingerprint).await {
-        Recorded::Ours(record) => record,
-        Recorded::Refused(refusal) => return Err(drive::refused_once(slot, refusal, req)),
-        Recorded::Known(record) => return kept(slot, &record),
+        RecordResult::New(record) => record,
+        RecordResult::Refused(refusal) => return Err(drive::refused_once(slot, refusal, req)),
+        RecordResult::Existing(record) => return kept(slot, &record),
     };
     let ticket = record.ticket();
     let dispatched = drive::dispatch_once(host, req.record(record))?;
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -413,7 +413,7 @@
 
     fn free(&mut self, endpoint: &EndpointId, cancel: wire::Cancel) {
         if let Some(addr) = self.addr(endpoint) {
-            self.host.pool.free(addr, cancel);
+            self.host.pool.cancel(addr, cancel);
         }
     }
 }
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -21,7 +21,7 @@
     admission::Permit,
     caller::completion::Completion,
     host::{Host, PeerInfo},
-    recording::Recorded,
+    recording::RecordResult,
     requests::{
         End, Failure, Refusal, Slot,
         follow::{self, Followed, Runner},
@@ -207,9 +207,9 @@
         Err(refusal) => return Err(refused_once(slot, refusal, req)),
     };
     let record = match host.recording.begin(&slot.key, slot.fingerprint).await {
-        Recorded::Ours(record) => record,
-        Recorded::Refused(refusal) => return Err(refused_once(slot, refusal, req)),
-        Recorded::Known(record) => return take_kept(slot, &record),
+        RecordResult::New(record) => record,
+        RecordResult::Refused(refusal) => return Err(refused_once(slot, refusal, req)),
+        RecordResult::Existing(record) => return take_kept(slot, &record),
     };
     let ticket = record.ticket();
     let dispatched = dispatch_once(host, req.record(record))?;
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to endpoints: steps of many requests, sent in batches.
+//! Connections to endpoints, over which the steps of many requests are sent in batches.
 //!
-//! An engine batches continuously, so steps that wait for the same engine travel in one HTTP
-//! request and their results come back one by one as they finish.
+//! An engine batches continuously, so steps queued for the same engine are sent in one HTTP request
+//! and their results arrive one by one as the steps finish.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,11 +10,12 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::mpsc;
 
-/// The most steps in one HTTP request.
-const MAX_BATCH: usize = 64;
-/// How long an HTTP request of steps may last; single steps are timed by who sent them.
+/// The maximum number of steps in one HTTP request.
+const MAX_BATCH_STEPS: usize = 64;
+/// The timeout of an HTTP request that carries steps. The sender of a step applies the step's own
+/// timeout.
 const BATCH_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a cancel may take.
+/// The timeout of a cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How a step sent to an endpoint ended.
@@ -22,41 +23,41 @@
 pub enum StepEnd {
     /// The endpoint answered.
     Answered(wire::StepResult),
-    /// No answer will come.
+    /// No result will arrive.
     Lost {
         /// The step's attempt.
         attempt: u32,
         /// The step's first position.
         start: u32,
-        /// Why.
+        /// Why no result will arrive.
         error: CallError,
     },
 }
 
-/// A step's end, and whose it was.
+/// The end of a step, with the endpoint that the step was sent to.
 #[derive(Debug)]
 pub struct StepReport {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the step ended.
     pub end: StepEnd,
 }
 
-struct Job {
+struct QueuedStep {
     step: wire::TracedStep,
     tx: mpsc::UnboundedSender<StepReport>,
 }
 
-struct Line {
+struct EndpointQueue {
     addr: SocketAddr,
-    tx: mpsc::UnboundedSender<Job>,
+    tx: mpsc::UnboundedSender<QueuedStep>,
 }
 
 /// The connections of one host to all endpoints.
 #[derive(Clone)]
 pub struct Pool {
     http: awc::Client,
-    lines: Rc<RefCell<FxHashMap<EndpointId, Line>>>,
+    queues: Rc<RefCell<FxHashMap<EndpointId, EndpointQueue>>>,
 }
 
 impl Default for Pool {
@@ -66,7 +67,7 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new() -> Self {
         let connector = awc::Connector::new()
             .limit(0)
@@ -74,16 +75,16 @@
         let http = awc::Client::builder().connector(connector).finish();
         Self {
             http,
-            lines: Rc::default(),
+            queues: Rc::default(),
         }
     }
 
-    /// The HTTP client, for calls other than steps.
+    /// The HTTP client, for requests other than steps.
     pub fn http(&self) -> &awc::Client {
         &self.http
     }
 
-    /// Sends `step` to the endpoint at `addr`; its end comes through `tx`.
+    /// Queues `step` for the endpoint at `addr` and reports its end to `tx`.
     pub fn send(
         &self,
         endpoint: &EndpointId,
@@ -91,17 +92,18 @@
         step: wire::TracedStep,
         tx: mpsc::UnboundedSender<StepReport>,
     ) {
-        let mut lines = self.lines.borrow_mut();
-        let stale = lines.get(endpoint).is_none_or(|l| l.addr != addr);
+        let mut queues = self.queues.borrow_mut();
+        let stale = queues.get(endpoint).is_none_or(|q| q.addr != addr);
         if stale {
-            lines.insert(endpoint.clone(), self.connect(endpoint.clone(), addr));
+            queues.insert(endpoint.clone(), self.connect(endpoint.clone(), addr));
         }
-        // The receiver lives as long as the sender that `lines` holds.
-        let _ = lines[endpoint].tx.send(Job { step, tx });
+        // The receiver is open as long as `queues` holds the sender.
+        let _ = queues[endpoint].tx.send(QueuedStep { step, tx });
     }
 
-    /// Frees what the endpoint at `addr` holds for a request, without waiting for it.
-    pub fn free(&self, addr: SocketAddr, cancel: wire::Cancel) {
+    /// Sends `cancel` to the endpoint at `addr`, which frees what it holds for the request. Doesn't wait
+    /// for the answer; a failure is only logged.
+    pub fn cancel(&self, addr: SocketAddr, cancel: wire::Cancel) {
         let engine = EngineClient::new(self.http.clone(), addr);
         actix_rt::spawn(async move {
             if let Err(e) = engine.cancel(&cancel, CANCEL_TIMEOUT).await {
@@ -110,41 +112,46 @@
         });
     }
 
-    fn connect(&self, endpoint: EndpointId, addr: SocketAddr) -> Line {
+    fn connect(&self, endpoint: EndpointId, addr: SocketAddr) -> EndpointQueue {
         let (tx, rx) = mpsc::unbounded_channel();
         let engine = EngineClient::new(self.http.clone(), addr);
-        actix_rt::spawn(run_line(endpoint, engine, rx));
-        Line { addr, tx }
+        actix_rt::spawn(run_queue(endpoint, engine, rx));
+        EndpointQueue { addr, tx }
     }
 }
 
-/// Gathers steps that are waiting into batches, and sends each batch on its own.
-async fn run_line(
+/// Sends the steps that are queued at the same time as one batch, without waiting for the batches
+/// before it.
+async fn run_queue(
     endpoint: EndpointId,
     engine: EngineClient,
-    mut rx: mpsc::UnboundedReceiver<Job>,
+    mut rx: mpsc::UnboundedReceiver<QueuedStep>,
 ) {
-    let mut jobs = Vec::new();
-    while rx.recv_many(&mut jobs, MAX_BATCH).await > 0 {
-        let batch = std::mem::take(&mut jobs);
+    let mut queued = Vec::new();
+    while rx.recv_many(&mut queued, MAX_BATCH_STEPS).await > 0 {
+        let batch = std::mem::take(&mut queued);
         actix_rt::spawn(run_batch(endpoint.clone(), engine.clone(), batch));
     }
 }
 
-async fn run_batch(endpoint: EndpointId, engine: EngineClient, jobs: Vec<Job>) {
-    let (steps, mut waiting): (Vec<_>, Vec<_>) =
-        jobs.into_iter().map(|job| (job.step, Some(job.tx))).unzip();
+async fn run_batch(endpoint: EndpointId, engine: EngineClient, queued: Vec<QueuedStep>) {
+    let (steps, mut waiting): (Vec<_>, Vec<_>) = queued
+        .into_iter()
+        .map(|queued| (queued.step, Some(queued.tx)))
+        .unzip();
     let answered = |result: wire::StepResult| {
         let at = steps.iter().position(|s| {
             let s = &s.step;
             s.start == result.start && s.attempt == result.attempt && s.request == result.request
         });
         let Some(tx) = at.and_then(|i| waiting[i].take()) else {
-            log::warn!("pool: {endpoint} answered a step that was not asked for.");
+            log::warn!(
+                "pool: {endpoint} sent a result for a step that its batch does not contain."
+            );
             return;
         };
         let end = StepEnd::Answered(result);
-        // The request may have ended meanwhile; then nobody waits for the result.
+        // The channel is closed if the request has ended meanwhile.
         let _ = tx.send(StepReport {
             endpoint: endpoint.clone(),
             end,
--- a/crates/entry/src/recording.rs
+++ b/crates/entry/src/recording.rs
@@ -1,7 +1,7 @@
-//! Records of calls that are not repeatable, as this host writes them.
+//! Writes this host's records of calls that are not repeatable.
 //!
-//! [`Recording`] carries out what the recorder asks for: it runs its transactions on the table and
-//! answers the requests that wait for them.
+//! [`Recording`] executes the actions of the [`Recorder`]: it runs the recorder's transactions on the
+//! table and reports the results to the waiting requests.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,45 +22,47 @@
     requests::{Refusal, RequestKey},
 };
 
-/// The recorder is looked at this often at most by the timer, so that it can't starve the arbiter.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
-/// The recorder is looked at this often at least.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// The timer waits at least this long before it runs the recorder, so that it can't starve the
+/// arbiter.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// The timer waits at most this long before it runs the recorder.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// How often a host deletes the records of past buckets, give or take half, so that hosts don't do
-/// so together. A bucket lasts a day; deleting what is gone already costs one write.
-const TRIM_EVERY: Duration = Duration::from_secs(6 * 3600);
+/// The mean interval at which a host deletes the records of past buckets. Each interval is drawn from
+/// 0.5 to 1.5 times this one, so that hosts don't delete at the same time. A bucket covers one day;
+/// deleting a bucket that is already deleted costs one write.
+const TRIM_INTERVAL: Duration = Duration::from_secs(6 * 3600);
 
-/// What became of a request to record a call.
+/// The result of a request to record a call.
 #[derive(Debug)]
-pub enum Recorded {
-    /// It may be dispatched, once.
-    Ours(Permit),
-    /// It was begun before, here or elsewhere.
-    Known(Record),
-    /// It was not run and won't be.
+pub enum RecordResult {
+    /// This host has recorded the call and may dispatch it once.
+    New(Permit),
+    /// The call has a record already: this or another host has started it before.
+    Existing(Record),
+    /// The call was not run and won't be.
     Refused(Refusal),
 }
 
-struct Waiting {
+struct WaitingCall {
     ticket: RecordTicket,
-    tx: oneshot::Sender<Recorded>,
+    tx: oneshot::Sender<RecordResult>,
 }
 
-/// The recorder of one host.
+/// The recorder of one host, with its timer and its table.
 pub struct Recording {
     clock: Clock,
     recorder: RefCell<Recorder>,
-    /// Few at a time: those of one group commit.
-    waiting: RefCell<Vec<Waiting>>,
+    /// The calls that wait for their record. Only those of one group commit, so a list is enough.
+    waiting: RefCell<Vec<WaitingCall>>,
     table: Table,
-    /// When the timer goes off next.
-    armed: Cell<Duration>,
-    rearm: Notify,
+    /// When the timer fires next, by `clock`.
+    timer_deadline: Cell<Duration>,
+    timer_changed: Notify,
 }
 
 impl Recording {
-    /// The recorder of host `me`.
+    /// Creates the recorder of host `me` and starts its timer.
     pub fn new(clock: Clock, me: HostRef, table: Table) -> Rc<Self> {
         let unix_origin = Duration::from_millis(wall_ms()).saturating_sub(clock.now());
         let recording = Rc::new(Self {
@@ -68,57 +70,57 @@
             recorder: RefCell::new(Recorder::new(Config::new(me, unix_origin))),
             waiting: RefCell::default(),
             table,
-            armed: Cell::new(Duration::ZERO),
-            rearm: Notify::new(),
+            timer_deadline: Cell::new(Duration::ZERO),
+            timer_changed: Notify::new(),
         });
         actix_rt::spawn(recording.clone().run_timer());
         recording
     }
 
-    /// Records the call `key` before anything of it leaves for an endpoint.
-    pub async fn begin(self: &Rc<Self>, key: &RequestKey, fingerprint: u64) -> Recorded {
+    /// Records the call `key`. Must return before any part of the call is sent to an endpoint.
+    pub async fn begin(self: &Rc<Self>, key: &RequestKey, fingerprint: u64) -> RecordResult {
         let (tx, rx) = oneshot::channel();
-        let name = format!("{}/{}", key.workspace, key.id);
+        let id = format!("{}/{}", key.workspace, key.id);
         let mut actions = Vec::new();
         let ticket = {
             let mut recorder = self.recorder.borrow_mut();
-            recorder.begin(self.clock.now(), &name, fingerprint, &mut actions)
+            recorder.begin(self.clock.now(), &id, fingerprint, &mut actions)
         };
-        self.waiting.borrow_mut().push(Waiting { ticket, tx });
-        self.carry_out(actions);
+        self.waiting.borrow_mut().push(WaitingCall { ticket, tx });
+        self.execute(actions);
         rx.await.unwrap_or_else(|_| {
             let kind = dragonflyrill_delivery::NotRunKind::NotReady;
-            Recorded::Refused(Refusal::new(kind, "the host is stopping"))
+            RecordResult::Refused(Refusal::new(kind, "the host is stopping"))
         })
     }
 
-    /// The recorded call has ended.
+    /// Puts the outcome of a call that has ended into its record.
     pub fn finish(self: &Rc<Self>, ticket: RecordTicket, outcome: Outcome) {
         self.recorder
             .borrow_mut()
             .finish(self.clock.now(), ticket, outcome);
-        self.carry_out(Vec::new());
+        self.execute(Vec::new());
     }
 
-    /// The recorded call was not dispatched in time and never will be.
+    /// Reports that a recorded call was not dispatched within the term of its permit and never will be.
     pub fn abandon(self: &Rc<Self>, expired: ExpiredPermit) {
         self.recorder
             .borrow_mut()
             .abandon(self.clock.now(), expired);
-        self.carry_out(Vec::new());
+        self.execute(Vec::new());
     }
 
-    fn carry_out(self: &Rc<Self>, actions: Vec<Action>) {
+    fn execute(self: &Rc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::CallTable { id, call } => {
                     actix_rt::spawn(self.clone().call_table(id, call));
                 }
                 Action::Recorded { ticket, permit } => {
-                    self.answer(ticket, Recorded::Ours(permit));
+                    self.answer(ticket, RecordResult::New(permit));
                 }
                 Action::AlreadyRecorded { ticket, record } => {
-                    self.answer(ticket, Recorded::Known(record));
+                    self.answer(ticket, RecordResult::Existing(record));
                 }
                 Action::Refused {
                     ticket,
@@ -132,21 +134,22 @@
                         message,
                         retry_after,
                     };
-                    self.answer(ticket, Recorded::Refused(refusal));
+                    self.answer(ticket, RecordResult::Refused(refusal));
                 }
             }
         }
         let next = self.recorder.borrow().next_tick();
-        if next.is_some_and(|next| next < self.armed.get()) {
-            self.rearm.notify_one();
+        if next.is_some_and(|next| next < self.timer_deadline.get()) {
+            self.timer_changed.notify_one();
         }
     }
 
-    fn answer(&self, ticket: RecordTicket, recorded: Recorded) {
+    fn answer(&self, ticket: RecordTicket, result: RecordResult) {
         let mut waiting = self.waiting.borrow_mut();
         if let Some(at) = waiting.iter().position(|w| w.ticket == ticket) {
-            // A call that was given up while it waited drops its permit, so it is never dispatched.
-            let _ = waiting.swap_remove(at).tx.send(recorded);
+            // If the call was abandoned while it waited, its permit is dropped, so the call is never
+            // dispatched.
+            let _ = waiting.swap_remove(at).tx.send(result);
         }
     }
 
@@ -156,35 +159,35 @@
         self.recorder
             .borrow_mut()
             .on_table_result(self.clock.now(), id, result, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     async fn run_timer(self: Rc<Self>) {
-        let mut trim_at = self.clock.now() + spread(TRIM_EVERY);
+        let mut trim_at = self.clock.now() + jitter(TRIM_INTERVAL);
         loop {
             let now = self.clock.now();
             if now >= trim_at {
-                trim_at = now + spread(TRIM_EVERY);
+                trim_at = now + jitter(TRIM_INTERVAL);
                 let mut actions = Vec::new();
                 self.recorder.borrow_mut().trim(now, &mut actions);
-                self.carry_out(actions);
+                self.execute(actions);
             }
-            let latest = now + LONGEST_SLEEP;
+            let latest = now + MAX_SLEEP;
             let next = self.recorder.borrow().next_tick().unwrap_or(latest);
-            let next = next.clamp(now + SHORTEST_SLEEP, latest);
-            self.armed.set(next);
+            let next = next.clamp(now + MIN_SLEEP, latest);
+            self.timer_deadline.set(next);
             tokio::select! {
                 () = actix_rt::time::sleep(next.saturating_sub(now)) => {
                     let mut actions = Vec::new();
                     self.recorder.borrow_mut().tick(self.clock.now(), &mut actions);
-                    self.carry_out(actions);
+                    self.execute(actions);
                 }
-                () = self.rearm.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 }
 
-fn spread(interval: Duration) -> Duration {
+fn jitter(interval: Duration) -> Duration {
     interval.mul_f64(rand::random_range(0.5..1.5))
 }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Accepting callers' connections, and draining.
+//! Accepts callers' connections, and drains the host on shutdown.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -8,14 +8,17 @@
 
 use crate::{caller, control, host::Host};
 
-/// How long an idle connection is kept.
+/// How long an idle connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// How long a client may take to send a request's head.
+/// The time within which a client must send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a drain looks whether it is done.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// The interval at which a drain checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves callers on `listener` until the task is dropped.
+///
+/// # Errors
+/// The HTTP service can't be created. A connection that can't be accepted is only logged.
 pub async fn serve(host: Rc<Host>, listener: TcpListener) -> io::Result<()> {
     let factory = HttpService::build()
         .keep_alive(KEEP_ALIVE)
@@ -27,7 +30,7 @@
     let service = factory
         .new_service(())
         .await
-        .map_err(|()| io::Error::other("the HTTP service can't be made"))?;
+        .map_err(|()| io::Error::other("the HTTP service can't be created"))?;
     loop {
         let (io, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
@@ -36,43 +39,44 @@
                 continue;
             }
         };
-        accepted(&service, io, peer);
+        serve_connection(&service, io, peer);
     }
 }
 
-fn accepted<S>(service: &S, io: tokio::net::TcpStream, peer: SocketAddr)
+fn serve_connection<S>(service: &S, io: tokio::net::TcpStream, peer: SocketAddr)
 where
     S: Service<tokio::net::TcpStream, Response = ()>,
     S::Future: 'static,
     S::Error: std::fmt::Debug,
 {
     if let Err(e) = io.set_nodelay(true) {
-        log::debug!("serve: No-delay of {peer} was not set: {e}.");
+        log::debug!("serve: TCP_NODELAY could not be set for {peer}: {e}.");
     }
     let connection = service.call(io);
     actix_rt::spawn(async move {
         if let Err(e) = connection.await {
-            log::debug!("serve: The connection of {peer} ended: {e:?}.");
+            log::debug!("serve: The connection of {peer} failed: {e:?}.");
         }
     });
 }
 
-/// Takes no new requests and waits until all running ones have ended, or the limit is over.
+/// Refuses new requests and waits until all running ones have ended, at most the drain limit of the
+/// settings. Also hands this host's rights over to other hosts and reports its shutdown to them.
 ///
-/// Returns how many were still running.
+/// Returns the number of requests that were still running at the end of the wait.
 pub async fn drain(host: &Host) -> usize {
     host.draining.set(true);
     host.admission.leave();
-    // Closed only when the control arbiter has stopped already.
+    // The channel is closed only after the control arbiter has stopped.
     let _ = host.control.send(control::actor::Event::Leave);
     let running = host.requests.borrow().running();
-    log::info!("drain: No new requests are taken; {running} are running.");
+    log::info!("drain: New requests are refused; {running} are running.");
     let until = host.now() + host.settings.drain;
     loop {
         let running = host.requests.borrow().running();
         if running == 0 || host.now() >= until {
             return running;
         }
-        actix_rt::time::sleep(DRAIN_POLL).await;
+        actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
