--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: the owners' limits as this host takes part in them.
+//! Admits requests under the limits of their workspaces, which all hosts share.
 //!
-//! [`Admission`] carries out what the limiter asks for: it answers waiting requests, sends messages
-//! about rights to peers by way of the control arbiter, and runs transactions on the table.
+//! [`Admission`] executes the actions of the limiter: it answers waiting requests, sends messages about
+//! rights to peers through the control arbiter, and runs transactions on the table.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,15 +25,15 @@
     requests::Refusal,
 };
 
-/// The most requests that wait under one limit.
-const QUEUE: usize = 1024;
-/// The limiter is looked at this often at most by the timer, also when it waits for something that
-/// is overdue, so that the timer can't starve the arbiter.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
-/// The limiter is looked at this often at least.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// The maximum number of requests that wait under one limit.
+const MAX_QUEUED_PER_LIMIT: usize = 1024;
+/// The timer waits at least this long before it runs the limiter, also when the limiter's next tick is
+/// overdue, so that the timer can't starve the arbiter.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// The timer waits at most this long before it runs the limiter.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Whether the right under which a request runs stands.
+/// Whether the right under which a request runs is valid or suspended.
 #[derive(Debug, Default)]
 pub struct Gate {
     suspended: Cell<bool>,
@@ -41,12 +41,12 @@
 }
 
 impl Gate {
-    /// Whether nothing of the request may run now.
+    /// Whether the right is suspended, so that no part of the request may run now.
     pub fn is_suspended(&self) -> bool {
         self.suspended.get()
     }
 
-    /// Waits until the gate opens or closes.
+    /// Waits until the right is next suspended or resumed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -59,24 +59,24 @@
 
 type Verdict = Result<(), Refusal>;
 
-/// A request known to the limiter.
-struct Open {
-    /// Taken once the verdict is given.
+/// A request that the limiter has queued or admitted.
+struct OpenRequest {
+    /// `None` once the verdict is sent.
     verdict: Option<oneshot::Sender<Verdict>>,
     gate: Rc<Gate>,
 }
 
-/// The limits on one host.
+/// The admission of requests on one host.
 pub struct Admission {
     clock: Clock,
     limiter: RefCell<limits::HostLimiter>,
-    open: RefCell<FxHashMap<limits::Ticket, Open>>,
+    open: RefCell<FxHashMap<limits::Ticket, OpenRequest>>,
     control: ControlSender,
     table: Table,
-    /// When the timer goes off next.
-    armed: Cell<Duration>,
-    rearm: Notify,
-    /// Whether the host has stopped: nothing is done any more.
+    /// When the timer fires next, by `clock`.
+    timer_deadline: Cell<Duration>,
+    timer_changed: Notify,
+    /// Whether the host has stopped, so that the timer no longer runs the limiter.
     stopped: Cell<bool>,
 }
 
@@ -89,13 +89,13 @@
 }
 
 impl Permit {
-    /// Whether the right under which the request runs stands.
+    /// Whether the right under which the request runs is suspended.
     pub fn gate(&self) -> &Rc<Gate> {
         &self.gate
     }
 
-    /// Says how many tokens the request has used so far.
-    pub fn used(&self, tokens: u32) {
+    /// Sets the number of tokens that the request has used so far.
+    pub fn set_used(&self, tokens: u32) {
         self.used.set(tokens);
     }
 }
@@ -106,14 +106,14 @@
     }
 }
 
-/// An ask that waits. Withdrawn when dropped before its verdict.
-struct Pending {
+/// A request that waits for its verdict. Withdrawn if dropped before.
+struct PendingRequest {
     admission: Rc<Admission>,
     ticket: limits::Ticket,
     answered: bool,
 }
 
-impl Drop for Pending {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if !self.answered {
             self.admission.withdraw(self.ticket);
@@ -122,7 +122,7 @@
 }
 
 impl Admission {
-    /// The limits on host `me`, which knows none yet.
+    /// Creates the admission of host `me`, without limits, and starts its timer.
     pub fn new(
         clock: Clock,
         me: HostRef,
@@ -135,7 +135,7 @@
             data_centre,
             seed: rand::random(),
             terms: limits::Terms::default(),
-            max_queued_per_key: QUEUE,
+            max_queued_per_key: MAX_QUEUED_PER_LIMIT,
         };
         let admission = Rc::new(Self {
             clock,
@@ -143,34 +143,40 @@
             open: RefCell::default(),
             control,
             table,
-            armed: Cell::new(Duration::ZERO),
-            rearm: Notify::new(),
+            timer_deadline: Cell::new(Duration::ZERO),
+            timer_changed: Notify::new(),
             stopped: Cell::new(false),
         });
         actix_rt::spawn(admission.clone().run_timer());
         admission
     }
 
-    /// Waits until a request may run, or is refused.
-    pub async fn admit(self: &Rc<Self>, ask: &limits::AdmissionRequest) -> Result<Permit, Refusal> {
+    /// Waits until `request` may run.
+    ///
+    /// # Errors
+    /// The limiter to_refusal the request, or the host is stopping.
+    pub async fn admit(
+        self: &Rc<Self>,
+        request: &limits::AdmissionRequest,
+    ) -> Result<Permit, Refusal> {
         let (tx, rx) = oneshot::channel();
         let gate = Rc::new(Gate::default());
         let mut actions = Vec::new();
         let ticket =
             self.limiter
                 .borrow_mut()
-                .request_admission(self.clock.now(), ask, &mut actions);
-        let open = Open {
+                .request_admission(self.clock.now(), request, &mut actions);
+        let open = OpenRequest {
             verdict: Some(tx),
             gate: gate.clone(),
         };
         self.open.borrow_mut().insert(ticket, open);
-        let mut pending = Pending {
+        let mut pending = PendingRequest {
             admission: self.clone(),
             ticket,
             answered: false,
         };
-        self.carry_out(actions);
+        self.execute(actions);
         let verdict = rx.await;
         pending.answered = true;
         match verdict {
@@ -188,22 +194,25 @@
         }
     }
 
-    /// Takes over the limits in force.
+    /// Applies the limits, data centres and weights of the catalogue in force.
     pub fn configure(self: &Rc<Self>, catalogue: &Catalogue) {
         let limits: Vec<LimitEntry> = catalogue.entries().filter_map(as_limit).cloned().collect();
         let data_centres = data_centres(catalogue);
-        let weights: Vec<_> = catalogue.entries().filter_map(as_weight).collect();
+        let weights: Vec<_> = catalogue
+            .entries()
+            .filter_map(as_workspace_weight)
+            .collect();
         let declared = limits::Declaration {
             revision: catalogue.revision().0,
             data_centres: &data_centres,
             limits: &limits,
             weights: &weights,
         };
-        self.with(|limiter, now, actions| limiter.configure(now, &declared, actions));
+        self.with_limiter(|limiter, now, actions| limiter.configure(now, &declared, actions));
     }
 
-    /// Takes over the view of which hosts live.
-    pub fn peers(self: &Rc<Self>, peers: &[PeerInfo]) {
+    /// Replaces the list of the other live hosts.
+    pub fn set_peers(self: &Rc<Self>, peers: &[PeerInfo]) {
         let peers: Vec<_> = peers
             .iter()
             .map(|p| limits::Peer {
@@ -211,40 +220,40 @@
                 data_centre: p.data_centre.clone(),
             })
             .collect();
-        self.with(|limiter, now, actions| limiter.set_peers(now, &peers, actions));
+        self.with_limiter(|limiter, now, actions| limiter.set_peers(now, &peers, actions));
     }
 
-    /// Takes in a message of a peer.
+    /// Handles a peer's message about rights.
     pub fn receive(self: &Rc<Self>, from: &HostRef, message: rights::Message) {
-        self.with(|limiter, now, actions| limiter.receive(now, from, message, actions));
+        self.with_limiter(|limiter, now, actions| limiter.receive(now, from, message, actions));
     }
 
-    /// Hands all rights to lend over to the other hosts.
-    pub fn leave(self: &Rc<Self>) {
-        self.with(|limiter, now, actions| limiter.hand_over(now, actions));
+    /// Hands this host's rights to lend over to the other hosts, on shutdown.
+    pub fn hand_over(self: &Rc<Self>) {
+        self.with_limiter(|limiter, now, actions| limiter.hand_over(now, actions));
     }
 
-    /// Ends all that the limiter does, as the end of the process would.
+    /// Stops the timer that runs the limiter, as the end of the process would.
     pub fn stop(&self) {
         self.stopped.set(true);
     }
 
-    /// What operators see.
+    /// The limiter's state, for operators.
     pub fn status(&self) -> limits::Status {
         self.limiter.borrow().status(self.clock.now())
     }
 
     fn settle(self: &Rc<Self>, ticket: limits::Ticket, used: u32) {
         self.open.borrow_mut().remove(&ticket);
-        self.with(|limiter, now, actions| limiter.settle(now, ticket, used, actions));
+        self.with_limiter(|limiter, now, actions| limiter.settle(now, ticket, used, actions));
     }
 
     fn withdraw(self: &Rc<Self>, ticket: limits::Ticket) {
         self.open.borrow_mut().remove(&ticket);
-        self.with(|limiter, now, actions| limiter.withdraw(now, ticket, actions));
+        self.with_limiter(|limiter, now, actions| limiter.withdraw(now, ticket, actions));
     }
 
-    fn with(
+    fn with_limiter(
         self: &Rc<Self>,
         event: impl FnOnce(&mut limits::HostLimiter, Duration, &mut Vec<limits::Action>),
     ) {
@@ -254,10 +263,10 @@
             self.clock.now(),
             &mut actions,
         );
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn carry_out(self: &Rc<Self>, actions: Vec<limits::Action>) {
+    fn execute(self: &Rc<Self>, actions: Vec<limits::Action>) {
         for action in actions {
             match action {
                 limits::Action::Admit(ticket) => self.answer(ticket, Ok(())),
@@ -266,13 +275,13 @@
                     refusal,
                     retry_after,
                 } => {
-                    self.answer(ticket, Err(refused(refusal, retry_after)));
+                    self.answer(ticket, Err(to_refusal(refusal, retry_after)));
                     self.open.borrow_mut().remove(&ticket);
                 }
-                limits::Action::Suspend(ticket) => self.suspend(ticket, true),
-                limits::Action::Resume(ticket) => self.suspend(ticket, false),
+                limits::Action::Suspend(ticket) => self.set_suspended(ticket, true),
+                limits::Action::Resume(ticket) => self.set_suspended(ticket, false),
                 limits::Action::Send { to, message } => {
-                    // Closed means that the host is stopping.
+                    // The channel is closed only while the host is stopping.
                     let _ = self.control.send(Event::Send(to, Message::Rights(message)));
                 }
                 limits::Action::Table { id, call } => {
@@ -281,26 +290,28 @@
             }
         }
         let next = self.limiter.borrow().next_tick(self.clock.now());
-        if next < self.armed.get() {
-            self.rearm.notify_one();
+        if next < self.timer_deadline.get() {
+            self.timer_changed.notify_one();
         }
     }
 
     async fn call_table(self: Rc<Self>, id: limits::TxnId, call: TableCall) {
         let result = self.table.call(&call).await;
-        self.with(|limiter, now, actions| limiter.handle_table_answer(now, id, result, actions));
+        self.with_limiter(|limiter, now, actions| {
+            limiter.handle_table_answer(now, id, result, actions)
+        });
     }
 
     fn answer(&self, ticket: limits::Ticket, verdict: Verdict) {
         let mut open = self.open.borrow_mut();
         let tx = open.get_mut(&ticket).and_then(|o| o.verdict.take());
         if let Some(tx) = tx {
-            // The request may have been given up at this very moment; its ticket is withdrawn.
+            // Fails if the request is abandoned at the same time; its ticket is withdrawn then.
             let _ = tx.send(verdict);
         }
     }
 
-    fn suspend(&self, ticket: limits::Ticket, suspended: bool) {
+    fn set_suspended(&self, ticket: limits::Ticket, suspended: bool) {
         if let Some(open) = self.open.borrow().get(&ticket) {
             open.gate.set(suspended);
         }
@@ -310,19 +321,19 @@
         while !self.stopped.get() {
             let now = self.clock.now();
             let next = self.limiter.borrow().next_tick(now);
-            let next = next.clamp(now + SHORTEST_SLEEP, now + LONGEST_SLEEP);
-            self.armed.set(next);
+            let next = next.clamp(now + MIN_SLEEP, now + MAX_SLEEP);
+            self.timer_deadline.set(next);
             tokio::select! {
                 () = actix_rt::time::sleep(next.saturating_sub(now)) => {
-                    self.with(|limiter, now, actions| limiter.tick(now, actions));
+                    self.with_limiter(|limiter, now, actions| limiter.tick(now, actions));
                 }
-                () = self.rearm.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 }
 
-fn refused(refusal: limits::Refusal, retry_after: Duration) -> Refusal {
+fn to_refusal(refusal: limits::Refusal, retry_after: Duration) -> Refusal {
     match refusal {
         limits::Refusal::NoLimit => Refusal::new(
             NotRunKind::NoLimit,
@@ -347,14 +358,14 @@
     }
 }
 
-fn as_weight(entry: &Entry) -> Option<(dragonflyrill_catalogue::WorkspaceName, u32)> {
+fn as_workspace_weight(entry: &Entry) -> Option<(dragonflyrill_catalogue::WorkspaceName, u32)> {
     match entry {
         Entry::Workspace(e) => Some((e.name.clone(), e.weight)),
         _ => None,
     }
 }
 
-/// The data centres over which limits are split, in order.
+/// The data centres over which limits are split, in the catalogue's order.
 fn data_centres(catalogue: &Catalogue) -> Vec<DataCentre> {
     let declared = catalogue.entries().filter_map(|entry| match entry {
         Entry::DataCentre(e) => Some(e.name.clone()),
--- a/crates/entry/src/caller/completion.rs
+++ b/crates/entry/src/caller/completion.rs
@@ -96,7 +96,7 @@
     if !host.ready() {
         return Err(answer::not_ready());
     }
-    let body = body::read(&mut req, host.settings.max_body).await?;
+    let body = body::read(&mut req, host.settings.max_body_bytes).await?;
     let envelope = Envelope::read(host, req.headers())?;
     let call = check(host, envelope, &body)?;
     let (stream, prompt_tokens) = (call.stream, call.prompt.len());
--- a/crates/entry/src/caller/envelope.rs
+++ b/crates/entry/src/caller/envelope.rs
@@ -64,7 +64,7 @@
         let class = text(headers, CLASS)?.unwrap_or(DEFAULT_CLASS);
         let class = ClassName::try_from(class).map_err(|e| bad(CLASS, class, &e.to_string()))?;
         let time_left = text(headers, DEADLINE)?.map(time_left).transpose()?;
-        let deadline = host.now() + time_left.unwrap_or(host.settings.deadline);
+        let deadline = host.now() + time_left.unwrap_or(host.settings.default_deadline);
         let key = text(headers, IDEMPOTENCY_KEY)?.map(key).transpose()?;
         let repeatable = text(headers, REPEATABLE)?.map(truth).transpose()?;
         Ok(Self {
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -144,7 +144,7 @@
     };
     let generated = slot.progress().tokens.len() as u32;
     if generated > 0 {
-        permit.used(call.prompt.len() as u32 + generated);
+        permit.set_used(call.prompt.len() as u32 + generated);
     }
     result
 }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -186,7 +186,7 @@
     }
 
     fn replace_peers(&self, peers: Vec<PeerInfo>) {
-        self.admission.peers(&peers);
+        self.admission.set_peers(&peers);
         self.peers.replace(peers.into());
     }
 
@@ -194,7 +194,7 @@
     ///
     /// A claim whose holder is no longer among the live hosts is released first.
     pub fn claim(&self, claim: Claim) -> Claimed {
-        let keep = self.settings.keep_answers + self.settings.deadline;
+        let keep = self.settings.keep_answers + self.settings.default_deadline;
         let claimed = self
             .claims
             .borrow_mut()
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -23,9 +23,9 @@
     /// # Errors
     /// An address of the settings can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Self> {
-        let callers = listen(settings.callers).await?;
-        let peers = std::net::TcpListener::bind(settings.peers)
-            .map_err(|e| bind_error(settings.peers, &e))?;
+        let callers = listen(settings.callers_addr).await?;
+        let peers = std::net::TcpListener::bind(settings.peers_addr)
+            .map_err(|e| bind_error(settings.peers_addr, &e))?;
         let addrs = (callers.local_addr()?, peers.local_addr()?);
         let (control_tx, control_rx) = mpsc::unbounded_channel();
         let host = Host::new(settings.clone(), Clock::start(), control_tx.clone());
@@ -40,9 +40,9 @@
             listener: peers,
             platform: settings.platform,
             seeds: settings.seeds.clone(),
-            poll: settings.poll,
-            poll_hosts: settings.poll_hosts,
-            compare: settings.compare,
+            poll: settings.poll_interval,
+            poll_hosts: settings.poll_hosts_interval,
+            compare: settings.compare_timeout,
         };
         let (tx, rx) = mpsc::unbounded_channel();
         let control = actix_rt::Arbiter::new();
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -66,12 +66,12 @@
 /// Returns the number of requests that were still running at the end of the wait.
 pub async fn drain(host: &Host) -> usize {
     host.draining.set(true);
-    host.admission.leave();
+    host.admission.hand_over();
     // The channel is closed only after the control arbiter has stopped.
     let _ = host.control.send(control::actor::Event::Leave);
     let running = host.requests.borrow().running();
     log::info!("drain: New requests are refused; {running} are running.");
-    let until = host.now() + host.settings.drain;
+    let until = host.now() + host.settings.drain_limit;
     loop {
         let running = host.requests.borrow().running();
         if running == 0 || host.now() >= until {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The host's settings: an INI file, parsed once into checked types.
+//! The settings of an entry host: an INI file, parsed once into checked types.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -12,48 +12,48 @@
 pub struct Settings {
     /// This host's id, unique in the fleet.
     pub host: Name,
-    /// Where this host is.
+    /// The data centre of this host.
     pub data_centre: DataCentre,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where other hosts connect.
-    pub peers: SocketAddr,
-    /// Other hosts to ask for the host list while the platform's can't be read.
+    /// The address to listen on for callers.
+    pub callers_addr: SocketAddr,
+    /// The address to listen on for other hosts.
+    pub peers_addr: SocketAddr,
+    /// Hosts to fetch the host list from while the platform's can't be read.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's table, object store and host list.
+    /// The address of the platform, which serves the table, the object store and the host list.
     pub platform: SocketAddr,
-    /// How often the platform is asked for changes, by the hosts that poll it.
-    pub poll: Duration,
-    /// How often the platform is asked for the host list, by each host.
-    pub poll_hosts: Duration,
-    /// How long a starting host waits to hear of the peers' catalogue before it asks the platform.
-    pub compare: Duration,
-    /// The largest request body accepted, in bytes.
-    pub max_body: usize,
-    /// How long a finished answer is kept.
+    /// The interval at which a host polls the platform for changes, if it is one of those that poll.
+    pub poll_interval: Duration,
+    /// The interval at which each host polls the platform for the host list.
+    pub poll_hosts_interval: Duration,
+    /// How long a starting host waits for its peers' catalogue before it reads the platform's.
+    pub compare_timeout: Duration,
+    /// The maximum size of a request body, in bytes.
+    pub max_body_bytes: usize,
+    /// How long the answer of a finished request is kept.
     pub keep_answers: Duration,
-    /// The deadline of a request for which nothing else says one.
-    pub deadline: Duration,
-    /// A KV checkpoint is asked for every so many tokens; 0 is never.
+    /// The time that a request has if neither its headers nor its limit set a deadline.
+    pub default_deadline: Duration,
+    /// The number of tokens between two exports of a KV checkpoint; 0 exports none.
     pub checkpoint_every: u32,
-    /// How long a drain may last.
-    pub drain: Duration,
-    /// Where spans go.
+    /// The maximum duration of a drain.
+    pub drain_limit: Duration,
+    /// Where spans are exported to.
     pub spans: Spans,
 }
 
-/// Where spans go.
+/// Where spans are exported to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Spans {
     /// Nowhere.
     Off,
-    /// To a file, one JSON object a line.
+    /// To the file of this path, one JSON object a line.
     File(String),
-    /// To a collector, by OTLP over HTTP.
+    /// To the collector at this address, by OTLP over HTTP.
     Otlp(SocketAddr),
 }
 
-/// The sections and keys that may appear.
+/// The sections of the file and the keys of each.
 const KNOWN: dragonflyrill_settings::Known = &[
     ("host", &["id", "data_centre"]),
     ("listen", &["callers", "peers", "seeds"]),
@@ -76,12 +76,18 @@
 
 impl Settings {
     /// Reads and checks the file at `path`.
+    ///
+    /// # Errors
+    /// The file can't be read, or everything that is wrong in it.
     pub fn read(path: &Path) -> Result<Self, Vec<SettingError>> {
         let text = dragonflyrill_settings::read(path)?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Checks `text`, which came from `file`; answers everything that is wrong.
+    /// Checks `text`, the content of `file`.
+    ///
+    /// # Errors
+    /// Everything that is wrong in the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<SettingError>> {
         let mut p = Parser::new(file, text)?;
         p.refuse_unknown(KNOWN);
@@ -91,46 +97,47 @@
         let data_centre = p.required("host", "data_centre", |v| {
             DataCentre::try_from(v).map_err(|e| e.to_string())
         });
-        let callers = p.required("listen", "callers", address);
-        let peers = p.required("listen", "peers", address);
+        let callers_addr = p.required("listen", "callers", address);
+        let peers_addr = p.required("listen", "peers", address);
         let seeds = p.optional("listen", "seeds", "", addresses);
         let platform = p.required("platform", "address", address);
-        let poll = p.optional("platform", "poll_ms", "200", |v| millis(v, 10, 60_000));
-        let poll_hosts = p.optional("platform", "poll_hosts_ms", "1000", |v| {
+        let poll_interval = p.optional("platform", "poll_ms", "200", |v| millis(v, 10, 60_000));
+        let poll_hosts_interval = p.optional("platform", "poll_hosts_ms", "1000", |v| {
             millis(v, 10, 60_000)
         });
-        let compare = p.optional("platform", "compare_ms", "2000", |v| millis(v, 0, 60_000));
-        let max_body = p.optional("requests", "max_body_bytes", "1048576", |v| {
+        let compare_timeout =
+            p.optional("platform", "compare_ms", "2000", |v| millis(v, 0, 60_000));
+        let max_body_bytes = p.optional("requests", "max_body_bytes", "1048576", |v| {
             number(v, 1, 1 << 30).map(|n| n as usize)
         });
         let keep_answers = p.optional("requests", "keep_answers_ms", "60000", |v| {
             millis(v, 0, 3_600_000)
         });
-        let deadline = p.optional("requests", "deadline_ms", "30000", |v| {
+        let default_deadline = p.optional("requests", "deadline_ms", "30000", |v| {
             millis(v, 1, 3_600_000)
         });
         let checkpoint_every = p.optional("requests", "checkpoint_every", "0", |v| {
             number(v, 0, 1 << 20).map(|n| n as u32)
         });
-        let drain = p.optional("drain", "limit_ms", "30000", |v| millis(v, 0, 3_600_000));
-        let spans = p.optional("spans", "to", "off", spans);
-        // A value that is missing or wrong has left its error behind.
+        let drain_limit = p.optional("drain", "limit_ms", "30000", |v| millis(v, 0, 3_600_000));
+        let spans = p.optional("spans", "to", "off", parse_spans);
+        // The parser has recorded an error for each value that is missing or invalid.
         let checked = || {
             Some(Self {
                 host: host?,
                 data_centre: data_centre?,
-                callers: callers?,
-                peers: peers?,
+                callers_addr: callers_addr?,
+                peers_addr: peers_addr?,
                 seeds: seeds?,
                 platform: platform?,
-                poll: poll?,
-                poll_hosts: poll_hosts?,
-                compare: compare?,
-                max_body: max_body?,
+                poll_interval: poll_interval?,
+                poll_hosts_interval: poll_hosts_interval?,
+                compare_timeout: compare_timeout?,
+                max_body_bytes: max_body_bytes?,
                 keep_answers: keep_answers?,
-                deadline: deadline?,
+                default_deadline: default_deadline?,
                 checkpoint_every: checkpoint_every?,
-                drain: drain?,
+                drain_limit: drain_limit?,
                 spans: spans?,
             })
         };
@@ -138,7 +145,7 @@
     }
 }
 
-fn spans(value: &str) -> Result<Spans, String> {
+fn parse_spans(value: &str) -> Result<Spans, String> {
     if value == "off" {
         return Ok(Spans::Off);
     }
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -16,7 +16,7 @@
 fn good_settings_have_documented_defaults() {
     let settings = Settings::parse("e.ini", GOOD).expect("good settings");
     assert_eq!(settings.host.as_str(), "geoje-1");
-    assert_eq!(settings.max_body, 1 << 20);
+    assert_eq!(settings.max_body_bytes, 1 << 20);
     assert_eq!(settings.spans, Spans::Off);
 }
 
