--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -154,7 +154,7 @@
     /// Waits until `request` may run.
     ///
     /// # Errors
-    /// The limiter to_refusal the request, or the host is stopping.
+    /// The limiter refused the request, or the host is stopping.
     pub async fn admit(
         self: &Rc<Self>,
         request: &limits::AdmissionRequest,
@@ -343,7 +343,7 @@
             NotRunKind::TooLarge,
             "the request is larger than the limit's burst",
         ),
-        limits::Refusal::OverLimit => Refusal::later(
+        limits::Refusal::OverLimit => Refusal::with_retry_after(
             NotRunKind::OverLimit,
             "the workspace's limit is in use",
             retry_after,
--- a/crates/entry/src/caller/answer.rs
+++ b/crates/entry/src/caller/answer.rs
@@ -14,10 +14,10 @@
 use futures_util::stream;
 use serde::Serialize;
 
-use crate::requests::{End, Failure, Reader, Slot};
+use crate::requests::{Failure, Reader, RequestEnd, Slot};
 
 /// How soon to come back to a host that isn't ready.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
 struct ErrorBody<'a> {
@@ -58,7 +58,7 @@
 /// The failure of a host that takes no requests.
 pub fn not_ready() -> Failure {
     let message = "the host has no catalogue yet, or is draining";
-    Failure::later(ErrorKind::NotReady, message, NOT_READY_RETRY)
+    Failure::with_retry_after(ErrorKind::NotReady, message, NOT_READY_RETRY_AFTER)
 }
 
 /// The failure of a call without a limit.
@@ -95,7 +95,7 @@
 
 /// Whole seconds, rounded up, since the header has no fractions.
 fn retry_seconds(failure: &Failure) -> u64 {
-    let wait = failure.retry_after.unwrap_or(NOT_READY_RETRY);
+    let wait = failure.retry_after.unwrap_or(NOT_READY_RETRY_AFTER);
     wait.as_millis().div_ceil(1000).clamp(1, 3600) as u64
 }
 
@@ -125,9 +125,9 @@
     prompt_tokens: usize,
 ) -> Result<Response<BoxBody>, Failure> {
     let slot = reader.slot();
-    slot.ended().await;
+    slot.wait_for_end().await;
     let progress = slot.progress();
-    if let Some(End::Failed(failure)) = &progress.end {
+    if let Some(RequestEnd::Failed(failure)) = &progress.end {
         return Err(failure.clone());
     }
     let text = progress.text();
@@ -159,7 +159,7 @@
     model: TargetName,
     from: usize,
 ) -> Result<Response<BoxBody>, Failure> {
-    reader.slot().more_than(from).await;
+    reader.slot().wait_for_more(from).await;
     if let Some(failure) = failed_before(reader.slot(), from) {
         return Err(failure);
     }
@@ -181,7 +181,7 @@
 fn failed_before(slot: &Slot, from: usize) -> Option<Failure> {
     let progress = slot.progress();
     match &progress.end {
-        Some(End::Failed(failure)) if progress.tokens.len() <= from => Some(failure.clone()),
+        Some(RequestEnd::Failed(failure)) if progress.tokens.len() <= from => Some(failure.clone()),
         _ => None,
     }
 }
@@ -200,7 +200,7 @@
         if self.done {
             return None;
         }
-        self.reader.slot().more_than(self.next).await;
+        self.reader.slot().wait_for_more(self.next).await;
         let chunk = self.take_events();
         Some((Ok(chunk), self))
     }
@@ -215,11 +215,11 @@
         self.next = self.next.max(progress.tokens.len());
         match &progress.end {
             None => {}
-            Some(End::Failed(failure)) => {
+            Some(RequestEnd::Failed(failure)) => {
                 buf.push_str(&format!("event: error\ndata: {}\n\n", error_json(failure)));
                 self.done = true;
             }
-            Some(End::Whole | End::Called(_)) => {
+            Some(RequestEnd::Complete | RequestEnd::Answered(_)) => {
                 buf.push_str("data: [DONE]\n\n");
                 self.done = true;
             }
--- a/crates/entry/src/caller/attach.rs
+++ b/crates/entry/src/caller/attach.rs
@@ -5,7 +5,7 @@
 use crate::{
     caller::{answer, envelope::Envelope},
     host::Host,
-    requests::{Failure, Opened, Reader, Slot},
+    requests::{Failure, OpenResult, Reader, Slot},
 };
 
 /// A caller's hold on the run of its call.
@@ -31,9 +31,9 @@
     let named = envelope.key.is_some() || !repeatable;
     let mut requests = host.requests.borrow_mut();
     let (slot, fresh) = match requests.open(envelope.request_key(), fingerprint, named) {
-        Opened::Known(slot) => (slot, None),
-        Opened::New(slot) => (slot.clone(), Some(slot)),
-        Opened::Reused => return Err(answer::key_reused()),
+        OpenResult::Known(slot) => (slot, None),
+        OpenResult::New(slot) => (slot.clone(), Some(slot)),
+        OpenResult::KeyReused => return Err(answer::key_reused()),
     };
     host.metrics.running.set(requests.running() as i64);
     Ok(Attached {
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -31,7 +31,7 @@
     drive,
     host::Host,
     recording::RecordResult,
-    requests::{CallAnswer, End, Failure, Reader, Refusal, Slot},
+    requests::{CallAnswer, Failure, Reader, Refusal, RequestEnd, Slot},
 };
 
 /// Where services are called.
@@ -41,7 +41,7 @@
 /// How often a repeatable call, or one known not to have run, is tried.
 const MAX_TRIES: usize = 3;
 /// How soon to come back when no endpoint of a service is live.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A checked call of a plain service.
 #[derive(Debug, Clone)]
@@ -76,10 +76,10 @@
     let envelope = Envelope::read(host, req.headers())?;
     let call = check(host, envelope, &req, body)?;
     let reader = open(host, call)?;
-    reader.slot().ended().await;
+    reader.slot().wait_for_end().await;
     match reader.slot().progress().end.clone() {
-        Some(End::Called(answer)) => Ok(passed_on(reader.slot(), answer)),
-        Some(End::Failed(failure)) => Err(failure),
+        Some(RequestEnd::Answered(answer)) => Ok(passed_on(reader.slot(), answer)),
+        Some(RequestEnd::Failed(failure)) => Err(failure),
         _ => Err(answer::key_reused()),
     }
 }
@@ -144,11 +144,11 @@
 }
 
 async fn run(host: Rc<Host>, slot: Rc<Slot>, call: Call) {
-    let end = match drive::followed(&host, &slot).await {
+    let end = match drive::follow_remote_run(&host, &slot).await {
         Some(end) => end,
         None => match run_limited(&host, &slot, &call).await {
-            Ok(answer) => End::Called(answer),
-            Err(failure) => End::Failed(failure),
+            Ok(answer) => RequestEnd::Answered(answer),
+            Err(failure) => RequestEnd::Failed(failure),
         },
     };
     drive::finish(&host, &slot, end);
@@ -164,12 +164,12 @@
     host.retries.request(&call.envelope.workspace, host.now());
     let _permit = match host.admission.admit(&ask).await {
         Ok(permit) => permit,
-        Err(refusal) if call.repeatable => return Err(refusal.of(req)),
-        Err(refusal) => return Err(drive::refused_once(slot, refusal, req)),
+        Err(refusal) if call.repeatable => return Err(refusal.into_failure(req)),
+        Err(refusal) => return Err(drive::refuse_not_repeatable(slot, refusal, req)),
     };
     match call.repeatable {
         true => run_repeatable(host, slot, call, req.admit()).await,
-        false => run_once(host, slot, call, req.admit_not_repeatable()).await,
+        false => run_not_repeatable(host, slot, call, req.admit_not_repeatable()).await,
     }
 }
 
@@ -182,7 +182,7 @@
 ) -> Result<CallAnswer, Failure> {
     let first = match choose(host, call, &[]) {
         Ok(endpoint) => endpoint,
-        Err(refusal) => return Err(refusal.of(req)),
+        Err(refusal) => return Err(refusal.into_failure(req)),
     };
     let dispatched = req.dispatch();
     let mut tried = vec![first];
@@ -198,10 +198,10 @@
         tried.push(next);
     }
     let kind = dispatched.fail(AfterDispatchKind::EndpointFailed).kind();
-    Err(Failure::later(
+    Err(Failure::with_retry_after(
         kind,
         "the service did not answer",
-        NO_ENDPOINT_RETRY,
+        NO_ENDPOINT_RETRY_AFTER,
     ))
 }
 
@@ -218,7 +218,7 @@
 
 /// Runs a call that must not run twice: its record comes first, and one endpoint gets it, once.
 /// Only where no connection was made is another endpoint tried.
-async fn run_once(
+async fn run_not_repeatable(
     host: &Rc<Host>,
     slot: &Slot,
     call: &Call,
@@ -226,15 +226,17 @@
 ) -> Result<CallAnswer, Failure> {
     let mut endpoint = match choose(host, call, &[]) {
         Ok(endpoint) => endpoint,
-        Err(refusal) => return Err(drive::refused_once(slot, refusal, req)),
+        Err(refusal) => return Err(drive::refuse_not_repeatable(slot, refusal, req)),
     };
     let record = match host.recording.begin(&slot.key, slot.fingerprint).await {
         RecordResult::New(record) => record,
-        RecordResult::Refused(refusal) => return Err(drive::refused_once(slot, refusal, req)),
+        RecordResult::Refused(refusal) => {
+            return Err(drive::refuse_not_repeatable(slot, refusal, req));
+        }
         RecordResult::Existing(record) => return kept(slot, &record),
     };
     let ticket = record.ticket();
-    let dispatched = drive::dispatch_once(host, req.record(record))?;
+    let dispatched = drive::dispatch_not_repeatable(host, req.record(record))?;
     let mut tried = Vec::new();
     loop {
         match call_endpoint(host, slot, call, &endpoint).await {
@@ -260,12 +262,16 @@
     host.recording.finish(ticket, Outcome::Failed);
     let kind = dispatched.fail(AfterDispatchKind::EndpointFailed).kind();
     let message = "the service failed while it may have run the call";
-    Err(Failure::later(kind, message, NO_ENDPOINT_RETRY))
+    Err(Failure::with_retry_after(
+        kind,
+        message,
+        NO_ENDPOINT_RETRY_AFTER,
+    ))
 }
 
 /// Answers a call that was begun before from its record.
 fn kept(slot: &Slot, record: &Record) -> Result<CallAnswer, Failure> {
-    drive::known_failure(slot, record)?;
+    drive::recorded_failure(slot, record)?;
     match &record.state {
         RecordState::Done {
             answer: Some(answer),
@@ -295,7 +301,7 @@
         .router
         .borrow_mut()
         .choose_service(host.now(), service, avoid);
-    chosen.map_err(|e| drive::no_route(&e, service))
+    chosen.map_err(|e| drive::no_endpoint_refusal(&e, service))
 }
 
 async fn call_endpoint(
--- a/crates/entry/src/caller/replayed.rs
+++ b/crates/entry/src/caller/replayed.rs
@@ -16,7 +16,7 @@
     drive,
     host::Host,
     requests::{
-        End, Failure, Opened, Reader, RequestKey, Slot,
+        Failure, OpenResult, Reader, RequestEnd, RequestKey, Slot,
         follow::{self, Runner},
     },
 };
@@ -72,7 +72,7 @@
         let message = format!("no request {} is known here", key.id);
         Failure::new(ErrorKind::UnknownRequest, message)
     };
-    let Runner::There(peer) = follow::runner(host, &key, Intent::Look).await else {
+    let Runner::Peer(peer) = follow::find_runner(host, &key, Intent::Look).await else {
         return Err(unknown());
     };
     let fingerprint = follow::fingerprint(host, &key, &peer)
@@ -83,10 +83,10 @@
         .borrow_mut()
         .open(key.clone(), fingerprint, true);
     match opened {
-        Opened::Known(slot) => Ok(slot),
-        Opened::Reused => Err(unknown()),
-        Opened::New(slot) => {
-            actix_rt::spawn(drive::follow_only(host.clone(), slot.clone(), peer));
+        OpenResult::Known(slot) => Ok(slot),
+        OpenResult::KeyReused => Err(unknown()),
+        OpenResult::New(slot) => {
+            actix_rt::spawn(drive::follow_to_end(host.clone(), slot.clone(), peer));
             Ok(slot)
         }
     }
@@ -107,9 +107,9 @@
     let progress = slot.progress();
     let (state, run, text, error) = match &progress.end {
         None => ("running", "may_have_run", None, None),
-        Some(End::Whole) => ("done", "ran", Some(progress.text()), None),
-        Some(End::Called(_)) => ("done", "ran", None, None),
-        Some(End::Failed(f)) => {
+        Some(RequestEnd::Complete) => ("done", "ran", Some(progress.text()), None),
+        Some(RequestEnd::Answered(_)) => ("done", "ran", None, None),
+        Some(RequestEnd::Failed(f)) => {
             let answer = f.kind.answer();
             ("failed", answer.run.as_str(), None, Some(answer.code))
         }
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what a [`Generation`] asks for until it ends.
+//! Executes the actions of a [`Generation`] until it ends.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,25 +22,25 @@
     requests::{Refusal, Slot},
 };
 
-/// How long the export or import of a KV cache may take.
+/// The timeout of the export or import of a KV checkpoint.
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest a driver sleeps without looking at its generation.
-const LONGEST_SLEEP: Duration = Duration::from_secs(60);
+/// The maximum time that a driver waits before it sends a tick to its generation.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// A step that was sent and not answered.
-struct Underway {
+/// A step that was sent and whose end is not known yet.
+struct StepInFlight {
     endpoint: EndpointId,
     attempt: u32,
     start: u32,
-    work: routing::StepSize,
-    sent: Duration,
-    /// Lasts as long as the step.
+    size: routing::StepSize,
+    sent_at: Duration,
+    /// Ends together with the step.
     _span: tracing::Span,
 }
 
-/// Steps that were asked for and not yet sent.
+/// The first actions of a generation, not executed yet.
 #[derive(Default)]
-pub(super) struct Steps(Vec<Action>);
+pub(super) struct FirstActions(Vec<Action>);
 
 /// Drives one generation.
 pub(super) struct Driver<'a> {
@@ -49,16 +49,18 @@
     call: &'a Completion,
     permit: &'a Permit,
     generation: Generation,
+    /// Endpoints that failed a step of this request.
     avoid: Vec<EndpointId>,
+    /// The last known addresses of the endpoints, also of those that are no longer listed.
     addrs: FxHashMap<EndpointId, SocketAddr>,
     steps_tx: mpsc::UnboundedSender<StepReport>,
     steps_rx: mpsc::UnboundedReceiver<StepReport>,
     kv_tx: mpsc::UnboundedSender<Event>,
     kv_rx: mpsc::UnboundedReceiver<Event>,
-    underway: Vec<Underway>,
-    /// Steps held back while the owner's right is suspended.
-    held: Vec<(EndpointId, wire::Step)>,
-    began: Duration,
+    in_flight: Vec<StepInFlight>,
+    /// Steps that are not sent while the right of the request is suspended.
+    held_steps: Vec<(EndpointId, wire::Step)>,
+    started_at: Duration,
     last_token: Option<Duration>,
     end: Option<Result<(), RunFailure>>,
 }
@@ -67,7 +69,7 @@
     fn drop(&mut self) {
         let now = self.host.now();
         let mut router = self.host.router.borrow_mut();
-        for step in self.underway.drain(..) {
+        for step in self.in_flight.drain(..) {
             router.ended(now, &step.endpoint, routing::Outcome::Abandoned);
         }
         self.host.step_times.set(self.generation.step_times());
@@ -96,19 +98,20 @@
             steps_rx,
             kv_tx,
             kv_rx,
-            underway: Vec::new(),
-            held: Vec::new(),
-            began: host.now(),
+            in_flight: Vec::new(),
+            held_steps: Vec::new(),
+            started_at: host.now(),
             last_token: None,
             end: None,
         }
     }
 
-    /// Starts the generation over `chain` without sending anything yet.
+    /// Starts the generation on `chain`, but sends nothing before [`Driver::run`].
     ///
     /// # Errors
-    /// The work can't be done in time; nothing of it was sent, and nothing will be.
-    pub(super) fn begin(&mut self, chain: Chain) -> Result<Steps, Refusal> {
+    /// The generation failed at its start, such as when its work can't be done by the deadline. Nothing
+    /// was sent, and nothing will be.
+    pub(super) fn start(&mut self, chain: Chain) -> Result<FirstActions, Refusal> {
         let mut actions = Vec::new();
         self.generation
             .handle(self.host.now(), Event::Start(chain), &mut actions);
@@ -117,7 +120,7 @@
             _ => None,
         });
         match refused {
-            None => Ok(Steps(actions)),
+            None => Ok(FirstActions(actions)),
             Some(kind) => Err(Refusal {
                 kind: NotRunKind::try_from(kind).unwrap_or(NotRunKind::DeadlineTooShort),
                 message: kind.answer().meaning.to_owned(),
@@ -126,9 +129,9 @@
         }
     }
 
-    /// Sends `steps`, and goes on until the generation has ended.
-    pub(super) async fn run(&mut self, steps: Steps) -> Result<(), RunFailure> {
-        self.carry_out_all(steps.0);
+    /// Executes the first actions and then drives the generation to its end.
+    pub(super) async fn run(&mut self, first: FirstActions) -> Result<(), RunFailure> {
+        self.execute_all(first.0);
         loop {
             if let Some(end) = self.end.take() {
                 return end;
@@ -140,40 +143,41 @@
         }
     }
 
-    /// Waits for an answer, the generation's next wake, the right's return or the caller's leaving.
+    /// Waits for the end of a step or of an export or import, the generation's next wake, the suspension
+    /// or return of the right, or the last reader's drop.
     async fn next_event(&mut self) -> Option<Event> {
         let gate = self.permit.gate().clone();
         if !gate.is_suspended() {
-            self.send_held();
+            self.send_held_steps();
         }
         let now = self.host.now();
-        // While the right is suspended no step can be late; only the deadline counts.
+        // While the right is suspended, steps don't time out; only the request's deadline applies.
         let wake = match gate.is_suspended() {
             true => Some(self.call.envelope.deadline),
             false => self.generation.next_wake(),
         };
-        let sleep = wake.map_or(LONGEST_SLEEP, |at| at.saturating_sub(now));
+        let sleep = wake.map_or(MAX_SLEEP, |at| at.saturating_sub(now));
         tokio::select! {
-            Some(report) = self.steps_rx.recv() => self.report(report),
+            Some(report) = self.steps_rx.recv() => self.handle_report(report),
             Some(event) = self.kv_rx.recv() => Some(event),
             () = gate.changed() => None,
-            () = self.slot.abandoned() => Some(Event::Cancel),
+            () = self.slot.wait_for_abandonment() => Some(Event::Cancel),
             () = actix_rt::time::sleep(sleep) => Some(Event::Tick),
         }
     }
 
-    fn report(&mut self, report: StepReport) -> Option<Event> {
+    fn handle_report(&mut self, report: StepReport) -> Option<Event> {
         let StepReport { endpoint, end } = report;
         let now = self.host.now();
         match end {
             StepEnd::Answered(result) => {
-                if let Some(step) = self.take_underway(&endpoint, result.attempt, result.start) {
-                    let outcome = outcome_of(&result, now.saturating_sub(step.sent));
+                if let Some(step) = self.remove_in_flight(&endpoint, result.attempt, result.start) {
+                    let outcome = routing_outcome(&result, now.saturating_sub(step.sent_at));
                     if outcome == routing::Outcome::Draining {
                         self.host.report_draining_refusal(&endpoint);
                     }
                     let mut router = self.host.router.borrow_mut();
-                    router.ended_step(now, &endpoint, outcome, step.work);
+                    router.ended_step(now, &endpoint, outcome, step.size);
                 }
                 Some(Event::Result { endpoint, result })
             }
@@ -182,8 +186,8 @@
                 start,
                 error,
             } => {
-                log::warn!("drive: A step at {endpoint} was lost: {error}.");
-                if self.take_underway(&endpoint, attempt, start).is_some() {
+                log::warn!("drive: No result of a step at {endpoint}: {error}.");
+                if self.remove_in_flight(&endpoint, attempt, start).is_some() {
                     let mut router = self.host.router.borrow_mut();
                     router.ended(now, &endpoint, routing::Outcome::Failed);
                 }
@@ -196,34 +200,34 @@
         }
     }
 
-    fn take_underway(
+    fn remove_in_flight(
         &mut self,
         endpoint: &EndpointId,
         attempt: u32,
         start: u32,
-    ) -> Option<Underway> {
+    ) -> Option<StepInFlight> {
         let same =
-            |u: &Underway| u.endpoint == *endpoint && u.attempt == attempt && u.start == start;
-        let at = self.underway.iter().position(same)?;
-        Some(self.underway.swap_remove(at))
+            |u: &StepInFlight| u.endpoint == *endpoint && u.attempt == attempt && u.start == start;
+        let at = self.in_flight.iter().position(same)?;
+        Some(self.in_flight.swap_remove(at))
     }
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.generation.handle(self.host.now(), event, &mut actions);
-        self.carry_out_all(actions);
+        self.execute_all(actions);
     }
 
-    fn carry_out_all(&mut self, actions: Vec<Action>) {
+    fn execute_all(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { endpoint, step } => match self.permit.gate().is_suspended() {
-                true => self.held.push((endpoint, step)),
+                true => self.held_steps.push((endpoint, step)),
                 false => self.send(endpoint, step),
             },
             Action::Release { index, token } => self.release(index, token),
@@ -241,14 +245,15 @@
     }
 
     fn fail(&mut self, kind: ErrorKind) {
-        // Steps have left, so only kinds that say so can come; the fallback claims no less.
+        // Steps were sent, so only kinds of failures after dispatch can occur. The fallback also says
+        // that the request may have run.
         let kind = AfterDispatchKind::try_from(kind).unwrap_or(AfterDispatchKind::EndpointFailed);
         let retry_after = self.generation.retry_after();
         self.end = Some(Err(RunFailure { kind, retry_after }));
     }
 
     fn release(&mut self, index: u32, token: u64) {
-        // Tokens that another host released before this one took over are not released again.
+        // The slot already holds the tokens that a lost run at another host released.
         if (index as usize) < self.slot.progress().tokens.len() {
             return;
         }
@@ -257,13 +262,13 @@
         match self.last_token.replace(now) {
             None => metrics
                 .first_token
-                .observe(now.saturating_sub(self.began).as_secs_f64()),
+                .observe(now.saturating_sub(self.started_at).as_secs_f64()),
             Some(last) => metrics
                 .between_tokens
                 .observe(now.saturating_sub(last).as_secs_f64()),
         }
         metrics.tokens.inc();
-        self.slot.release(token);
+        self.slot.push_token(token);
     }
 
     fn addr(&mut self, endpoint: &EndpointId) -> Option<SocketAddr> {
@@ -280,8 +285,8 @@
         self.addrs.get(endpoint).copied()
     }
 
-    fn send_held(&mut self) {
-        for (endpoint, step) in std::mem::take(&mut self.held) {
+    fn send_held_steps(&mut self) {
+        for (endpoint, step) in std::mem::take(&mut self.held_steps) {
             self.send(endpoint, step);
         }
     }
@@ -290,7 +295,7 @@
         let now = self.host.now();
         let (attempt, start) = (step.attempt, step.start);
         let Some(addr) = self.addr(&endpoint) else {
-            self.gone(endpoint, attempt, start);
+            self.report_unlisted(endpoint, attempt, start);
             return;
         };
         let span = info_span!(
@@ -301,36 +306,36 @@
             attempt,
         );
         let traceparent = context::traceparent(&span);
-        let work = routing::StepSize {
+        let size = routing::StepSize {
             layers: step.layers,
             positions: step.inputs.len() as u32,
         };
-        self.slot.tried(attempt);
+        self.slot.record_attempt(attempt);
         self.host.metrics.steps.inc();
         self.host.router.borrow_mut().sent(now, &endpoint);
         let step = wire::TracedStep { step, traceparent };
         self.host
             .pool
             .send(&endpoint, addr, step, self.steps_tx.clone());
-        self.underway.push(Underway {
+        self.in_flight.push(StepInFlight {
             endpoint,
             attempt,
             start,
-            work,
-            sent: now,
+            size,
+            sent_at: now,
             _span: span,
         });
     }
 
-    /// The endpoint was forgotten since it was chosen.
-    fn gone(&self, endpoint: EndpointId, attempt: u32, start: u32) {
+    /// Reports a step as lost whose endpoint has been removed from the table since it was chosen.
+    fn report_unlisted(&self, endpoint: EndpointId, attempt: u32, start: u32) {
         let error = CallError::NotSent("no longer listed".into());
         let end = StepEnd::Lost {
             attempt,
             start,
             error,
         };
-        // `self.steps_rx` is alive, so this can't fail.
+        // `self.steps_rx` is open, so this can't fail.
         let _ = self.steps_tx.send(StepReport { endpoint, end });
     }
 
@@ -340,14 +345,15 @@
             self.generation.spec().request
         );
         self.host.metrics.replaced.inc();
-        self.note_lost(&lost);
+        self.fail_steps_at(&lost);
         self.avoid.push(lost);
         let now = self.host.now();
         let allowed = self
             .host
             .retries
             .try_retry(&self.call.envelope.workspace, now);
-        let chosen = allowed.then(|| super::choose(self.host, self.call, layers, &self.avoid));
+        let chosen =
+            allowed.then(|| super::choose_chain(self.host, self.call, layers, &self.avoid));
         let event = match chosen {
             Some(Ok(chain)) => Event::Replacement(chain),
             Some(Err(_)) | None => Event::NoReplacement,
@@ -355,11 +361,11 @@
         self.handle(event);
     }
 
-    /// Steps that the lost endpoint did not answer have failed.
-    fn note_lost(&mut self, lost: &EndpointId) {
+    /// Reports the steps in flight at a lost endpoint to the router as failed.
+    fn fail_steps_at(&mut self, lost: &EndpointId) {
         let now = self.host.now();
         let mut router = self.host.router.borrow_mut();
-        self.underway.retain(|step| {
+        self.in_flight.retain(|step| {
             if step.endpoint == *lost {
                 router.ended(now, lost, routing::Outcome::Failed);
             }
@@ -380,14 +386,16 @@
         actix_rt::spawn(async move {
             match engine.export_kv(&request, KV_TIMEOUT).await {
                 Ok(Some(checkpoint)) => {
-                    // The generation may have ended meanwhile.
+                    // The channel is closed if the generation has ended meanwhile.
                     let _ = tx.send(Event::Exported {
                         endpoint,
                         checkpoint,
                     });
                 }
                 Ok(None) => {}
-                Err(e) => log::debug!("drive: No checkpoint from {endpoint}: {e}."),
+                Err(e) => {
+                    log::debug!("drive: The export of a checkpoint at {endpoint} failed: {e}.")
+                }
             }
         });
     }
@@ -403,7 +411,7 @@
             let event = match engine.import_kv(&checkpoint, KV_TIMEOUT).await {
                 Ok(()) => Event::Imported { endpoint, attempt },
                 Err(e) => {
-                    log::warn!("drive: {endpoint} did not take a checkpoint: {e}.");
+                    log::warn!("drive: The import of a checkpoint at {endpoint} failed: {e}.");
                     Event::ImportFailed { endpoint, attempt }
                 }
             };
@@ -418,13 +426,13 @@
     }
 }
 
-fn outcome_of(result: &wire::StepResult, latency: Duration) -> routing::Outcome {
+fn routing_outcome(result: &wire::StepResult, latency: Duration) -> routing::Outcome {
     match &result.outcome {
         wire::StepOutcome::Done { .. } => routing::Outcome::Ok { latency },
         wire::StepOutcome::Refused { reason, .. } => match reason {
             wire::StepRefusal::Leaving => routing::Outcome::Draining,
             wire::StepRefusal::Busy => routing::Outcome::Busy,
-            // The endpoint is well; it only holds another state of the request than was thought.
+            // The endpoint works, but its state of the request differs from the generation's view.
             _ => routing::Outcome::Ok { latency },
         },
     }
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -1,4 +1,4 @@
-//! Drives one request from admission to its end.
+//! Drives one request from its admission to its end.
 
 mod driver;
 
@@ -23,87 +23,99 @@
     host::{Host, PeerInfo},
     recording::RecordResult,
     requests::{
-        End, Failure, Refusal, Slot,
-        follow::{self, Followed, Runner},
+        Failure, Refusal, RequestEnd, Slot,
+        follow::{self, FollowResult, Runner},
     },
 };
 use driver::Driver;
 
-/// How soon to come back when no endpoints cover the model.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
-/// Attempts a lost run may have made that this host doesn't know of. Attempts of the next run begin
-/// above them, so that engines drop what is left of the lost one.
+/// The retry delay that callers get if no endpoints cover the model, and after other failures that
+/// bring no delay of their own.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The attempt numbers reserved for a run at another host, which may have used some that this host
+/// doesn't know of. The next run starts above them, so that engines drop the state of the lost run.
 const ATTEMPTS_PER_RUN: u32 = 1000;
-/// The status under which a generation's answer is kept in its record.
-const KEPT_STATUS: u16 = 200;
-/// The content type under which a generation's tokens are kept in its record.
-const KEPT_TOKENS: &str = "application/json";
+/// The HTTP status in the record of a complete generation.
+const RECORDED_STATUS: u16 = 200;
+/// The content type of a generation's tokens in its record.
+const RECORDED_CONTENT_TYPE: &str = "application/json";
 
-/// Runs `call` to its end and writes the answer into `slot`.
+/// Runs `call` to its end, here or at another host, and writes the answer into `slot`.
 pub async fn generate(host: Rc<Host>, slot: Rc<Slot>, call: Completion) {
-    let end = match followed(&host, &slot).await {
+    let end = match follow_remote_run(&host, &slot).await {
         Some(end) => end,
-        None => match run(&host, &slot, &call).await {
-            Ok(()) => End::Whole,
-            Err(failure) => End::Failed(failure),
+        None => match run_here(&host, &slot, &call).await {
+            Ok(()) => RequestEnd::Complete,
+            Err(failure) => RequestEnd::Failed(failure),
         },
     };
     finish(&host, &slot, end);
 }
 
-/// The end of a named request that another host runs; `None` if this host is to run it.
-pub async fn followed(host: &Host, slot: &Slot) -> Option<End> {
+/// Claims a named request and, if another host runs it, follows that run to its end.
+///
+/// `None` if this host is to run the request: it is unnamed, no other host runs it, or the run at the
+/// other host was lost.
+pub async fn follow_remote_run(host: &Host, slot: &Slot) -> Option<RequestEnd> {
     if !slot.named {
         return None;
     }
-    match follow::runner(host, &slot.key, Intent::Take).await {
-        Runner::Here { runs, asked } => {
-            slot.tried(runs * ATTEMPTS_PER_RUN);
-            if runs > 0 || !asked {
-                slot.doubt();
+    match follow::find_runner(host, &slot.key, Intent::Take).await {
+        Runner::ThisHost {
+            runs,
+            home_answered,
+        } => {
+            slot.record_attempt(runs * ATTEMPTS_PER_RUN);
+            if runs > 0 || !home_answered {
+                slot.mark_maybe_started();
             }
         }
-        Runner::There(peer) => match follow::follow(host, slot, &peer).await {
-            Followed::Ended(end) => return Some(end),
-            Followed::Lost => {
-                slot.tried(slot.attempt() + ATTEMPTS_PER_RUN);
-                slot.doubt();
+        Runner::Peer(peer) => match follow::follow(host, slot, &peer).await {
+            FollowResult::Ended(end) => return Some(end),
+            FollowResult::Lost => {
+                slot.record_attempt(slot.attempt() + ATTEMPTS_PER_RUN);
+                slot.mark_maybe_started();
             }
         },
     }
     None
 }
 
-/// Fills `slot` from the host that runs its request, for a caller that can't repeat the request.
-pub async fn follow_only(host: Rc<Host>, slot: Rc<Slot>, peer: PeerInfo) {
+/// Copies the answer from the host that runs the request into `slot`, for a caller that sent only the
+/// id of the request, so that this host can't run it.
+pub async fn follow_to_end(host: Rc<Host>, slot: Rc<Slot>, peer: PeerInfo) {
     let end = match follow::follow(&host, &slot, &peer).await {
-        Followed::Ended(end) => end,
-        Followed::Lost => {
+        FollowResult::Ended(end) => end,
+        FollowResult::Lost => {
             let message = "the host that ran the request can't be reached; repeat the request";
             let kind = ErrorKind::Interrupted;
-            End::Failed(Failure::later(kind, message, NO_ENDPOINT_RETRY))
+            RequestEnd::Failed(Failure::with_retry_after(
+                kind,
+                message,
+                NO_ENDPOINT_RETRY_AFTER,
+            ))
         }
     };
     finish(&host, &slot, end);
 }
 
-/// Ends `slot`, and forgets it after the time answers are kept.
-pub fn finish(host: &Rc<Host>, slot: &Rc<Slot>, end: End) {
+/// Ends `slot` and removes it after the time that answers are kept.
+pub fn finish(host: &Rc<Host>, slot: &Rc<Slot>, end: RequestEnd) {
     host.metrics
         .requests
-        .with_label_values(&[label(&end)])
+        .with_label_values(&[end_label(&end)])
         .inc();
     if slot.named && not_run(&end) {
         let (host, slot) = (host.clone(), slot.clone());
-        actix_rt::spawn(async move { follow::give_back(&host, &slot.key).await });
+        actix_rt::spawn(async move { follow::release_claim(&host, &slot.key).await });
     }
-    // A refused or failed request may be asked for again under its key.
+    // A refused or failed request may be retried under its key at once.
     let keep = match end {
-        End::Failed(_) => Duration::ZERO,
+        RequestEnd::Failed(_) => Duration::ZERO,
         _ => host.settings.keep_answers,
     };
     slot.end(end);
-    host.requests.borrow_mut().finished();
+    host.requests.borrow_mut().record_end();
     host.metrics
         .running
         .set(host.requests.borrow().running() as i64);
@@ -114,33 +126,33 @@
     });
 }
 
-/// Whether this host did not run a request, whatever others did.
-fn not_run(end: &End) -> bool {
-    let End::Failed(failure) = end else {
+/// Whether this host did not run a request. Another host may have run it.
+fn not_run(end: &RequestEnd) -> bool {
+    let RequestEnd::Failed(failure) = end else {
         return false;
     };
     failure.kind == ErrorKind::RecordUnknown || failure.kind.answer().run == RunStatus::NotRun
 }
 
-/// How a request ended, as counted.
-fn label(end: &End) -> &'static str {
+/// The label of a request's end in the metrics.
+fn end_label(end: &RequestEnd) -> &'static str {
     match end {
-        End::Whole => "whole",
-        End::Called(_) => "called",
-        End::Failed(failure) => failure.kind.answer().code,
+        RequestEnd::Complete => "whole",
+        RequestEnd::Answered(_) => "called",
+        RequestEnd::Failed(failure) => failure.kind.answer().code,
     }
 }
 
-async fn run(host: &Rc<Host>, slot: &Slot, call: &Completion) -> Result<(), Failure> {
+async fn run_here(host: &Rc<Host>, slot: &Slot, call: &Completion) -> Result<(), Failure> {
     let req = lifecycle::Request::received(slot.full_id());
     let permit = match admit(host, slot, call).await {
         Ok(permit) => permit,
-        Err(refusal) if call.repeatable => return Err(refusal.of(req)),
-        Err(refusal) => return Err(refused_once(slot, refusal, req)),
+        Err(refusal) if call.repeatable => return Err(refusal.into_failure(req)),
+        Err(refusal) => return Err(refuse_not_repeatable(slot, refusal, req)),
     };
     let result = match call.repeatable {
         true => run_repeatable(host, slot, call, &permit, req.admit()).await,
-        false => run_once(host, slot, call, &permit, req.admit_not_repeatable()).await,
+        false => run_not_repeatable(host, slot, call, &permit, req.admit_not_repeatable()).await,
     };
     let generated = slot.progress().tokens.len() as u32;
     if generated > 0 {
@@ -159,7 +171,7 @@
     let admitted = host.admission.admit(&ask).instrument(info_span!("admit"));
     tokio::select! {
         permit = admitted => permit,
-        () = slot.abandoned() => {
+        () = slot.wait_for_abandonment() => {
             let message = "the caller has gone before its request was admitted";
             Err(Refusal::new(NotRunKind::Overloaded, message))
         }
@@ -173,56 +185,57 @@
     permit: &Permit,
     req: lifecycle::Request<lifecycle::Admitted>,
 ) -> Result<(), Failure> {
-    let chain = match choose(host, call, whole(call), &[]) {
+    let chain = match choose_chain(host, call, all_layers(call), &[]) {
         Ok(chain) => chain,
-        Err(refusal) => return Err(refusal.of(req)),
+        Err(refusal) => return Err(refusal.into_failure(req)),
     };
     let mut driver = Driver::new(host, slot, call, permit, generation(host, slot, call));
-    let steps = match driver.begin(chain) {
-        Ok(steps) => steps,
-        Err(refusal) => return Err(refusal.of(req)),
+    let first = match driver.start(chain) {
+        Ok(first) => first,
+        Err(refusal) => return Err(refusal.into_failure(req)),
     };
     let dispatched = req.dispatch();
     driver
-        .run(steps)
+        .run(first)
         .await
-        .map_err(|failed| failed.of(dispatched))
+        .map_err(|failed| failed.into_failure(dispatched))
 }
 
-/// Runs a call that must not run twice: its record comes first.
-async fn run_once(
+/// Runs a call that must not run twice: writes its record before it is dispatched.
+async fn run_not_repeatable(
     host: &Rc<Host>,
     slot: &Slot,
     call: &Completion,
     permit: &Permit,
     req: lifecycle::Request<lifecycle::NotRepeatable>,
 ) -> Result<(), Failure> {
-    let chain = match choose(host, call, whole(call), &[]) {
+    let chain = match choose_chain(host, call, all_layers(call), &[]) {
         Ok(chain) => chain,
-        Err(refusal) => return Err(refused_once(slot, refusal, req)),
+        Err(refusal) => return Err(refuse_not_repeatable(slot, refusal, req)),
     };
     let mut driver = Driver::new(host, slot, call, permit, generation(host, slot, call));
-    let steps = match driver.begin(chain) {
-        Ok(steps) => steps,
-        Err(refusal) => return Err(refused_once(slot, refusal, req)),
+    let first = match driver.start(chain) {
+        Ok(first) => first,
+        Err(refusal) => return Err(refuse_not_repeatable(slot, refusal, req)),
     };
     let record = match host.recording.begin(&slot.key, slot.fingerprint).await {
         RecordResult::New(record) => record,
-        RecordResult::Refused(refusal) => return Err(refused_once(slot, refusal, req)),
-        RecordResult::Existing(record) => return take_kept(slot, &record),
+        RecordResult::Refused(refusal) => return Err(refuse_not_repeatable(slot, refusal, req)),
+        RecordResult::Existing(record) => return restore_answer(slot, &record),
     };
     let ticket = record.ticket();
-    let dispatched = dispatch_once(host, req.record(record))?;
-    let result = driver.run(steps).await;
-    keep(host, slot, ticket, result.is_ok());
-    result.map_err(|failed| failed.of(dispatched))
+    let dispatched = dispatch_not_repeatable(host, req.record(record))?;
+    let result = driver.run(first).await;
+    record_outcome(host, slot, ticket, result.is_ok());
+    result.map_err(|failed| failed.into_failure(dispatched))
 }
 
-/// From here on bytes of a call that must not run twice may leave: its record is in the table.
+/// Marks a call that must not run twice as dispatched, once its record is in the table. Only after this
+/// may any part of the call be sent.
 ///
 /// # Errors
-/// A refusal that says "not run", if the record's term is over: nothing was sent.
-pub fn dispatch_once(
+/// A refusal that says "not run", if the term of the record's permit is over: nothing was sent.
+pub fn dispatch_not_repeatable(
     host: &Host,
     req: lifecycle::Request<lifecycle::Recorded>,
 ) -> Result<lifecycle::Request<lifecycle::Dispatched>, Failure> {
@@ -230,21 +243,22 @@
         host.recording.abandon(expired.permit);
         let message = "the host was too slow to begin the call in time";
         let kind = NotRunKind::RecordUnavailable;
-        Refusal::later(kind, message, NO_ENDPOINT_RETRY).of(expired.request)
+        Refusal::with_retry_after(kind, message, NO_ENDPOINT_RETRY_AFTER)
+            .into_failure(expired.request)
     })
 }
 
-/// The answer to a call that must not run twice and was refused before its record was read.
+/// The failure for a call that must not run twice and was refused before its record was read.
 ///
-/// "Not run" would speak for earlier calls under the same key as well, so it is said only where the
-/// key's home knows of none.
-pub fn refused_once<S: lifecycle::BeforeDispatch>(
+/// "Not run" would also cover earlier calls under the same key, so the failure says so only if no other
+/// host may have started the request.
+pub fn refuse_not_repeatable<S: lifecycle::BeforeDispatch>(
     slot: &Slot,
     refusal: Refusal,
     req: lifecycle::Request<S>,
 ) -> Failure {
-    if !slot.may_be_begun() {
-        return refusal.of(req);
+    if !slot.may_have_started() {
+        return refusal.into_failure(req);
     }
     let kind = ErrorKind::RecordUnknown;
     let message = kind.answer().meaning.to_owned();
@@ -255,28 +269,28 @@
     }
 }
 
-/// Puts the end of a call that must not run twice into its record.
-fn keep(host: &Host, slot: &Slot, ticket: RecordTicket, whole: bool) {
-    let outcome = match whole {
-        true => Outcome::Answered(kept_answer(slot)),
+/// Writes the end of a call that must not run twice into its record.
+fn record_outcome(host: &Host, slot: &Slot, ticket: RecordTicket, complete: bool) {
+    let outcome = match complete {
+        true => Outcome::Answered(answer_to_record(slot)),
         false => Outcome::Failed,
     };
     host.recording.finish(ticket, outcome);
 }
 
-fn kept_answer(slot: &Slot) -> CallAnswer {
+fn answer_to_record(slot: &Slot) -> CallAnswer {
     // A list of numbers always serializes.
     let body = serde_json::to_vec(&slot.progress().tokens).unwrap_or_default();
     CallAnswer {
-        status: KEPT_STATUS,
-        content_type: KEPT_TOKENS.to_owned(),
+        status: RECORDED_STATUS,
+        content_type: RECORDED_CONTENT_TYPE.to_owned(),
         body,
     }
 }
 
-/// Answers a call that was begun before from its record.
-fn take_kept(slot: &Slot, record: &record::Record) -> Result<(), Failure> {
-    known_failure(slot, record)?;
+/// Fills `slot` from the record of a call that was started before.
+fn restore_answer(slot: &Slot, record: &record::Record) -> Result<(), Failure> {
+    recorded_failure(slot, record)?;
     let RecordState::Done {
         answer: Some(answer),
     } = &record.state
@@ -291,13 +305,16 @@
     })?;
     let seen = slot.progress().tokens.len();
     for token in tokens.into_iter().skip(seen) {
-        slot.release(token);
+        slot.push_token(token);
     }
     Ok(())
 }
 
-/// What a caller is told of a call that was begun before; `Ok` if its answer is in the record.
-pub fn known_failure(slot: &Slot, record: &record::Record) -> Result<(), Failure> {
+/// The failure to answer a call with that was started before; `Ok` if its record holds an answer.
+///
+/// # Errors
+/// The record belongs to another request under the same key, or says that there is no answer.
+pub fn recorded_failure(slot: &Slot, record: &record::Record) -> Result<(), Failure> {
     if record.fingerprint != slot.fingerprint {
         let message = "the idempotency key was used with another request";
         return Err(Failure::new(ErrorKind::KeyReused, message));
@@ -306,23 +323,24 @@
         None => Ok(()),
         Some(kind) => {
             let kind = ErrorKind::from(kind);
-            Err(Failure::later(
+            Err(Failure::with_retry_after(
                 kind,
                 kind.answer().meaning,
-                NO_ENDPOINT_RETRY,
+                NO_ENDPOINT_RETRY_AFTER,
             ))
         }
     }
 }
 
-fn whole(call: &Completion) -> wire::Layers {
+fn all_layers(call: &Completion) -> wire::Layers {
     wire::Layers {
         first: 0,
         end: call.model.layers,
     }
 }
 
-/// The generation of `call`; it goes on where a lost run at another host ended.
+/// The generation of `call`. After a lost run at another host it resumes behind the tokens that are in
+/// `slot`.
 fn generation(host: &Host, slot: &Slot, call: &Completion) -> Generation {
     let cfg = dragonflyrill_delivery::Config {
         step_times: host.step_times.get(),
@@ -360,8 +378,8 @@
     Generation::resume(now, resume, cfg)
 }
 
-/// Chooses endpoints for `layers`.
-fn choose(
+/// Chooses a chain of endpoints for `layers`, without the endpoints in `avoid`.
+fn choose_chain(
     host: &Host,
     call: &Completion,
     layers: wire::Layers,
@@ -376,32 +394,35 @@
         avoid,
     };
     let hops = host.router.borrow_mut().choose_chain(host.now(), &query);
-    let hops = hops.map_err(|e| no_route(&e, &call.model.name))?;
+    let hops = hops.map_err(|e| no_endpoint_refusal(&e, &call.model.name))?;
     let stages = hops.into_iter().map(|hop| Stage {
         endpoint: hop.endpoint,
         layers: hop.layers,
     });
     Chain::new(layers, stages.collect()).map_err(|e| {
         let message = format!("the chosen chain does not cover layer {}", e.layer);
-        Refusal::later(NotRunKind::NoEndpoint, message, NO_ENDPOINT_RETRY)
+        Refusal::with_retry_after(NotRunKind::NoEndpoint, message, NO_ENDPOINT_RETRY_AFTER)
     })
 }
 
-/// Why no endpoint was chosen for `target`, as callers are told.
-pub fn no_route(e: &routing::NoEndpoint, target: &dragonflyrill_catalogue::TargetName) -> Refusal {
+/// The refusal of a request for `target` for which the router found no endpoint.
+pub fn no_endpoint_refusal(
+    e: &routing::NoEndpoint,
+    target: &dragonflyrill_catalogue::TargetName,
+) -> Refusal {
     match e.shortage {
         routing::Shortage::Missing => {
             let message = format!("no endpoint is live for {target}, layer {}", e.layer);
-            Refusal::later(NotRunKind::NoEndpoint, message, NO_ENDPOINT_RETRY)
+            Refusal::with_retry_after(NotRunKind::NoEndpoint, message, NO_ENDPOINT_RETRY_AFTER)
         }
         routing::Shortage::Full { retry_after } => {
             let message = format!("the endpoints of {target} are full, layer {}", e.layer);
-            Refusal::later(NotRunKind::Overloaded, message, retry_after)
+            Refusal::with_retry_after(NotRunKind::Overloaded, message, retry_after)
         }
     }
 }
 
-/// How a dispatched request failed.
+/// Why a dispatched request failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunFailure {
     kind: AfterDispatchKind,
@@ -409,7 +430,7 @@
 }
 
 impl RunFailure {
-    fn of<S: lifecycle::AfterDispatch>(self, req: lifecycle::Request<S>) -> Failure {
+    fn into_failure<S: lifecycle::AfterDispatch>(self, req: lifecycle::Request<S>) -> Failure {
         let kind = req.fail(self.kind).kind();
         let message = kind.answer().meaning.to_owned();
         Failure {
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -201,7 +201,7 @@
             .claim(self.now(), keep, claim.clone());
         match claimed {
             Claimed::Taken(by) if self.is_absent(&by) => {
-                self.claims.borrow_mut().forget_holder(&by);
+                self.claims.borrow_mut().release_claims_of(&by);
                 self.claims.borrow_mut().claim(self.now(), keep, claim)
             }
             claimed => claimed,
@@ -221,7 +221,7 @@
             Inbound::Find(query, tx) => {
                 let host = self.clone();
                 actix_rt::spawn(async move {
-                    let _ = tx.send(follow::find(host, query).await);
+                    let _ = tx.send(follow::answer_query(host, query).await);
                 });
             }
             Inbound::Envelope(_) => {}
--- a/crates/entry/src/requests/claims.rs
+++ b/crates/entry/src/requests/claims.rs
@@ -1,4 +1,4 @@
-//! Who runs the requests whose keys have their home on this host.
+//! Records which host runs each request whose home is this host.
 
 use std::time::Duration;
 
@@ -10,30 +10,33 @@
 
 use crate::requests::RequestKey;
 
-/// The most claims kept. Beyond it the oldest are dropped early: a claim saves work and proves
-/// nothing.
+/// The maximum number of claims kept. At this number expired claims are dropped, and all claims if that
+/// isn't enough: a claim avoids a second run of a request, but nothing relies on it.
 const MAX_CLAIMS: usize = 100_000;
 
 #[derive(Debug)]
-struct Held {
+struct ClaimRecord {
+    /// The host that holds the claim.
     by: HostRef,
+    /// When the claim expires, by the host's clock.
     until: Duration,
-    /// How often the request was handed out. At least 1.
+    /// The number of times the request was assigned to a host. At least 1.
     runs: u32,
-    /// Whether the holder has died.
-    gone: bool,
+    /// Whether the claim is released, because its holder is dead or did not run the request.
+    released: bool,
 }
 
 /// The claims whose home this host is.
 #[derive(Debug, Default)]
 pub struct Claims {
-    held: FxHashMap<RequestKey, Held>,
-    /// When expired claims are next looked for.
-    sweep: Duration,
+    records: FxHashMap<RequestKey, ClaimRecord>,
+    /// When expired claims are next removed, by the host's clock.
+    next_sweep: Duration,
 }
 
 impl Claims {
-    /// Answers `claim`; a claim that is taken is kept for `keep`, anew each time its holder asks.
+    /// Answers `claim`. A granted claim is kept for `keep`; the term starts again each time its holder
+    /// claims the request.
     pub fn claim(&mut self, now: Duration, keep: Duration, claim: Claim) -> Claimed {
         self.drop_expired(now, keep);
         let key = RequestKey {
@@ -41,59 +44,62 @@
             id: claim.id,
         };
         if claim.intent == Intent::GiveBack {
-            self.give_back(&key, &claim.by);
+            self.release(&key, &claim.by);
             return Claimed::Free { runs: 0 };
         }
-        let held = self.held.get(&key).filter(|held| held.until > now);
-        if let Some(held) = held
-            // A host that was restarted knows nothing of the claims of its earlier life.
-            && held.by.id != claim.by.id
-            && !held.gone
+        let record = self.records.get(&key).filter(|record| record.until > now);
+        if let Some(record) = record
+            // A restarted host doesn't know the claims of its earlier incarnation, so the id decides.
+            && record.by.id != claim.by.id
+            && !record.released
         {
-            return Claimed::Taken(held.by.clone());
+            return Claimed::Taken(record.by.clone());
         }
-        let runs = held.map_or(0, |held| held.runs);
+        let runs = record.map_or(0, |record| record.runs);
         if claim.intent == Intent::Take {
             let (by, until) = (claim.by, now + keep);
-            self.held.insert(
+            self.records.insert(
                 key,
-                Held {
+                ClaimRecord {
                     by,
                     until,
                     runs: runs + 1,
-                    gone: false,
+                    released: false,
                 },
             );
         }
         Claimed::Free { runs }
     }
 
-    /// The holder did not run the request, so this hand-out doesn't count.
-    fn give_back(&mut self, key: &RequestKey, by: &HostRef) {
-        let Some(held) = self.held.get_mut(key).filter(|held| held.by == *by) else {
+    /// Releases the claim of `by`, which did not run the request, so this assignment doesn't count.
+    fn release(&mut self, key: &RequestKey, by: &HostRef) {
+        let Some(record) = self.records.get_mut(key).filter(|record| record.by == *by) else {
             return;
         };
-        held.runs -= 1;
-        held.gone = true;
-        if held.runs == 0 {
-            self.held.remove(key);
+        record.runs -= 1;
+        record.released = true;
+        if record.runs == 0 {
+            self.records.remove(key);
         }
     }
 
-    /// Gives the requests of a holder that is gone over to whoever asks next.
-    pub fn forget_holder(&mut self, gone: &HostRef) {
-        let theirs = self.held.values_mut().filter(|held| held.by == *gone);
-        theirs.for_each(|held| held.gone = true);
+    /// Releases all claims of a dead holder, so that the next host that claims a request gets it.
+    pub fn release_claims_of(&mut self, holder: &HostRef) {
+        let theirs = self
+            .records
+            .values_mut()
+            .filter(|record| record.by == *holder);
+        theirs.for_each(|record| record.released = true);
     }
 
     fn drop_expired(&mut self, now: Duration, keep: Duration) {
-        if now < self.sweep && self.held.len() < MAX_CLAIMS {
+        if now < self.next_sweep && self.records.len() < MAX_CLAIMS {
             return;
         }
-        self.sweep = now + keep / 4;
-        self.held.retain(|_, held| held.until > now);
-        if self.held.len() >= MAX_CLAIMS {
-            self.held.clear();
+        self.next_sweep = now + keep / 4;
+        self.records.retain(|_, record| record.until > now);
+        if self.records.len() >= MAX_CLAIMS {
+            self.records.clear();
         }
     }
 }
--- a/crates/entry/src/requests/follow.rs
+++ b/crates/entry/src/requests/follow.rs
@@ -1,4 +1,6 @@
-//! Following a request that another host runs.
+//! Follows a request that another host runs: copies its answer as it grows.
+//!
+//! The home of a request, one host that all hosts compute alike, records which host runs it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,59 +12,66 @@
 
 use crate::{
     host::{Host, PeerInfo},
-    requests::{CallAnswer, End, Failure, RequestKey, Slot},
+    requests::{CallAnswer, Failure, RequestEnd, RequestKey, Slot},
 };
 
-/// How long the host that runs a request may wait for something new before it answers.
-const WAIT_MS: u32 = 1000;
+/// How long the peer that runs a request may wait for new tokens or the end before it answers a query,
+/// in milliseconds.
+const MAX_WAIT_MS: u32 = 1000;
 
-/// Who is to run a request.
+/// The host that is to run a request.
 #[derive(Debug)]
 pub enum Runner {
     /// This host.
-    Here {
-        /// How often other hosts have begun to run it, as far as is known.
+    ThisHost {
+        /// The number of runs that other hosts have started before, as far as is known.
         runs: u32,
-        /// Whether the home was asked.
-        asked: bool,
+        /// Whether the home of the request answered the claim.
+        home_answered: bool,
     },
     /// Another host, whose answer is to be followed.
-    There(PeerInfo),
+    Peer(PeerInfo),
 }
 
 /// How following a request ended.
 #[derive(Debug)]
-pub enum Followed {
-    /// The request ended there; its answer is in the slot.
-    Ended(End),
-    /// The other host doesn't know the request, or can't be reached.
+pub enum FollowResult {
+    /// The request ended at the other host; the slot holds its tokens.
+    Ended(RequestEnd),
+    /// The other host doesn't know the request or can't be reached.
     Lost,
 }
 
-/// Asks the home of `key` who runs the request. If the home can't be asked, this host does: a
-/// claim saves a second run where it can, and is no promise.
-pub async fn runner(host: &Host, key: &RequestKey, intent: Intent) -> Runner {
+/// Sends a claim of `intent` to the home of `key` and returns the host that is to run the request.
+///
+/// If the home doesn't answer, this host runs it: a claim avoids most second runs, but doesn't
+/// guarantee that there is none.
+pub async fn find_runner(host: &Host, key: &RequestKey, intent: Intent) -> Runner {
     let Some(home) = home(host, key) else {
-        return claimed_here(host, key, intent);
+        return claim_locally(host, key, intent);
     };
-    let claim = claim(host, key, intent);
+    let claim = new_claim(host, key, intent);
     match host.outbox.claim(&home.host.id, home.addr, claim).await {
-        Some(Claimed::Taken(by)) => taken_by(host, &by),
-        Some(Claimed::Free { runs }) => Runner::Here { runs, asked: true },
-        None => Runner::Here {
+        Some(Claimed::Taken(by)) => runner_from_holder(host, &by),
+        Some(Claimed::Free { runs }) => Runner::ThisHost {
+            runs,
+            home_answered: true,
+        },
+        None => Runner::ThisHost {
             runs: 0,
-            asked: false,
+            home_answered: false,
         },
     }
 }
 
-/// Tells the home of `key` that this host did not run the request and never will.
-pub async fn give_back(host: &Host, key: &RequestKey) {
-    // A home that can't be told goes on counting the run, which only makes answers less certain.
-    runner(host, key, Intent::GiveBack).await;
+/// Reports to the home of `key` that this host did not run the request and never will.
+pub async fn release_claim(host: &Host, key: &RequestKey) {
+    // A home that doesn't receive the report still counts the run. Then a refusal of a later run can't
+    // say that the request was not run.
+    find_runner(host, key, Intent::GiveBack).await;
 }
 
-fn claim(host: &Host, key: &RequestKey, intent: Intent) -> Claim {
+fn new_claim(host: &Host, key: &RequestKey, intent: Intent) -> Claim {
     let (workspace, id) = (key.workspace.clone(), key.id.clone());
     Claim {
         workspace,
@@ -72,11 +81,14 @@
     }
 }
 
-/// This host is the home itself.
-fn claimed_here(host: &Host, key: &RequestKey, intent: Intent) -> Runner {
-    match host.claim(claim(host, key, intent)) {
-        Claimed::Taken(by) => taken_by(host, &by),
-        Claimed::Free { runs } => Runner::Here { runs, asked: true },
+/// Claims `key`, whose home is this host.
+fn claim_locally(host: &Host, key: &RequestKey, intent: Intent) -> Runner {
+    match host.claim(new_claim(host, key, intent)) {
+        Claimed::Taken(by) => runner_from_holder(host, &by),
+        Claimed::Free { runs } => Runner::ThisHost {
+            runs,
+            home_answered: true,
+        },
     }
 }
 
@@ -84,45 +96,47 @@
 fn home(host: &Host, key: &RequestKey) -> Option<PeerInfo> {
     let peers = host.peers();
     let name = format!("{}/{}", key.workspace, key.id);
-    let everybody = peers.iter().map(|p| &p.host).chain([&host.me]);
-    let home = dedup::home(&name, everybody)?;
+    let all_hosts = peers.iter().map(|p| &p.host).chain([&host.me]);
+    let home = dedup::home(&name, all_hosts)?;
     peers.iter().find(|p| p.host == *home).cloned()
 }
 
-fn taken_by(host: &Host, by: &HostRef) -> Runner {
+fn runner_from_holder(host: &Host, by: &HostRef) -> Runner {
     match host.peers().iter().find(|p| p.host.id == by.id) {
-        Some(peer) => Runner::There(peer.clone()),
-        // It has died, or this host doesn't see it.
-        None => Runner::Here {
+        Some(peer) => Runner::Peer(peer.clone()),
+        // The holder is dead, or not yet in this host's list of live hosts.
+        None => Runner::ThisHost {
             runs: 1,
-            asked: true,
+            home_answered: true,
         },
     }
 }
 
-/// Copies the answer that `peer` holds into `slot`, as it grows.
-pub async fn follow(host: &Host, slot: &Slot, peer: &PeerInfo) -> Followed {
+/// Copies the answer of the request's run at `peer` into `slot` while it grows, until the request ends
+/// or `peer` is lost.
+pub async fn follow(host: &Host, slot: &Slot, peer: &PeerInfo) -> FollowResult {
     loop {
         let query = Query {
             workspace: slot.key.workspace.clone(),
             id: slot.key.id.clone(),
             from: slot.progress().tokens.len() as u32,
-            wait_ms: WAIT_MS,
+            wait_ms: MAX_WAIT_MS,
         };
         let found = host.outbox.find(&peer.host.id, peer.addr, query).await;
         let Some(Found::Known(answer)) = found else {
-            return Followed::Lost;
+            return FollowResult::Lost;
         };
         if answer.fingerprint != slot.fingerprint {
-            return Followed::Ended(End::Failed(reused()));
+            return FollowResult::Ended(RequestEnd::Failed(key_reused()));
         }
-        if let Some(end) = take_over(slot, answer) {
-            return Followed::Ended(end);
+        if let Some(end) = apply_answer(slot, answer) {
+            return FollowResult::Ended(end);
         }
     }
 }
 
-/// The hash of what the request `key` asked, as `peer` knows it.
+/// The fingerprint of the request `key`, as `peer` knows it; `None` if `peer` doesn't know the request
+/// or doesn't answer.
 pub async fn fingerprint(host: &Host, key: &RequestKey, peer: &PeerInfo) -> Option<u64> {
     let (workspace, id) = (key.workspace.clone(), key.id.clone());
     let query = Query {
@@ -137,26 +151,26 @@
     }
 }
 
-fn reused() -> Failure {
+fn key_reused() -> Failure {
     let message = "the idempotency key was used with another request at another host";
     Failure::new(ErrorKind::KeyReused, message)
 }
 
-/// Appends what is new to `slot`; answers the end if it is there.
-fn take_over(slot: &Slot, answer: Answer) -> Option<End> {
-    slot.tried(answer.attempt);
+/// Appends the new tokens to `slot`; returns the end if the request has ended.
+fn apply_answer(slot: &Slot, answer: Answer) -> Option<RequestEnd> {
+    slot.record_attempt(answer.attempt);
     for token in answer.tokens {
-        slot.release(token);
+        slot.push_token(token);
     }
     match answer.state {
         State::Running => None,
         State::Whole => Some(match answer.call {
-            Some(call) => End::Called(CallAnswer {
+            Some(call) => RequestEnd::Answered(CallAnswer {
                 status: call.status,
                 content_type: call.content_type,
                 body: call.body.into(),
             }),
-            None => End::Whole,
+            None => RequestEnd::Complete,
         }),
         State::Failed {
             code,
@@ -166,7 +180,7 @@
             let kind = ErrorKind::ALL.iter().find(|k| k.answer().code == code);
             let kind = kind.copied().unwrap_or(ErrorKind::EndpointFailed);
             let retry_after = retry_after_ms.map(Duration::from_millis);
-            Some(End::Failed(Failure {
+            Some(RequestEnd::Failed(Failure {
                 kind,
                 message,
                 retry_after,
@@ -175,8 +189,9 @@
     }
 }
 
-/// Answers a peer that follows a request of this host.
-pub async fn find(host: Rc<Host>, query: Query) -> Found {
+/// Answers a query of a peer that follows a request of this host. Waits up to the query's `wait_ms` for
+/// new tokens or the end.
+pub async fn answer_query(host: Rc<Host>, query: Query) -> Found {
     let key = RequestKey {
         workspace: query.workspace,
         id: query.id,
@@ -186,18 +201,18 @@
     };
     let from = query.from as usize;
     let wait = Duration::from_millis(query.wait_ms.into());
-    // At the end of the wait the answer says that nothing is new.
-    let _ = actix_rt::time::timeout(wait, slot.more_than(from)).await;
-    Found::Known(answer(&slot, from))
+    // After a timeout the answer holds no new tokens and no end.
+    let _ = actix_rt::time::timeout(wait, slot.wait_for_more(from)).await;
+    Found::Known(answer_from(&slot, from))
 }
 
-fn answer(slot: &Slot, from: usize) -> Answer {
+fn answer_from(slot: &Slot, from: usize) -> Answer {
     let progress = slot.progress();
     let (state, call) = match &progress.end {
         None => (State::Running, None),
-        Some(End::Whole) => (State::Whole, None),
-        Some(End::Called(call)) => (State::Whole, Some(wire_call(call))),
-        Some(End::Failed(failure)) => (failed(failure), None),
+        Some(RequestEnd::Complete) => (State::Whole, None),
+        Some(RequestEnd::Answered(call)) => (State::Whole, Some(to_wire_call(call))),
+        Some(RequestEnd::Failed(failure)) => (failed_state(failure), None),
     };
     let tokens = progress.tokens.get(from..).unwrap_or_default().to_vec();
     Answer {
@@ -209,7 +224,7 @@
     }
 }
 
-fn wire_call(call: &CallAnswer) -> dragonflyrill_protocol::found::CallAnswer {
+fn to_wire_call(call: &CallAnswer) -> dragonflyrill_protocol::found::CallAnswer {
     dragonflyrill_protocol::found::CallAnswer {
         status: call.status,
         content_type: call.content_type.clone(),
@@ -217,7 +232,7 @@
     }
 }
 
-fn failed(failure: &Failure) -> State {
+fn failed_state(failure: &Failure) -> State {
     State::Failed {
         code: failure.kind.answer().code.to_owned(),
         message: failure.message.clone(),
--- a/crates/entry/src/requests/mod.rs
+++ b/crates/entry/src/requests/mod.rs
@@ -1,8 +1,8 @@
-//! The requests this host knows, running and lately finished, and their answers.
+//! The running and recently finished requests of this host, with their answers.
 //!
-//! A [`Slot`] keeps the answer of one request as it grows. The task that drives the request writes
-//! it; any number of callers read it, from any token on, so a repeated or resumed call attaches to
-//! the run that is there and never starts a second one.
+//! A [`Slot`] holds the answer of one request while it grows. The task that drives the request writes
+//! it, and any number of callers read it, from any token on. So a retried or resumed call attaches to
+//! the existing run and never starts a second one.
 
 pub mod claims;
 pub mod follow;
@@ -23,28 +23,29 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::Notify;
 
-/// Names a request: the caller's idempotency key, or an id of ours, within a workspace.
+/// Identifies a request: its workspace, and the caller's idempotency key or an id that the host
+/// generated.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestKey {
-    /// The owner.
+    /// The workspace that the request belongs to.
     pub workspace: WorkspaceName,
     /// Unique within the workspace.
     pub id: String,
 }
 
-/// Why a request was not answered whole.
+/// Why a request got no complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// The kind.
+    /// The kind of the error.
     pub kind: ErrorKind,
-    /// What a person should read.
+    /// The message for people.
     pub message: String,
-    /// When to come back.
+    /// The delay after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure without a time to come back.
+    /// Creates a failure without a retry delay.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -53,8 +54,12 @@
         }
     }
 
-    /// A failure that may be retried after `retry_after`.
-    pub fn later(kind: ErrorKind, message: impl Into<String>, retry_after: Duration) -> Self {
+    /// Creates a failure whose request may be retried after `retry_after`.
+    pub fn with_retry_after(
+        kind: ErrorKind,
+        message: impl Into<String>,
+        retry_after: Duration,
+    ) -> Self {
         Self {
             kind,
             message: message.into(),
@@ -63,19 +68,19 @@
     }
 }
 
-/// Why a request was refused before anything of it left for an endpoint.
+/// Why a request was refused before any part of it was sent to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The kind.
+    /// The kind of the refusal.
     pub kind: NotRunKind,
-    /// What a person should read.
+    /// The message for people.
     pub message: String,
-    /// When to come back.
+    /// The delay after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// Creates a refusal without a retry delay.
     pub fn new(kind: NotRunKind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -84,8 +89,12 @@
         }
     }
 
-    /// A refusal of what may be asked again after `retry_after`.
-    pub fn later(kind: NotRunKind, message: impl Into<String>, retry_after: Duration) -> Self {
+    /// Creates a refusal whose request may be retried after `retry_after`.
+    pub fn with_retry_after(
+        kind: NotRunKind,
+        message: impl Into<String>,
+        retry_after: Duration,
+    ) -> Self {
         Self {
             kind,
             message: message.into(),
@@ -93,8 +102,8 @@
         }
     }
 
-    /// The answer to a request that was refused with this.
-    pub fn of<S: BeforeDispatch>(self, req: lifecycle::Request<S>) -> Failure {
+    /// Refuses `req` for this reason and returns the failure to answer it with.
+    pub fn into_failure<S: BeforeDispatch>(self, req: lifecycle::Request<S>) -> Failure {
         let refused = req.refuse(self.kind);
         Failure {
             kind: refused.kind(),
@@ -117,12 +126,12 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// All tokens are there.
-    Whole,
-    /// The service answered.
-    Called(CallAnswer),
-    /// It did not end well.
+pub enum RequestEnd {
+    /// A generation released all its tokens.
+    Complete,
+    /// A plain service answered.
+    Answered(CallAnswer),
+    /// The request failed or was refused.
     Failed(Failure),
 }
 
@@ -131,32 +140,34 @@
 /// Invariant: tokens are only appended, and nothing changes once `end` is set.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// The tokens released.
+    /// The tokens that callers may read, in order.
     pub tokens: Vec<u64>,
-    /// How it ended; `None` while it runs.
-    pub end: Option<End>,
+    /// How the request ended; `None` while it runs.
+    pub end: Option<RequestEnd>,
 }
 
 impl Progress {
-    /// The text of the tokens released.
+    /// The text of the released tokens.
     pub fn text(&self) -> String {
         let texts = self.tokens.iter().map(|t| token::detokenize(*t));
         texts.collect()
     }
 }
 
-/// The place where one request's answer is kept.
+/// One request with its answer so far, shared by the task that drives it and its readers.
 #[derive(Debug)]
 pub struct Slot {
     /// The request.
     pub key: RequestKey,
-    /// Hash of what was asked, to tell a repeated call from another one under the same key.
+    /// Hash of the request's content, which distinguishes a retry from another request under the same
+    /// key.
     pub fingerprint: u64,
-    /// Whether the caller named the request, so that it may come back for the answer.
+    /// Whether the request runs to its end without readers: the caller gave it a key, so it may fetch
+    /// the answer later, or the request must not run twice.
     pub named: bool,
     progress: RefCell<Progress>,
     attempt: Cell<u32>,
-    begun_before: Cell<bool>,
+    maybe_started: Cell<bool>,
     changed: Notify,
     readers: Cell<u32>,
     abandoned: Notify,
@@ -168,45 +179,45 @@
         self.progress.borrow()
     }
 
-    /// The last attempt a run of the request has used; 0 before the first.
+    /// The highest attempt number that a run of the request has used; 0 before the first.
     pub fn attempt(&self) -> u32 {
         self.attempt.get()
     }
 
-    /// Notes that a run has come to `attempt`.
-    pub fn tried(&self, attempt: u32) {
+    /// Records that a run has used the attempt number `attempt`.
+    pub fn record_attempt(&self, attempt: u32) {
         self.attempt.set(attempt.max(self.attempt.get()));
     }
 
-    /// Whether another host may have begun the request before, under the same key.
-    pub fn may_be_begun(&self) -> bool {
-        self.begun_before.get()
+    /// Whether another host may have started the request before, under the same key.
+    pub fn may_have_started(&self) -> bool {
+        self.maybe_started.get()
     }
 
-    /// Notes that another host may have begun the request before.
-    pub fn doubt(&self) {
-        self.begun_before.set(true);
+    /// Records that another host may have started the request before.
+    pub fn mark_maybe_started(&self) {
+        self.maybe_started.set(true);
     }
 
-    /// The request's id towards endpoints, unique over all workspaces.
+    /// The request's id as endpoints receive it, unique over all workspaces.
     pub fn full_id(&self) -> String {
         format!("{}/{}", self.key.workspace, self.key.id)
     }
 
-    /// Appends a token.
-    pub fn release(&self, token: u64) {
+    /// Appends a token and notifies the readers.
+    pub fn push_token(&self, token: u64) {
         self.progress.borrow_mut().tokens.push(token);
         self.changed.notify_waiters();
     }
 
-    /// Ends the request; later ends are ignored.
-    pub fn end(&self, end: End) {
+    /// Ends the request and notifies the readers; only the first end counts.
+    pub fn end(&self, end: RequestEnd) {
         self.progress.borrow_mut().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    /// Waits until there are more than `seen` tokens, or the end.
-    pub async fn more_than(&self, seen: usize) {
+    /// Waits until there are more than `seen` tokens, or the request has ended.
+    pub async fn wait_for_more(&self, seen: usize) {
         loop {
             let changed = self.changed.notified();
             {
@@ -219,18 +230,18 @@
         }
     }
 
-    /// Waits for the end.
-    pub async fn ended(&self) {
-        self.more_than(usize::MAX).await;
+    /// Waits until the request has ended.
+    pub async fn wait_for_end(&self) {
+        self.wait_for_more(usize::MAX).await;
     }
 
-    /// Waits until the last reader of an unnamed request has gone.
-    pub async fn abandoned(&self) {
+    /// Waits until the last reader of an unnamed request is dropped.
+    pub async fn wait_for_abandonment(&self) {
         self.abandoned.notified().await;
     }
 }
 
-/// One caller's hold on a slot. An unnamed request without readers is given up.
+/// One caller's reference to a slot. An unnamed request is abandoned when its last reader is dropped.
 #[derive(Debug)]
 pub struct Reader {
     slot: Rc<Slot>,
@@ -259,18 +270,18 @@
     }
 }
 
-/// What [`Requests::open`] found.
+/// The result of [`Requests::open`].
 #[derive(Debug)]
-pub enum Opened {
-    /// The request is new: the caller is to drive it.
+pub enum OpenResult {
+    /// The request is new: whoever opened it drives it.
     New(Rc<Slot>),
-    /// The request is known: the caller is to read it.
+    /// The request is known: whoever opened it reads its answer.
     Known(Rc<Slot>),
-    /// The key names another request.
-    Reused,
+    /// The key was used with another request, of another fingerprint.
+    KeyReused,
 }
 
-/// All requests this host knows.
+/// The running and recently finished requests of one host.
 #[derive(Debug, Default)]
 pub struct Requests {
     slots: FxHashMap<RequestKey, Rc<Slot>>,
@@ -278,12 +289,12 @@
 }
 
 impl Requests {
-    /// Finds the request `key`, or makes a slot for it.
-    pub fn open(&mut self, key: RequestKey, fingerprint: u64, named: bool) -> Opened {
+    /// Finds the request `key`, or creates a slot for it and counts it as running.
+    pub fn open(&mut self, key: RequestKey, fingerprint: u64, named: bool) -> OpenResult {
         if let Some(slot) = self.slots.get(&key) {
             return match slot.fingerprint == fingerprint {
-                true => Opened::Known(slot.clone()),
-                false => Opened::Reused,
+                true => OpenResult::Known(slot.clone()),
+                false => OpenResult::KeyReused,
             };
         }
         let slot = Rc::new(Slot {
@@ -292,14 +303,14 @@
             named,
             progress: RefCell::default(),
             attempt: Cell::new(0),
-            begun_before: Cell::new(false),
+            maybe_started: Cell::new(false),
             changed: Notify::new(),
             readers: Cell::new(0),
             abandoned: Notify::new(),
         });
         self.slots.insert(key, slot.clone());
         self.running += 1;
-        Opened::New(slot)
+        OpenResult::New(slot)
     }
 
     /// The request `key`, if known.
@@ -307,17 +318,17 @@
         self.slots.get(key).cloned()
     }
 
-    /// Notes that a request's run is over.
-    pub fn finished(&mut self) {
+    /// Counts a request as no longer running.
+    pub fn record_end(&mut self) {
         self.running -= 1;
     }
 
-    /// Forgets a finished request.
+    /// Removes a finished request with its answer.
     pub fn forget(&mut self, key: &RequestKey) {
         self.slots.remove(key);
     }
 
-    /// How many requests are being driven.
+    /// The number of requests that are running.
     pub fn running(&self) -> usize {
         self.running
     }
