--- a/crates/entry/src/caller/answer.rs
+++ b/crates/entry/src/caller/answer.rs
@@ -1,4 +1,5 @@
-//! Answers to callers: errors by the one table, completions whole or as server-sent events.
+//! Answers to callers: errors from the table of error kinds, completions in one body or as server-sent
+//! events.
 
 use std::{convert::Infallible, time::Duration};
 
@@ -16,7 +17,7 @@
 
 use crate::requests::{Failure, Reader, RequestEnd, Slot};
 
-/// How soon to come back to a host that isn't ready.
+/// The retry delay of a host that isn't ready, and of failures that bring no delay of their own.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
@@ -55,13 +56,13 @@
     total_tokens: usize,
 }
 
-/// The failure of a host that takes no requests.
+/// The failure of a request to a host that accepts none.
 pub fn not_ready() -> Failure {
     let message = "the host has no catalogue yet, or is draining";
     Failure::with_retry_after(ErrorKind::NotReady, message, NOT_READY_RETRY_AFTER)
 }
 
-/// The failure of a call without a limit.
+/// The failure of a call for which no limit is declared.
 pub fn no_limit(key: &LimitKey) -> Failure {
     let LimitKey {
         workspace,
@@ -72,7 +73,7 @@
     Failure::new(ErrorKind::NoLimit, message)
 }
 
-/// The failure of a call under a key that names another.
+/// The failure of a call whose idempotency key was used with another call.
 pub fn key_reused() -> Failure {
     Failure::new(
         ErrorKind::KeyReused,
@@ -80,10 +81,10 @@
     )
 }
 
-/// Answers a failure by the table of error kinds.
+/// The error response for a failure, from the table of error kinds.
 pub fn failure(failure: &Failure) -> Response<BoxBody> {
     let answer = failure.kind.answer();
-    // The table holds valid codes only.
+    // The table contains only valid status codes.
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut rsp = Response::build(status);
     rsp.insert_header((CONTENT_TYPE, "application/json"));
@@ -93,7 +94,7 @@
     rsp.body(error_json(failure)).map_into_boxed_body()
 }
 
-/// Whole seconds, rounded up, since the header has no fractions.
+/// The retry delay in seconds from 1 to 3600, rounded up, since the header has no fractions.
 fn retry_seconds(failure: &Failure) -> u64 {
     let wait = failure.retry_after.unwrap_or(NOT_READY_RETRY_AFTER);
     wait.as_millis().div_ceil(1000).clamp(1, 3600) as u64
@@ -108,18 +109,21 @@
 }
 
 fn json<T: Serialize>(body: &T) -> String {
-    // Plain structs of strings and numbers always serialize.
+    // Serialization of structs of strings and numbers can't fail.
     serde_json::to_string(body).expect("plain data")
 }
 
-fn ok(slot: &Slot) -> ResponseBuilder {
+fn ok_response(slot: &Slot) -> ResponseBuilder {
     let mut rsp = Response::build(StatusCode::OK);
     rsp.insert_header(("x-request-id", slot.key.id.as_str()));
     rsp
 }
 
-/// Waits for the whole answer and sends it at once.
-pub async fn whole(
+/// Waits for the complete answer and sends it in one body.
+///
+/// # Errors
+/// The request failed.
+pub async fn complete(
     reader: Reader,
     model: &TargetName,
     prompt_tokens: usize,
@@ -148,22 +152,25 @@
             total_tokens,
         }),
     };
-    let mut rsp = ok(slot);
+    let mut rsp = ok_response(slot);
     rsp.insert_header((CONTENT_TYPE, "application/json"));
     Ok(rsp.body(json(&body)).map_into_boxed_body())
 }
 
-/// Streams the answer from token `from` on. A failure before the first token is a plain error.
+/// Streams the answer from token `from` on, as server-sent events.
+///
+/// # Errors
+/// The request failed before token `from`. A later failure is sent as an event.
 pub async fn stream(
     reader: Reader,
     model: TargetName,
     from: usize,
 ) -> Result<Response<BoxBody>, Failure> {
     reader.slot().wait_for_more(from).await;
-    if let Some(failure) = failed_before(reader.slot(), from) {
+    if let Some(failure) = failure_before(reader.slot(), from) {
         return Err(failure);
     }
-    let mut rsp = ok(reader.slot());
+    let mut rsp = ok_response(reader.slot());
     rsp.insert_header((CONTENT_TYPE, "text/event-stream"));
     rsp.insert_header(("cache-control", "no-store"));
     let events = EventStream {
@@ -178,7 +185,7 @@
         .map_into_boxed_body())
 }
 
-fn failed_before(slot: &Slot, from: usize) -> Option<Failure> {
+fn failure_before(slot: &Slot, from: usize) -> Option<Failure> {
     let progress = slot.progress();
     match &progress.end {
         Some(RequestEnd::Failed(failure)) if progress.tokens.len() <= from => Some(failure.clone()),
@@ -186,26 +193,27 @@
     }
 }
 
-/// A caller's place in a streamed answer.
+/// The state of one caller's stream.
 struct EventStream {
     reader: Reader,
     model: TargetName,
+    /// The index of the first token that is not sent yet.
     next: usize,
     done: bool,
 }
 
 impl EventStream {
-    /// All events that are there, as one chunk; waits if there are none.
+    /// All events that are not sent yet, as one chunk; waits if there are none.
     async fn next_chunk(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
         if self.done {
             return None;
         }
         self.reader.slot().wait_for_more(self.next).await;
-        let chunk = self.take_events();
+        let chunk = self.encode_new_events();
         Some((Ok(chunk), self))
     }
 
-    fn take_events(&mut self) -> Bytes {
+    fn encode_new_events(&mut self) -> Bytes {
         let slot = self.reader.slot();
         let progress = slot.progress();
         let mut buf = String::new();
--- a/crates/entry/src/caller/body.rs
+++ b/crates/entry/src/caller/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies, read up to a limit.
+//! Reads request bodies up to a maximum size.
 
 use actix_http::Request;
 use bytes::{Bytes, BytesMut};
@@ -7,8 +7,11 @@
 
 use crate::requests::Failure;
 
-/// Reads the whole body of `req`, at most `max` bytes.
-pub async fn read(req: &mut Request, max: usize) -> Result<Bytes, Failure> {
+/// Reads the whole body of `req`.
+///
+/// # Errors
+/// The body can't be read, or is larger than `max_bytes`.
+pub async fn read(req: &mut Request, max_bytes: usize) -> Result<Bytes, Failure> {
     let mut payload = req.take_payload();
     let mut buf = BytesMut::new();
     while let Some(chunk) = payload.next().await {
@@ -18,8 +21,8 @@
                 format!("the body can't be read: {e}"),
             )
         })?;
-        if buf.len() + chunk.len() > max {
-            let message = format!("the body is larger than {max} bytes");
+        if buf.len() + chunk.len() > max_bytes {
+            let message = format!("the body is larger than {max_bytes} bytes");
             return Err(Failure::new(ErrorKind::TooLarge, message));
         }
         buf.extend_from_slice(&chunk);
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, passed through.
+//! Calls of plain services, which the host relays.
 
 use std::{hash::Hasher, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -34,13 +34,13 @@
     requests::{CallAnswer, Failure, Reader, Refusal, RequestEnd, Slot},
 };
 
-/// Where services are called.
+/// The path prefix under which services are called; the service's name follows.
 pub const PREFIX: &str = "/services/";
-/// The largest answer of a service that is passed on, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-/// How often a repeatable call, or one known not to have run, is tried.
-const MAX_TRIES: usize = 3;
-/// How soon to come back when no endpoint of a service is live.
+/// The maximum size of a service's answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// The maximum number of attempts of a call that is repeatable or is known not to have run.
+const MAX_ATTEMPTS: usize = 3;
+/// The retry delay that callers get if no endpoint of a service answered.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A checked call of a plain service.
@@ -57,6 +57,7 @@
 }
 
 impl Call {
+    /// Hash of the call's content: service, method, path with query, body.
     fn fingerprint(&self) -> u64 {
         let mut hasher = Xxh3::new();
         hasher.write(self.service.name.as_str().as_bytes());
@@ -78,7 +79,7 @@
     let reader = open(host, call)?;
     reader.slot().wait_for_end().await;
     match reader.slot().progress().end.clone() {
-        Some(RequestEnd::Answered(answer)) => Ok(passed_on(reader.slot(), answer)),
+        Some(RequestEnd::Answered(answer)) => Ok(relay_response(reader.slot(), answer)),
         Some(RequestEnd::Failed(failure)) => Err(failure),
         _ => Err(answer::key_reused()),
     }
@@ -100,16 +101,16 @@
     };
     let limit = host.limit(&key).ok_or_else(|| answer::no_limit(&key))?;
     let mut envelope = envelope;
-    envelope.apply(host, &limit);
+    envelope.apply_limit(host, &limit);
     let path = match req.uri().query() {
         Some(query) => format!("{path}?{query}"),
         None => path.to_owned(),
     };
-    let declared_once = service
+    let declared_not_repeatable = service
         .not_repeatable
         .iter()
         .any(|p| path.starts_with(p.as_str()));
-    let repeatable = !declared_once && envelope.repeatable.unwrap_or(limit.repeatable);
+    let repeatable = !declared_not_repeatable && envelope.repeatable.unwrap_or(limit.repeatable);
     let method = req.method().clone();
     let content_type = req.headers().get(CONTENT_TYPE).cloned();
     Ok(Call {
@@ -126,14 +127,14 @@
 
 fn open(host: &Rc<Host>, call: Call) -> Result<Reader, Failure> {
     let (envelope, fingerprint) = (&call.envelope, call.fingerprint());
-    let attached = attach(host, envelope, fingerprint, call.repeatable)?;
-    if let Some(slot) = attached.fresh {
+    let attachment = attach(host, envelope, fingerprint, call.repeatable)?;
+    if let Some(slot) = attachment.new_slot {
         actix_rt::spawn(run(host.clone(), slot, call).in_current_span());
     }
-    Ok(attached.reader)
+    Ok(attachment.reader)
 }
 
-fn passed_on(slot: &Slot, answer: CallAnswer) -> Response<BoxBody> {
+fn relay_response(slot: &Slot, answer: CallAnswer) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut rsp = Response::build(status);
     rsp.insert_header(("x-request-id", slot.key.id.as_str()));
@@ -146,7 +147,7 @@
 async fn run(host: Rc<Host>, slot: Rc<Slot>, call: Call) {
     let end = match drive::follow_remote_run(&host, &slot).await {
         Some(end) => end,
-        None => match run_limited(&host, &slot, &call).await {
+        None => match run_here(&host, &slot, &call).await {
             Ok(answer) => RequestEnd::Answered(answer),
             Err(failure) => RequestEnd::Failed(failure),
         },
@@ -154,7 +155,7 @@
     drive::finish(&host, &slot, end);
 }
 
-async fn run_limited(host: &Rc<Host>, slot: &Slot, call: &Call) -> Result<CallAnswer, Failure> {
+async fn run_here(host: &Rc<Host>, slot: &Slot, call: &Call) -> Result<CallAnswer, Failure> {
     let req = lifecycle::Request::received(slot.full_id());
     let ask = limits::AdmissionRequest {
         key: call.limit.key.clone(),
@@ -173,14 +174,15 @@
     }
 }
 
-/// Tries endpoints until one answers, as far as the owner's budget of retries goes.
+/// Calls endpoints one after another until one answers, as far as the deadline, the maximum number of
+/// attempts and the workspace's retry budget allow.
 async fn run_repeatable(
     host: &Rc<Host>,
     slot: &Slot,
     call: &Call,
     req: lifecycle::Request<lifecycle::Admitted>,
 ) -> Result<CallAnswer, Failure> {
-    let first = match choose(host, call, &[]) {
+    let first = match choose_endpoint(host, call, &[]) {
         Ok(endpoint) => endpoint,
         Err(refusal) => return Err(refusal.into_failure(req)),
     };
@@ -192,7 +194,7 @@
             Ok(answer) => return Ok(answer),
             Err(e) => log::warn!("call: No answer from {endpoint}: {e}."),
         }
-        let Some(next) = retry(host, call, &tried) else {
+        let Some(next) = next_endpoint(host, call, &tried) else {
             break;
         };
         tried.push(next);
@@ -205,26 +207,27 @@
     ))
 }
 
-fn retry(host: &Host, call: &Call, tried: &[EndpointId]) -> Option<EndpointId> {
+/// The endpoint for the next attempt; `None` if no retry is allowed or no other endpoint is live.
+fn next_endpoint(host: &Host, call: &Call, tried: &[EndpointId]) -> Option<EndpointId> {
     let now = host.now();
-    let allowed = tried.len() < MAX_TRIES
+    let allowed = tried.len() < MAX_ATTEMPTS
         && now < call.envelope.deadline
         && host.retries.try_retry(&call.envelope.workspace, now);
     match allowed {
-        true => choose(host, call, tried).ok(),
+        true => choose_endpoint(host, call, tried).ok(),
         false => None,
     }
 }
 
-/// Runs a call that must not run twice: its record comes first, and one endpoint gets it, once.
-/// Only where no connection was made is another endpoint tried.
+/// Runs a call that must not run twice: writes its record before it is dispatched, and sends it to one
+/// endpoint only. Another endpoint is called only if no connection to the one before was made.
 async fn run_not_repeatable(
     host: &Rc<Host>,
     slot: &Slot,
     call: &Call,
     req: lifecycle::Request<lifecycle::NotRepeatable>,
 ) -> Result<CallAnswer, Failure> {
-    let mut endpoint = match choose(host, call, &[]) {
+    let mut endpoint = match choose_endpoint(host, call, &[]) {
         Ok(endpoint) => endpoint,
         Err(refusal) => return Err(drive::refuse_not_repeatable(slot, refusal, req)),
     };
@@ -233,7 +236,7 @@
         RecordResult::Refused(refusal) => {
             return Err(drive::refuse_not_repeatable(slot, refusal, req));
         }
-        RecordResult::Existing(record) => return kept(slot, &record),
+        RecordResult::Existing(record) => return recorded_answer(slot, &record),
     };
     let ticket = record.ticket();
     let dispatched = drive::dispatch_not_repeatable(host, req.record(record))?;
@@ -242,7 +245,7 @@
         match call_endpoint(host, slot, call, &endpoint).await {
             Ok(answer) => {
                 host.recording
-                    .finish(ticket, Outcome::Answered(wire_answer(&answer)));
+                    .finish(ticket, Outcome::Answered(to_wire_answer(&answer)));
                 return Ok(answer);
             }
             Err(CallError::NotSent(e)) => {
@@ -254,7 +257,7 @@
                 break;
             }
         }
-        let Some(next) = retry(host, call, &tried) else {
+        let Some(next) = next_endpoint(host, call, &tried) else {
             break;
         };
         endpoint = next;
@@ -269,8 +272,8 @@
     ))
 }
 
-/// Answers a call that was begun before from its record.
-fn kept(slot: &Slot, record: &Record) -> Result<CallAnswer, Failure> {
+/// Answers a call that was started before from its record.
+fn recorded_answer(slot: &Slot, record: &Record) -> Result<CallAnswer, Failure> {
     drive::recorded_failure(slot, record)?;
     match &record.state {
         RecordState::Done {
@@ -287,7 +290,7 @@
     }
 }
 
-fn wire_answer(answer: &CallAnswer) -> found::CallAnswer {
+fn to_wire_answer(answer: &CallAnswer) -> found::CallAnswer {
     found::CallAnswer {
         status: answer.status,
         content_type: answer.content_type.clone(),
@@ -295,7 +298,7 @@
     }
 }
 
-fn choose(host: &Host, call: &Call, avoid: &[EndpointId]) -> Result<EndpointId, Refusal> {
+fn choose_endpoint(host: &Host, call: &Call, avoid: &[EndpointId]) -> Result<EndpointId, Refusal> {
     let service = &call.service.name;
     let chosen = host
         .router
@@ -312,12 +315,12 @@
 ) -> Result<CallAnswer, CallError> {
     let addr = host.router.borrow().table().get(endpoint).map(|e| e.addr);
     let addr = addr.ok_or_else(|| CallError::NotSent("no longer listed".into()))?;
-    let sent = host.now();
-    host.router.borrow_mut().sent(sent, endpoint);
+    let sent_at = host.now();
+    host.router.borrow_mut().sent(sent_at, endpoint);
     let span = info_span!("call", endpoint = endpoint.as_str());
     let answered = send(host, slot, call, addr).instrument(span).await;
     let now = host.now();
-    let latency = now.saturating_sub(sent);
+    let latency = now.saturating_sub(sent_at);
     let outcome = match &answered {
         Ok(_) => routing::Outcome::Ok { latency },
         Err(_) => routing::Outcome::Failed,
@@ -358,7 +361,7 @@
         .and_then(|v| v.to_str().ok());
     let content_type = content_type.unwrap_or_default().to_owned();
     let status = rsp.status().as_u16();
-    let body = answer_body::read(&mut rsp, MAX_ANSWER).await?;
+    let body = answer_body::read(&mut rsp, MAX_ANSWER_BYTES).await?;
     Ok(CallAnswer {
         status,
         content_type,
--- a/crates/entry/src/caller/completion.rs
+++ b/crates/entry/src/caller/completion.rs
@@ -1,4 +1,4 @@
-//! Generation calls, in the shape that users of language-model interfaces send.
+//! Generation calls, in the JSON format that clients of language-model APIs send.
 
 use std::{hash::Hasher, rc::Rc};
 
@@ -21,10 +21,10 @@
     requests::{Failure, Reader},
 };
 
-/// The tokens generated for a call that doesn't say.
+/// The number of tokens to generate if the call sets none.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// The body of a call, as sent.
+/// The body of a call, before its checks.
 #[derive(Debug, Deserialize)]
 struct RawCompletion {
     model: String,
@@ -46,26 +46,26 @@
 /// A checked generation call.
 #[derive(Debug, Clone)]
 pub struct Completion {
-    /// What the headers say.
+    /// The checked headers.
     pub envelope: Envelope,
     /// The model. Declared in the catalogue.
     pub model: ModelEntry,
     /// The prompt's token ids. Not empty.
     pub prompt: Vec<u64>,
-    /// Tokens to generate. At least 1, and the prompt and these fit the model's context.
+    /// The number of tokens to generate. At least 1; prompt and generated tokens fit the model's context.
     pub max_tokens: u32,
-    /// Whether the answer is to be streamed.
+    /// Whether the answer is streamed.
     pub stream: bool,
-    /// 0 is served first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Whether the call may be run again.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
     /// Hashes of the prompt's prefix blocks.
     pub prefix: Vec<u64>,
 }
 
 impl Completion {
-    /// The limit the call falls under.
+    /// The key of the limit that the call is admitted under.
     pub fn limit_key(&self) -> LimitKey {
         LimitKey {
             workspace: self.envelope.workspace.clone(),
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Tokens the call uses at most.
-    pub fn tokens(&self) -> u32 {
+    /// The maximum number of tokens that the call uses: the prompt's and the generated ones.
+    pub fn max_total_tokens(&self) -> u32 {
         self.prompt.len() as u32 + self.max_tokens
     }
 
-    /// Hash of what is asked, without how it is to be sent.
+    /// Hash of the model, the prompt and the number of tokens, but not of how the answer is sent.
     fn fingerprint(&self) -> u64 {
         let mut hasher = Xxh3::new();
         hasher.write(self.model.name.as_str().as_bytes());
@@ -104,7 +104,7 @@
     let reader = open(host, call)?;
     match stream {
         true => answer::stream(reader, model, 0).await,
-        false => answer::whole(reader, &model, prompt_tokens).await,
+        false => answer::complete(reader, &model, prompt_tokens).await,
     }
 }
 
@@ -112,7 +112,7 @@
     let raw: RawCompletion = serde_json::from_slice(body)
         .map_err(|e| Failure::new(ErrorKind::BadRequest, format!("body: {e}")))?;
     let name = TargetName::try_from(raw.model.as_str())
-        .map_err(|e| bad("model", &format!("{:?}: {e}", raw.model)))?;
+        .map_err(|e| bad_field("model", &format!("{:?}: {e}", raw.model)))?;
     let model = host.model(&name).ok_or_else(|| {
         Failure::new(
             ErrorKind::UnknownTarget,
@@ -121,14 +121,15 @@
     })?;
     let prompt = token::tokenize(&prompt_text(&raw)?);
     if prompt.is_empty() {
-        return Err(bad("prompt", "at least one character is needed"));
+        return Err(bad_field("prompt", "at least one character is needed"));
     }
     let max_tokens = raw.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-    let room = u64::from(model.context).saturating_sub(prompt.len() as u64);
-    if max_tokens == 0 || u64::from(max_tokens) > room {
-        let right =
-            format!("{max_tokens} does not fit: 1 to {room} are possible after this prompt");
-        return Err(bad("max_tokens", &right));
+    let free_context = u64::from(model.context).saturating_sub(prompt.len() as u64);
+    if max_tokens == 0 || u64::from(max_tokens) > free_context {
+        let expected = format!(
+            "{max_tokens} does not fit: 1 to {free_context} are possible after this prompt"
+        );
+        return Err(bad_field("max_tokens", &expected));
     }
     let prefix = routing::prefix_blocks(&model.name, &prompt);
     let mut call = Completion {
@@ -152,33 +153,39 @@
             let contents: Vec<_> = raw.messages.iter().map(|m| m.content.as_str()).collect();
             Ok(contents.join("\n"))
         }
-        _ => Err(bad(
+        _ => Err(bad_field(
             "prompt",
             "either prompt or messages is needed, not both",
         )),
     }
 }
 
-/// Takes over the priority and the default deadline of the limit the call falls under.
+/// Applies the priority, and the defaults for deadline and repeatability, of the call's limit.
+///
+/// # Errors
+/// No limit is declared for the call.
 fn apply_limit(host: &Host, call: &mut Completion) -> Result<(), Failure> {
     let key = call.limit_key();
     let limit = host.limit(&key).ok_or_else(|| answer::no_limit(&key))?;
     call.priority = limit.priority;
     call.repeatable = call.envelope.repeatable.unwrap_or(limit.repeatable);
-    call.envelope.apply(host, &limit);
+    call.envelope.apply_limit(host, &limit);
     Ok(())
 }
 
-/// Attaches to the run of `call`, and starts it if there is none.
+/// Attaches to the run of `call`; starts one if there is none.
+///
+/// # Errors
+/// The call's idempotency key was used with another call.
 fn open(host: &Rc<Host>, call: Completion) -> Result<Reader, Failure> {
     let (envelope, fingerprint) = (&call.envelope, call.fingerprint());
-    let attached = attach(host, envelope, fingerprint, call.repeatable)?;
-    if let Some(slot) = attached.fresh {
+    let attachment = attach(host, envelope, fingerprint, call.repeatable)?;
+    if let Some(slot) = attachment.new_slot {
         actix_rt::spawn(drive::generate(host.clone(), slot, call).in_current_span());
     }
-    Ok(attached.reader)
+    Ok(attachment.reader)
 }
 
-fn bad(field: &str, problem: &str) -> Failure {
+fn bad_field(field: &str, problem: &str) -> Failure {
     Failure::new(ErrorKind::BadRequest, format!("body: {field}: {problem}"))
 }
--- a/crates/entry/src/caller/envelope.rs
+++ b/crates/entry/src/caller/envelope.rs
@@ -1,4 +1,4 @@
-//! What every call says about itself in headers.
+//! The headers that every call may have.
 
 use std::time::Duration;
 
@@ -11,48 +11,52 @@
     requests::{Failure, RequestKey},
 };
 
-/// The owner of the call.
+/// The header with the workspace of the call.
 pub const WORKSPACE: &str = "x-workspace";
-/// The class of work; `interactive` if left out.
+/// The header with the class of work; `interactive` if left out.
 pub const CLASS: &str = "x-class";
-/// Milliseconds until the answer is of no use.
+/// The header with the time in milliseconds after which the answer is of no use.
 pub const DEADLINE: &str = "x-deadline-ms";
-/// The caller's name for the call.
+/// The header with the caller's key for the call.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Whether the call may be run again.
+/// The header that says whether the call may run more than once.
 pub const REPEATABLE: &str = "x-repeatable";
 
-/// The class of calls that name none.
+/// The class of calls without a class header.
 const DEFAULT_CLASS: &str = "interactive";
-/// The longest idempotency key, in bytes.
-const MAX_KEY: usize = 128;
-/// The longest deadline, in milliseconds: one hour.
+/// The maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
+/// The maximum time that a caller may set as deadline, in milliseconds: one hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// Checked headers of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
-    /// The owner. Declared in the catalogue.
+    /// The workspace. Declared in the catalogue.
     pub workspace: WorkspaceName,
     /// The class of work.
     pub class: ClassName,
-    /// Time left for the answer, if the caller said so.
+    /// The time that the caller set for the answer, if any.
     pub time_left: Option<Duration>,
-    /// When the answer is of no use any more, by the host's clock.
+    /// When the answer is no longer of use, by the host's clock.
     pub deadline: Duration,
-    /// The caller's name for the call.
+    /// The caller's idempotency key, if any.
     pub key: Option<String>,
-    /// Whether the call may be run again, if the caller said so.
+    /// Whether the call may run more than once, if the caller says so.
     pub repeatable: Option<bool>,
 }
 
 impl Envelope {
-    /// Checks the headers of a call that came in now.
+    /// Checks the headers of a call that has just arrived.
+    ///
+    /// # Errors
+    /// A header is invalid, or the workspace is missing or not declared.
     pub fn read(host: &Host, headers: &HeaderMap) -> Result<Self, Failure> {
-        let workspace = text(headers, WORKSPACE)?
-            .ok_or_else(|| bad(WORKSPACE, "", "the name of the calling workspace is needed"))?;
+        let workspace = header_text(headers, WORKSPACE)?.ok_or_else(|| {
+            bad_header(WORKSPACE, "", "the name of the calling workspace is needed")
+        })?;
         let workspace = WorkspaceName::try_from(workspace)
-            .map_err(|e| bad(WORKSPACE, workspace, &e.to_string()))?;
+            .map_err(|e| bad_header(WORKSPACE, workspace, &e.to_string()))?;
         if host
             .catalogue()
             .get(&EntryKey::Workspace(workspace.clone()))
@@ -61,12 +65,19 @@
             let message = format!("no workspace {workspace} is declared");
             return Err(Failure::new(ErrorKind::UnknownWorkspace, message));
         }
-        let class = text(headers, CLASS)?.unwrap_or(DEFAULT_CLASS);
-        let class = ClassName::try_from(class).map_err(|e| bad(CLASS, class, &e.to_string()))?;
-        let time_left = text(headers, DEADLINE)?.map(time_left).transpose()?;
+        let class = header_text(headers, CLASS)?.unwrap_or(DEFAULT_CLASS);
+        let class =
+            ClassName::try_from(class).map_err(|e| bad_header(CLASS, class, &e.to_string()))?;
+        let time_left = header_text(headers, DEADLINE)?
+            .map(parse_time_left)
+            .transpose()?;
         let deadline = host.now() + time_left.unwrap_or(host.settings.default_deadline);
-        let key = text(headers, IDEMPOTENCY_KEY)?.map(key).transpose()?;
-        let repeatable = text(headers, REPEATABLE)?.map(truth).transpose()?;
+        let key = header_text(headers, IDEMPOTENCY_KEY)?
+            .map(parse_key)
+            .transpose()?;
+        let repeatable = header_text(headers, REPEATABLE)?
+            .map(parse_bool)
+            .transpose()?;
         Ok(Self {
             workspace,
             class,
@@ -77,14 +88,14 @@
         })
     }
 
-    /// Takes over the limit's deadline if the caller named none.
-    pub fn apply(&mut self, host: &Host, limit: &LimitEntry) {
+    /// Applies the limit's deadline if the caller set none.
+    pub fn apply_limit(&mut self, host: &Host, limit: &LimitEntry) {
         if self.time_left.is_none() {
             self.deadline = host.now() + Duration::from_millis(limit.deadline_ms.into());
         }
     }
 
-    /// The name the call goes by: the caller's, or a new one.
+    /// The key of the request: the caller's idempotency key, or a new id.
     pub fn request_key(&self) -> RequestKey {
         let id = self
             .key
@@ -97,45 +108,49 @@
     }
 }
 
-/// The value of header `name`, if it is there and is text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
+/// The value of header `name`, if there is one.
+///
+/// # Errors
+/// The value is not plain text.
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     value
         .to_str()
         .map(Some)
-        .map_err(|_| bad(name, "", "plain text is needed"))
+        .map_err(|_| bad_header(name, "", "plain text is needed"))
 }
 
-fn bad(header: &str, value: &str, right: &str) -> Failure {
-    let message = format!("header {header}: {value:?} can't be used: {right}");
+fn bad_header(header: &str, value: &str, expected: &str) -> Failure {
+    let message = format!("header {header}: {value:?} can't be used: {expected}");
     Failure::new(ErrorKind::BadRequest, message)
 }
 
-fn time_left(value: &str) -> Result<Duration, Failure> {
+fn parse_time_left(value: &str) -> Result<Duration, Failure> {
     match value.parse::<u64>() {
         Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(Duration::from_millis(ms)),
         _ => {
-            let right = format!("a whole number of milliseconds from 1 to {MAX_DEADLINE_MS}");
-            Err(bad(DEADLINE, value, &right))
+            let expected = format!("a whole number of milliseconds from 1 to {MAX_DEADLINE_MS}");
+            Err(bad_header(DEADLINE, value, &expected))
         }
     }
 }
 
-fn key(value: &str) -> Result<String, Failure> {
+fn parse_key(value: &str) -> Result<String, Failure> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
-    if value.is_empty() || value.len() > MAX_KEY || !value.chars().all(allowed) {
-        let right = format!("1 to {MAX_KEY} letters, digits, '-', '_', '.' and ':' are needed");
-        return Err(bad(IDEMPOTENCY_KEY, value, &right));
+    if value.is_empty() || value.len() > MAX_KEY_BYTES || !value.chars().all(allowed) {
+        let expected =
+            format!("1 to {MAX_KEY_BYTES} letters, digits, '-', '_', '.' and ':' are needed");
+        return Err(bad_header(IDEMPOTENCY_KEY, value, &expected));
     }
     Ok(value.to_owned())
 }
 
-fn truth(value: &str) -> Result<bool, Failure> {
+fn parse_bool(value: &str) -> Result<bool, Failure> {
     match value {
         "true" => Ok(true),
         "false" => Ok(false),
-        _ => Err(bad(REPEATABLE, value, "true or false is needed")),
+        _ => Err(bad_header(REPEATABLE, value, "true or false is needed")),
     }
 }
--- a/crates/entry/src/caller/replayed.rs
+++ b/crates/entry/src/caller/lookup.rs
@@ -1,4 +1,4 @@
-//! Requests asked for again by id: their state, their answer, the rest of their stream.
+//! Looks up requests by id: their state, their answer, the rest of their stream.
 
 use std::rc::Rc;
 
@@ -21,11 +21,11 @@
     },
 };
 
-/// Where requests are found by id.
+/// The path prefix under which requests are looked up by id.
 pub const PREFIX: &str = "/v1/requests/";
-/// What follows the id to resume a stream.
-const EVENTS: &str = "/events";
-/// The id of the last event a caller has seen.
+/// The path suffix after the id, to resume a stream.
+const EVENTS_SUFFIX: &str = "/events";
+/// The header with the id of the last event that the caller has received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
 #[derive(Serialize)]
@@ -44,7 +44,7 @@
 pub async fn handle(host: &Rc<Host>, req: &Request) -> Result<Response<BoxBody>, Failure> {
     let envelope = Envelope::read(host, req.headers())?;
     let rest = &req.path()[PREFIX.len()..];
-    let (id, events) = match rest.strip_suffix(EVENTS) {
+    let (id, events) = match rest.strip_suffix(EVENTS_SUFFIX) {
         Some(id) => (id, true),
         None => (rest, false),
     };
@@ -55,19 +55,22 @@
     let known = host.requests.borrow().get(&key);
     let slot = match known {
         Some(slot) => slot,
-        None => elsewhere(host, key).await?,
+        None => open_remote(host, key).await?,
     };
     if !events {
         return Ok(state(&slot));
     }
     let from = next_event(req)?;
-    // The model's name is not kept with the answer; events of a resumed stream leave it generic.
+    // The slot doesn't hold the model's name, so events of a resumed stream have a generic one.
     let model = TargetName::try_from("resumed").expect("a valid name");
     answer::stream(Reader::attach(slot), model, from).await
 }
 
-/// Opens a slot that follows the request at the host that runs it.
-async fn elsewhere(host: &Rc<Host>, key: RequestKey) -> Result<Rc<Slot>, Failure> {
+/// Opens a slot that follows a request at the host that runs it.
+///
+/// # Errors
+/// No other host runs the request, as far as is known.
+async fn open_remote(host: &Rc<Host>, key: RequestKey) -> Result<Rc<Slot>, Failure> {
     let unknown = || {
         let message = format!("no request {} is known here", key.id);
         Failure::new(ErrorKind::UnknownRequest, message)
@@ -93,7 +96,7 @@
 }
 
 fn next_event(req: &Request) -> Result<usize, Failure> {
-    let Some(last) = envelope::text(req.headers(), LAST_EVENT_ID)? else {
+    let Some(last) = envelope::header_text(req.headers(), LAST_EVENT_ID)? else {
         return Ok(0);
     };
     let last = last.parse::<usize>().map_err(|_| {
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: paths, checked requests, answers.
+//! The HTTP interface for callers: paths, checks of requests, answers.
 
 pub mod answer;
 pub mod attach;
@@ -6,7 +6,7 @@
 pub mod call;
 pub mod completion;
 pub mod envelope;
-pub mod replayed;
+pub mod lookup;
 pub mod status;
 
 use std::{convert::Infallible, rc::Rc};
@@ -17,7 +17,7 @@
 
 use crate::{host::Host, requests::Failure};
 
-/// Answers one HTTP request.
+/// Answers one HTTP request. A failure becomes an error response too.
 pub async fn handle(host: Rc<Host>, req: Request) -> Result<Response<BoxBody>, Infallible> {
     let span = info_span!("request", method = %req.method(), path = req.path());
     let parent = req
@@ -41,7 +41,7 @@
         (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
             completion::handle(host, req).await
         }
-        (&Method::GET, p) if p.starts_with(replayed::PREFIX) => replayed::handle(host, &req).await,
+        (&Method::GET, p) if p.starts_with(lookup::PREFIX) => lookup::handle(host, &req).await,
         (_, p) if p.starts_with(call::PREFIX) => call::handle(host, req).await,
         (method, p) => {
             let kind = dragonflyrill_delivery::ErrorKind::UnknownTarget;
--- a/crates/entry/src/caller/status.rs
+++ b/crates/entry/src/caller/status.rs
@@ -1,4 +1,4 @@
-//! What operators and the balancer ask a host.
+//! The state of the host, for operators and the load balancer.
 
 use actix_http::{Response, StatusCode, body::BoxBody, header::CONTENT_TYPE};
 use serde::Serialize;
@@ -26,7 +26,7 @@
         .map_into_boxed_body()
 }
 
-/// `GET /readyz`: whether the balancer should send requests.
+/// `GET /readyz`: whether the load balancer should send requests to this host.
 pub fn ready(host: &Host) -> Response<BoxBody> {
     let (status, text) = match host.ready() {
         true => (StatusCode::OK, "ready\n"),
@@ -55,7 +55,7 @@
     rsp.body(json).map_into_boxed_body()
 }
 
-/// `GET /metrics`: counters in the text format of Prometheus.
+/// `GET /metrics`: metrics in the text format of Prometheus.
 pub fn metrics(host: &Host) -> Response<BoxBody> {
     let mut rsp = Response::build(StatusCode::OK);
     rsp.insert_header((CONTENT_TYPE, "text/plain; version=0.0.4"));
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -165,7 +165,7 @@
     host.retries.request(&call.envelope.workspace, host.now());
     let ask = limits::AdmissionRequest {
         key: call.limit_key(),
-        tokens: call.tokens(),
+        tokens: call.max_total_tokens(),
         admit_by: call.envelope.deadline,
     };
     let admitted = host.admission.admit(&ask).instrument(info_span!("admit"));
