--- a/crates/entry/src/caller/answer.rs
+++ b/crates/entry/src/caller/answer.rs
@@ -227,7 +227,7 @@
                 buf.push_str(&format!("event: error\ndata: {}\n\n", error_json(failure)));
                 self.done = true;
             }
-            Some(RequestEnd::Complete | RequestEnd::Answered(_)) => {
+            Some(RequestEnd::Complete | RequestEnd::ServiceAnswered(_)) => {
                 buf.push_str("data: [DONE]\n\n");
                 self.done = true;
             }
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -79,7 +79,7 @@
     let reader = open(host, call)?;
     reader.slot().wait_for_end().await;
     match reader.slot().progress().end.clone() {
-        Some(RequestEnd::Answered(answer)) => Ok(relay_response(reader.slot(), answer)),
+        Some(RequestEnd::ServiceAnswered(answer)) => Ok(relay_response(reader.slot(), answer)),
         Some(RequestEnd::Failed(failure)) => Err(failure),
         _ => Err(answer::key_reused()),
     }
@@ -101,7 +101,7 @@
     };
     let limit = host.limit(&key).ok_or_else(|| answer::no_limit(&key))?;
     let mut envelope = envelope;
-    envelope.apply_limit(host, &limit);
+    envelope.apply_limit_deadline(host, &limit);
     let path = match req.uri().query() {
         Some(query) => format!("{path}?{query}"),
         None => path.to_owned(),
@@ -148,7 +148,7 @@
     let end = match drive::follow_remote_run(&host, &slot).await {
         Some(end) => end,
         None => match run_here(&host, &slot, &call).await {
-            Ok(answer) => RequestEnd::Answered(answer),
+            Ok(answer) => RequestEnd::ServiceAnswered(answer),
             Err(failure) => RequestEnd::Failed(failure),
         },
     };
--- a/crates/entry/src/caller/completion.rs
+++ b/crates/entry/src/caller/completion.rs
@@ -169,7 +169,7 @@
     let limit = host.limit(&key).ok_or_else(|| answer::no_limit(&key))?;
     call.priority = limit.priority;
     call.repeatable = call.envelope.repeatable.unwrap_or(limit.repeatable);
-    call.envelope.apply_limit(host, &limit);
+    call.envelope.apply_limit_deadline(host, &limit);
     Ok(())
 }
 
--- a/crates/entry/src/caller/envelope.rs
+++ b/crates/entry/src/caller/envelope.rs
@@ -89,7 +89,7 @@
     }
 
     /// Applies the limit's deadline if the caller set none.
-    pub fn apply_limit(&mut self, host: &Host, limit: &LimitEntry) {
+    pub fn apply_limit_deadline(&mut self, host: &Host, limit: &LimitEntry) {
         if self.time_left.is_none() {
             self.deadline = host.now() + Duration::from_millis(limit.deadline_ms.into());
         }
--- a/crates/entry/src/caller/lookup.rs
+++ b/crates/entry/src/caller/lookup.rs
@@ -111,7 +111,7 @@
     let (state, run, text, error) = match &progress.end {
         None => ("running", "may_have_run", None, None),
         Some(RequestEnd::Complete) => ("done", "ran", Some(progress.text()), None),
-        Some(RequestEnd::Answered(_)) => ("done", "ran", None, None),
+        Some(RequestEnd::ServiceAnswered(_)) => ("done", "ran", None, None),
         Some(RequestEnd::Failed(f)) => {
             let answer = f.kind.answer();
             ("failed", answer.run.as_str(), None, Some(answer.code))
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -130,8 +130,8 @@
     }
 
     /// Executes the first actions and then drives the generation to its end.
-    pub(super) async fn run(&mut self, first: FirstActions) -> Result<(), RunFailure> {
-        self.execute_all(first.0);
+    pub(super) async fn run(&mut self, first_actions: FirstActions) -> Result<(), RunFailure> {
+        self.execute_all(first_actions.0);
         loop {
             if let Some(end) = self.end.take() {
                 return end;
@@ -352,8 +352,7 @@
             .host
             .retries
             .try_retry(&self.call.envelope.workspace, now);
-        let chosen =
-            allowed.then(|| super::choose_chain(self.host, self.call, layers, &self.avoid));
+        let chosen = allowed.then(|| super::find_chain(self.host, self.call, layers, &self.avoid));
         let event = match chosen {
             Some(Ok(chain)) => Event::Replacement(chain),
             Some(Err(_)) | None => Event::NoReplacement,
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -138,7 +138,7 @@
 fn end_label(end: &RequestEnd) -> &'static str {
     match end {
         RequestEnd::Complete => "whole",
-        RequestEnd::Answered(_) => "called",
+        RequestEnd::ServiceAnswered(_) => "called",
         RequestEnd::Failed(failure) => failure.kind.answer().code,
     }
 }
@@ -185,18 +185,18 @@
     permit: &Permit,
     req: lifecycle::Request<lifecycle::Admitted>,
 ) -> Result<(), Failure> {
-    let chain = match choose_chain(host, call, all_layers(call), &[]) {
+    let chain = match find_chain(host, call, all_layers(call), &[]) {
         Ok(chain) => chain,
         Err(refusal) => return Err(refusal.into_failure(req)),
     };
     let mut driver = Driver::new(host, slot, call, permit, generation(host, slot, call));
-    let first = match driver.start(chain) {
-        Ok(first) => first,
+    let first_actions = match driver.start(chain) {
+        Ok(first_actions) => first_actions,
         Err(refusal) => return Err(refusal.into_failure(req)),
     };
     let dispatched = req.dispatch();
     driver
-        .run(first)
+        .run(first_actions)
         .await
         .map_err(|failed| failed.into_failure(dispatched))
 }
@@ -209,13 +209,13 @@
     permit: &Permit,
     req: lifecycle::Request<lifecycle::NotRepeatable>,
 ) -> Result<(), Failure> {
-    let chain = match choose_chain(host, call, all_layers(call), &[]) {
+    let chain = match find_chain(host, call, all_layers(call), &[]) {
         Ok(chain) => chain,
         Err(refusal) => return Err(refuse_not_repeatable(slot, refusal, req)),
     };
     let mut driver = Driver::new(host, slot, call, permit, generation(host, slot, call));
-    let first = match driver.start(chain) {
-        Ok(first) => first,
+    let first_actions = match driver.start(chain) {
+        Ok(first_actions) => first_actions,
         Err(refusal) => return Err(refuse_not_repeatable(slot, refusal, req)),
     };
     let record = match host.recording.begin(&slot.key, slot.fingerprint).await {
@@ -225,7 +225,7 @@
     };
     let ticket = record.ticket();
     let dispatched = dispatch_not_repeatable(host, req.record(record))?;
-    let result = driver.run(first).await;
+    let result = driver.run(first_actions).await;
     record_outcome(host, slot, ticket, result.is_ok());
     result.map_err(|failed| failed.into_failure(dispatched))
 }
@@ -379,7 +379,7 @@
 }
 
 /// Chooses a chain of endpoints for `layers`, without the endpoints in `avoid`.
-fn choose_chain(
+fn find_chain(
     host: &Host,
     call: &Completion,
     layers: wire::Layers,
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -147,8 +147,8 @@
     }
 
     /// Applies an update from the control arbiter.
-    pub fn apply_update(self: &Rc<Self>, news: control::News) {
-        match news {
+    pub fn apply_update(self: &Rc<Self>, update: control::News) {
+        match update {
             control::News::Catalogue(catalogue) => self.install_catalogue(catalogue),
             control::News::Endpoints(endpoints) => self.replace_endpoints(endpoints),
             control::News::Leaving { endpoint, leaving } => {
@@ -254,11 +254,11 @@
         }
     }
 
-    fn set_endpoint_draining(&self, endpoint: EndpointId, leaving: bool) {
+    fn set_endpoint_draining(&self, endpoint: EndpointId, draining: bool) {
         let mut router = self.router.borrow_mut();
-        router.table_mut().set_draining(&endpoint, leaving);
+        router.table_mut().set_draining(&endpoint, draining);
         let mut known = self.draining_endpoints.borrow_mut();
-        match leaving {
+        match draining {
             true => known.insert(endpoint),
             false => known.remove(&endpoint),
         };
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -92,8 +92,8 @@
 }
 
 async fn apply_updates(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::News>) {
-    while let Some(news) = rx.recv().await {
-        host.apply_update(news);
+    while let Some(update) = rx.recv().await {
+        host.apply_update(update);
     }
 }
 
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -127,15 +127,15 @@
     engine: EngineClient,
     mut rx: mpsc::UnboundedReceiver<QueuedStep>,
 ) {
-    let mut queued = Vec::new();
-    while rx.recv_many(&mut queued, MAX_BATCH_STEPS).await > 0 {
-        let batch = std::mem::take(&mut queued);
+    let mut queued_steps = Vec::new();
+    while rx.recv_many(&mut queued_steps, MAX_BATCH_STEPS).await > 0 {
+        let batch = std::mem::take(&mut queued_steps);
         actix_rt::spawn(run_batch(endpoint.clone(), engine.clone(), batch));
     }
 }
 
-async fn run_batch(endpoint: EndpointId, engine: EngineClient, queued: Vec<QueuedStep>) {
-    let (steps, mut waiting): (Vec<_>, Vec<_>) = queued
+async fn run_batch(endpoint: EndpointId, engine: EngineClient, queued_steps: Vec<QueuedStep>) {
+    let (steps, mut waiting): (Vec<_>, Vec<_>) = queued_steps
         .into_iter()
         .map(|queued| (queued.step, Some(queued.tx)))
         .unzip();
--- a/crates/entry/src/recording.rs
+++ b/crates/entry/src/recording.rs
@@ -80,11 +80,11 @@
     /// Records the call `key`. Must return before any part of the call is sent to an endpoint.
     pub async fn begin(self: &Rc<Self>, key: &RequestKey, fingerprint: u64) -> RecordResult {
         let (tx, rx) = oneshot::channel();
-        let id = format!("{}/{}", key.workspace, key.id);
+        let full_id = format!("{}/{}", key.workspace, key.id);
         let mut actions = Vec::new();
         let ticket = {
             let mut recorder = self.recorder.borrow_mut();
-            recorder.begin(self.clock.now(), &id, fingerprint, &mut actions)
+            recorder.begin(self.clock.now(), &full_id, fingerprint, &mut actions)
         };
         self.waiting.borrow_mut().push(WaitingCall { ticket, tx });
         self.execute(actions);
@@ -144,12 +144,12 @@
         }
     }
 
-    fn answer(&self, ticket: RecordTicket, result: RecordResult) {
+    fn answer(&self, ticket: RecordTicket, record_result: RecordResult) {
         let mut waiting = self.waiting.borrow_mut();
         if let Some(at) = waiting.iter().position(|w| w.ticket == ticket) {
             // If the call was abandoned while it waited, its permit is dropped, so the call is never
             // dispatched.
-            let _ = waiting.swap_remove(at).tx.send(result);
+            let _ = waiting.swap_remove(at).tx.send(record_result);
         }
     }
 
--- a/crates/entry/src/requests/follow.rs
+++ b/crates/entry/src/requests/follow.rs
@@ -36,7 +36,7 @@
 /// How following a request ended.
 #[derive(Debug)]
 pub enum FollowResult {
-    /// The request ended at the other host; the slot holds its tokens.
+    /// The request ended at the other host like this; the slot holds its tokens.
     Ended(RequestEnd),
     /// The other host doesn't know the request or can't be reached.
     Lost,
@@ -165,7 +165,7 @@
     match answer.state {
         State::Running => None,
         State::Whole => Some(match answer.call {
-            Some(call) => RequestEnd::Answered(CallAnswer {
+            Some(call) => RequestEnd::ServiceAnswered(CallAnswer {
                 status: call.status,
                 content_type: call.content_type,
                 body: call.body.into(),
@@ -211,7 +211,7 @@
     let (state, call) = match &progress.end {
         None => (State::Running, None),
         Some(RequestEnd::Complete) => (State::Whole, None),
-        Some(RequestEnd::Answered(call)) => (State::Whole, Some(to_wire_call(call))),
+        Some(RequestEnd::ServiceAnswered(call)) => (State::Whole, Some(to_wire_call(call))),
         Some(RequestEnd::Failed(failure)) => (failed_state(failure), None),
     };
     let tokens = progress.tokens.get(from..).unwrap_or_default().to_vec();
--- a/crates/entry/src/requests/mod.rs
+++ b/crates/entry/src/requests/mod.rs
@@ -130,7 +130,7 @@
     /// A generation released all its tokens.
     Complete,
     /// A plain service answered.
-    Answered(CallAnswer),
+    ServiceAnswered(CallAnswer),
     /// The request failed or was refused.
     Failed(Failure),
 }
