--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -89,7 +89,7 @@
 }
 
 impl Permit {
-    /// Whether the right under which the request runs is suspended.
+    /// The gate that tells whether the right under which the request runs is suspended.
     pub fn gate(&self) -> &Rc<Gate> {
         &self.gate
     }
--- a/crates/entry/src/caller/answer.rs
+++ b/crates/entry/src/caller/answer.rs
@@ -160,7 +160,7 @@
 /// Streams the answer from token `from` on, as server-sent events.
 ///
 /// # Errors
-/// The request failed before token `from`. A later failure is sent as an event.
+/// The request failed before it released token `from`. A later failure is sent as an event.
 pub async fn stream(
     reader: Reader,
     model: TargetName,
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -157,13 +157,13 @@
 
 async fn run_here(host: &Rc<Host>, slot: &Slot, call: &Call) -> Result<CallAnswer, Failure> {
     let req = lifecycle::Request::received(slot.full_id());
-    let ask = limits::AdmissionRequest {
+    let admission_request = limits::AdmissionRequest {
         key: call.limit.key.clone(),
         tokens: 0,
         admit_by: call.envelope.deadline,
     };
     host.retries.request(&call.envelope.workspace, host.now());
-    let _permit = match host.admission.admit(&ask).await {
+    let _permit = match host.admission.admit(&admission_request).await {
         Ok(permit) => permit,
         Err(refusal) if call.repeatable => return Err(refusal.into_failure(req)),
         Err(refusal) => return Err(drive::refuse_not_repeatable(slot, refusal, req)),
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -49,7 +49,7 @@
     call: &'a Completion,
     permit: &'a Permit,
     generation: Generation,
-    /// Endpoints that failed a step of this request.
+    /// Endpoints that were lost during this request, which replacements avoid.
     avoid: Vec<EndpointId>,
     /// The last known addresses of the endpoints, also of those that are no longer listed.
     addrs: FxHashMap<EndpointId, SocketAddr>,
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -163,12 +163,15 @@
 
 async fn admit(host: &Host, slot: &Slot, call: &Completion) -> Result<Permit, Refusal> {
     host.retries.request(&call.envelope.workspace, host.now());
-    let ask = limits::AdmissionRequest {
+    let admission_request = limits::AdmissionRequest {
         key: call.limit_key(),
         tokens: call.max_total_tokens(),
         admit_by: call.envelope.deadline,
     };
-    let admitted = host.admission.admit(&ask).instrument(info_span!("admit"));
+    let admitted = host
+        .admission
+        .admit(&admission_request)
+        .instrument(info_span!("admit"));
     tokio::select! {
         permit = admitted => permit,
         () = slot.wait_for_abandonment() => {
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -75,7 +75,7 @@
     draining_endpoints: RefCell<BTreeSet<EndpointId>>,
     claims: RefCell<Claims>,
     catalogue: RefCell<Rc<Catalogue>>,
-    /// When the catalogue of this revision came into force, by `clock`.
+    /// When the catalogue in force was installed, by `clock`.
     in_force_since: Cell<Duration>,
 }
 
--- a/crates/entry/src/requests/follow.rs
+++ b/crates/entry/src/requests/follow.rs
@@ -1,6 +1,7 @@
 //! Follows a request that another host runs: copies its answer as it grows.
 //!
-//! The home of a request, one host that all hosts compute alike, records which host runs it.
+//! The home of a request is a host that all hosts compute from the request's key alike. It records
+//! which host runs the request.
 
 use std::{rc::Rc, time::Duration};
 
@@ -36,7 +37,7 @@
 /// How following a request ended.
 #[derive(Debug)]
 pub enum FollowResult {
-    /// The request ended at the other host like this; the slot holds its tokens.
+    /// The request ended at the other host with this end; the slot holds its tokens.
     Ended(RequestEnd),
     /// The other host doesn't know the request or can't be reached.
     Lost,
