--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admits requests under the limits of their workspaces, which all hosts share.
 //!
-//! [`Admission`] executes the actions of the limiter: it answers waiting requests, sends messages about
-//! rights to peers through the control arbiter, and runs transactions on the table.
+//! [`Admission`] executes the actions of the limiter: it answers waiting requests, sends messages
+//! about rights to peers through the control arbiter, and runs transactions on the table.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,8 +27,8 @@
 
 /// The maximum number of requests that wait under one limit.
 const MAX_QUEUED_PER_LIMIT: usize = 1024;
-/// The timer waits at least this long before it runs the limiter, also when the limiter's next tick is
-/// overdue, so that the timer can't starve the arbiter.
+/// The timer waits at least this long before it runs the limiter, also when the limiter's next tick
+/// is overdue, so that the timer can't starve the arbiter.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 /// The timer waits at most this long before it runs the limiter.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
--- a/crates/entry/src/caller/answer.rs
+++ b/crates/entry/src/caller/answer.rs
@@ -1,5 +1,5 @@
-//! Answers to callers: errors from the table of error kinds, completions in one body or as server-sent
-//! events.
+//! Answers to callers: errors from the table of error kinds, completions in one body or as
+//! server-sent events.
 
 use std::{convert::Infallible, time::Duration};
 
--- a/crates/entry/src/caller/call.rs
+++ b/crates/entry/src/caller/call.rs
@@ -174,8 +174,8 @@
     }
 }
 
-/// Calls endpoints one after another until one answers, as far as the deadline, the maximum number of
-/// attempts and the workspace's retry budget allow.
+/// Calls endpoints one after another until one answers, as far as the deadline, the maximum number
+/// of attempts and the workspace's retry budget allow.
 async fn run_repeatable(
     host: &Rc<Host>,
     slot: &Slot,
@@ -219,8 +219,8 @@
     }
 }
 
-/// Runs a call that must not run twice: writes its record before it is dispatched, and sends it to one
-/// endpoint only. Another endpoint is called only if no connection to the one before was made.
+/// Runs a call that must not run twice: writes its record before it is dispatched, and sends it to
+/// one endpoint only. Another endpoint is called only if no connection to the one before was made.
 async fn run_not_repeatable(
     host: &Rc<Host>,
     slot: &Slot,
--- a/crates/entry/src/caller/completion.rs
+++ b/crates/entry/src/caller/completion.rs
@@ -52,7 +52,8 @@
     pub model: ModelEntry,
     /// The prompt's token ids. Not empty.
     pub prompt: Vec<u64>,
-    /// The number of tokens to generate. At least 1; prompt and generated tokens fit the model's context.
+    /// The number of tokens to generate. At least 1; prompt and generated tokens fit the model's
+    /// context.
     pub max_tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -109,8 +109,8 @@
     /// Starts the generation on `chain`, but sends nothing before [`Driver::run`].
     ///
     /// # Errors
-    /// The generation failed at its start, such as when its work can't be done by the deadline. Nothing
-    /// was sent, and nothing will be.
+    /// The generation failed at its start, such as when its work can't be done by the deadline.
+    /// Nothing was sent, and nothing will be.
     pub(super) fn start(&mut self, chain: Chain) -> Result<FirstActions, Refusal> {
         let mut actions = Vec::new();
         self.generation
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Waits for the end of a step or of an export or import, the generation's next wake, the suspension
-    /// or return of the right, or the last reader's drop.
+    /// Waits for the end of a step or of an export or import, the generation's next wake, the
+    /// suspension or return of the right, or the last reader's drop.
     async fn next_event(&mut self) -> Option<Event> {
         let gate = self.permit.gate().clone();
         if !gate.is_suspended() {
@@ -245,8 +245,8 @@
     }
 
     fn fail(&mut self, kind: ErrorKind) {
-        // Steps were sent, so only kinds of failures after dispatch can occur. The fallback also says
-        // that the request may have run.
+        // Steps were sent, so only kinds of failures after dispatch can occur. The fallback also
+        // says that the request may have run.
         let kind = AfterDispatchKind::try_from(kind).unwrap_or(AfterDispatchKind::EndpointFailed);
         let retry_after = self.generation.retry_after();
         self.end = Some(Err(RunFailure { kind, retry_after }));
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -54,8 +54,8 @@
 
 /// Claims a named request and, if another host runs it, follows that run to its end.
 ///
-/// `None` if this host is to run the request: it is unnamed, no other host runs it, or the run at the
-/// other host was lost.
+/// `None` if this host is to run the request: it is unnamed, no other host runs it, or the run at
+/// the other host was lost.
 pub async fn follow_remote_run(host: &Host, slot: &Slot) -> Option<RequestEnd> {
     if !slot.named {
         return None;
@@ -81,8 +81,8 @@
     None
 }
 
-/// Copies the answer from the host that runs the request into `slot`, for a caller that sent only the
-/// id of the request, so that this host can't run it.
+/// Copies the answer from the host that runs the request into `slot`, for a caller that sent only
+/// the id of the request, so that this host can't run it.
 pub async fn follow_to_end(host: Rc<Host>, slot: Rc<Slot>, peer: PeerInfo) {
     let end = match follow::follow(&host, &slot, &peer).await {
         FollowResult::Ended(end) => end,
@@ -233,8 +233,8 @@
     result.map_err(|failed| failed.into_failure(dispatched))
 }
 
-/// Marks a call that must not run twice as dispatched, once its record is in the table. Only after this
-/// may any part of the call be sent.
+/// Marks a call that must not run twice as dispatched, once its record is in the table. Only after
+/// this may any part of the call be sent.
 ///
 /// # Errors
 /// A refusal that says "not run", if the term of the record's permit is over: nothing was sent.
@@ -253,8 +253,8 @@
 
 /// The failure for a call that must not run twice and was refused before its record was read.
 ///
-/// "Not run" would also cover earlier calls under the same key, so the failure says so only if no other
-/// host may have started the request.
+/// "Not run" would also cover earlier calls under the same key, so the failure says so only if no
+/// other host may have started the request.
 pub fn refuse_not_repeatable<S: lifecycle::BeforeDispatch>(
     slot: &Slot,
     refusal: Refusal,
@@ -342,8 +342,8 @@
     }
 }
 
-/// The generation of `call`. After a lost run at another host it resumes behind the tokens that are in
-/// `slot`.
+/// The generation of `call`. After a lost run at another host it resumes behind the tokens that are
+/// in `slot`.
 fn generation(host: &Host, slot: &Slot, call: &Completion) -> Generation {
     let cfg = dragonflyrill_delivery::Config {
         step_times: host.step_times.get(),
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -272,7 +272,8 @@
         }
     }
 
-    /// Reports to the hosts of the data centre that an endpoint refused work because it is draining.
+    /// Reports to the hosts of the data centre that an endpoint refused work because it is
+    /// draining.
     pub fn report_draining_refusal(&self, endpoint: &EndpointId) {
         let sign = Sign {
             endpoint: endpoint.clone(),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! [`caller`] parses and checks a request; [`admission`] admits it under its workspace's limit. The
 //! router in [`host`] chooses its chain of endpoints, and [`drive`] runs it over the connections of
-//! [`pool`]. [`requests`] keeps the answer, which any number of callers may read. [`node`] assembles
-//! these parts.
+//! [`pool`]. [`requests`] keeps the answer, which any number of callers may read. [`node`]
+//! assembles these parts.
 
 pub mod admission;
 pub mod caller;
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -101,8 +101,8 @@
         let _ = queues[endpoint].tx.send(QueuedStep { step, tx });
     }
 
-    /// Sends `cancel` to the endpoint at `addr`, which frees what it holds for the request. Doesn't wait
-    /// for the answer; a failure is only logged.
+    /// Sends `cancel` to the endpoint at `addr`, which frees what it holds for the request. Doesn't
+    /// wait for the answer; a failure is only logged.
     pub fn cancel(&self, addr: SocketAddr, cancel: wire::Cancel) {
         let engine = EngineClient::new(self.http.clone(), addr);
         actix_rt::spawn(async move {
--- a/crates/entry/src/recording.rs
+++ b/crates/entry/src/recording.rs
@@ -1,7 +1,7 @@
 //! Writes this host's records of calls that are not repeatable.
 //!
-//! [`Recording`] executes the actions of the [`Recorder`]: it runs the recorder's transactions on the
-//! table and reports the results to the waiting requests.
+//! [`Recording`] executes the actions of the [`Recorder`]: it runs the recorder's transactions on
+//! the table and reports the results to the waiting requests.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,9 +28,9 @@
 /// The timer waits at most this long before it runs the recorder.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// The mean interval at which a host deletes the records of past buckets. Each interval is drawn from
-/// 0.5 to 1.5 times this one, so that hosts don't delete at the same time. A bucket covers one day;
-/// deleting a bucket that is already deleted costs one write.
+/// The mean interval at which a host deletes the records of past buckets. Each interval is drawn
+/// from 0.5 to 1.5 times this one, so that hosts don't delete at the same time. A bucket covers one
+/// day; deleting a bucket that is already deleted costs one write.
 const TRIM_INTERVAL: Duration = Duration::from_secs(6 * 3600);
 
 /// The result of a request to record a call.
@@ -102,7 +102,8 @@
         self.execute(Vec::new());
     }
 
-    /// Reports that a recorded call was not dispatched within the term of its permit and never will be.
+    /// Reports that a recorded call was not dispatched within the term of its permit and never will
+    /// be.
     pub fn abandon(self: &Rc<Self>, expired: ExpiredPermit) {
         self.recorder
             .borrow_mut()
@@ -147,8 +148,8 @@
     fn answer(&self, ticket: RecordTicket, record_result: RecordResult) {
         let mut waiting = self.waiting.borrow_mut();
         if let Some(at) = waiting.iter().position(|w| w.ticket == ticket) {
-            // If the call was abandoned while it waited, its permit is dropped, so the call is never
-            // dispatched.
+            // If the call was abandoned while it waited, its permit is dropped, so the call is
+            // never dispatched.
             let _ = waiting.swap_remove(at).tx.send(record_result);
         }
     }
--- a/crates/entry/src/requests/claims.rs
+++ b/crates/entry/src/requests/claims.rs
@@ -10,8 +10,8 @@
 
 use crate::requests::RequestKey;
 
-/// The maximum number of claims kept. At this number expired claims are dropped, and all claims if that
-/// isn't enough: a claim avoids a second run of a request, but nothing relies on it.
+/// The maximum number of claims kept. At this number expired claims are dropped, and all claims if
+/// that isn't enough: a claim avoids a second run of a request, but nothing relies on it.
 const MAX_CLAIMS: usize = 100_000;
 
 #[derive(Debug)]
@@ -35,8 +35,8 @@
 }
 
 impl Claims {
-    /// Answers `claim`. A granted claim is kept for `keep`; the term starts again each time its holder
-    /// claims the request.
+    /// Answers `claim`. A granted claim is kept for `keep`; the term starts again each time its
+    /// holder claims the request.
     pub fn claim(&mut self, now: Duration, keep: Duration, claim: Claim) -> Claimed {
         self.drop_expired(now, keep);
         let key = RequestKey {
@@ -49,7 +49,8 @@
         }
         let record = self.records.get(&key).filter(|record| record.until > now);
         if let Some(record) = record
-            // A restarted host doesn't know the claims of its earlier incarnation, so the id decides.
+            // A restarted host doesn't know the claims of its earlier incarnation, so the id
+            // decides.
             && record.by.id != claim.by.id
             && !record.released
         {
--- a/crates/entry/src/requests/follow.rs
+++ b/crates/entry/src/requests/follow.rs
@@ -16,8 +16,8 @@
     requests::{CallAnswer, Failure, RequestEnd, RequestKey, Slot},
 };
 
-/// How long the peer that runs a request may wait for new tokens or the end before it answers a query,
-/// in milliseconds.
+/// How long the peer that runs a request may wait for new tokens or the end before it answers a
+/// query, in milliseconds.
 const MAX_WAIT_MS: u32 = 1000;
 
 /// The host that is to run a request.
@@ -67,8 +67,8 @@
 
 /// Reports to the home of `key` that this host did not run the request and never will.
 pub async fn release_claim(host: &Host, key: &RequestKey) {
-    // A home that doesn't receive the report still counts the run. Then a refusal of a later run can't
-    // say that the request was not run.
+    // A home that doesn't receive the report still counts the run. Then a refusal of a later run
+    // can't say that the request was not run.
     find_runner(host, key, Intent::GiveBack).await;
 }
 
@@ -113,8 +113,8 @@
     }
 }
 
-/// Copies the answer of the request's run at `peer` into `slot` while it grows, until the request ends
-/// or `peer` is lost.
+/// Copies the answer of the request's run at `peer` into `slot` while it grows, until the request
+/// ends or `peer` is lost.
 pub async fn follow(host: &Host, slot: &Slot, peer: &PeerInfo) -> FollowResult {
     loop {
         let query = Query {
@@ -136,8 +136,8 @@
     }
 }
 
-/// The fingerprint of the request `key`, as `peer` knows it; `None` if `peer` doesn't know the request
-/// or doesn't answer.
+/// The fingerprint of the request `key`, as `peer` knows it; `None` if `peer` doesn't know the
+/// request or doesn't answer.
 pub async fn fingerprint(host: &Host, key: &RequestKey, peer: &PeerInfo) -> Option<u64> {
     let (workspace, id) = (key.workspace.clone(), key.id.clone());
     let query = Query {
@@ -190,8 +190,8 @@
     }
 }
 
-/// Answers a query of a peer that follows a request of this host. Waits up to the query's `wait_ms` for
-/// new tokens or the end.
+/// Answers a query of a peer that follows a request of this host. Waits up to the query's `wait_ms`
+/// for new tokens or the end.
 pub async fn answer_query(host: Rc<Host>, query: Query) -> Found {
     let key = RequestKey {
         workspace: query.workspace,
--- a/crates/entry/src/requests/mod.rs
+++ b/crates/entry/src/requests/mod.rs
@@ -1,8 +1,8 @@
 //! The running and recently finished requests of this host, with their answers.
 //!
-//! A [`Slot`] holds the answer of one request while it grows. The task that drives the request writes
-//! it, and any number of callers read it, from any token on. So a retried or resumed call attaches to
-//! the existing run and never starts a second one.
+//! A [`Slot`] holds the answer of one request while it grows. The task that drives the request
+//! writes it, and any number of callers read it, from any token on. So a retried or resumed call
+//! attaches to the existing run and never starts a second one.
 
 pub mod claims;
 pub mod follow;
@@ -159,11 +159,11 @@
 pub struct Slot {
     /// The request.
     pub key: RequestKey,
-    /// Hash of the request's content, which distinguishes a retry from another request under the same
-    /// key.
+    /// Hash of the request's content, which distinguishes a retry from another request under the
+    /// same key.
     pub fingerprint: u64,
-    /// Whether the request runs to its end without readers: the caller gave it a key, so it may fetch
-    /// the answer later, or the request must not run twice.
+    /// Whether the request runs to its end without readers: the caller gave it a key, so it may
+    /// fetch the answer later, or the request must not run twice.
     pub named: bool,
     progress: RefCell<Progress>,
     attempt: Cell<u32>,
@@ -241,7 +241,8 @@
     }
 }
 
-/// One caller's reference to a slot. An unnamed request is abandoned when its last reader is dropped.
+/// One caller's reference to a slot. An unnamed request is abandoned when its last reader is
+/// dropped.
 #[derive(Debug)]
 pub struct Reader {
     slot: Rc<Slot>,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -22,7 +22,8 @@
     pub seeds: Vec<SocketAddr>,
     /// The address of the platform, which serves the table, the object store and the host list.
     pub platform: SocketAddr,
-    /// The interval at which a host polls the platform for changes, if it is one of those that poll.
+    /// The interval at which a host polls the platform for changes, if it is one of those that
+    /// poll.
     pub poll_interval: Duration,
     /// The interval at which each host polls the platform for the host list.
     pub poll_hosts_interval: Duration,
