--- a/crates/entry/src/caller/replayed.rs
+++ b/crates/entry/src/caller/lookup.rs
@@ -1,4 +1,4 @@
-//! Requests asked for again by id: their state, their answer, the rest of their stream.
+//! Looks up requests by id: their state, their answer, the rest of their stream.
 
 use std::rc::Rc;
 
@@ -16,16 +16,16 @@
     drive,
     host::Host,
     requests::{
-        End, Failure, Opened, Reader, RequestKey, Slot,
+        Failure, OpenResult, Reader, RequestEnd, RequestKey, Slot,
         follow::{self, Runner},
     },
 };
 
-/// Where requests are found by id.
+/// The path prefix under which requests are looked up by id.
 pub const PREFIX: &str = "/v1/requests/";
-/// What follows the id to resume a stream.
-const EVENTS: &str = "/events";
-/// The id of the last event a caller has seen.
+/// The path suffix after the id, to resume a stream.
+const EVENTS_SUFFIX: &str = "/events";
+/// The header with the id of the last event that the caller has received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
 #[derive(Serialize)]
@@ -44,7 +44,7 @@
 pub async fn handle(host: &Rc<Host>, req: &Request) -> Result<Response<BoxBody>, Failure> {
     let envelope = Envelope::read(host, req.headers())?;
     let rest = &req.path()[PREFIX.len()..];
-    let (id, events) = match rest.strip_suffix(EVENTS) {
+    let (id, events) = match rest.strip_suffix(EVENTS_SUFFIX) {
         Some(id) => (id, true),
         None => (rest, false),
     };
@@ -55,24 +55,27 @@
     let known = host.requests.borrow().get(&key);
     let slot = match known {
         Some(slot) => slot,
-        None => elsewhere(host, key).await?,
+        None => open_remote(host, key).await?,
     };
     if !events {
         return Ok(state(&slot));
     }
     let from = next_event(req)?;
-    // The model's name is not kept with the answer; events of a resumed stream leave it generic.
+    // The slot doesn't hold the model's name, so events of a resumed stream have a generic one.
     let model = TargetName::try_from("resumed").expect("a valid name");
     answer::stream(Reader::attach(slot), model, from).await
 }
 
-/// Opens a slot that follows the request at the host that runs it.
-async fn elsewhere(host: &Rc<Host>, key: RequestKey) -> Result<Rc<Slot>, Failure> {
+/// Opens a slot that follows a request at the host that runs it.
+///
+/// # Errors
+/// No other host runs the request, as far as is known.
+async fn open_remote(host: &Rc<Host>, key: RequestKey) -> Result<Rc<Slot>, Failure> {
     let unknown = || {
         let message = format!("no request {} is known here", key.id);
         Failure::new(ErrorKind::UnknownRequest, message)
     };
-    let Runner::There(peer) = follow::runner(host, &key, Intent::Look).await else {
+    let Runner::Peer(peer) = follow::find_runner(host, &key, Intent::Look).await else {
         return Err(unknown());
     };
     let fingerprint = follow::fingerprint(host, &key, &peer)
@@ -83,17 +86,17 @@
         .borrow_mut()
         .open(key.clone(), fingerprint, true);
     match opened {
-        Opened::Known(slot) => Ok(slot),
-        Opened::Reused => Err(unknown()),
-        Opened::New(slot) => {
-            actix_rt::spawn(drive::follow_only(host.clone(), slot.clone(), peer));
+        OpenResult::Known(slot) => Ok(slot),
+        OpenResult::KeyReused => Err(unknown()),
+        OpenResult::New(slot) => {
+            actix_rt::spawn(drive::follow_to_end(host.clone(), slot.clone(), peer));
             Ok(slot)
         }
     }
 }
 
 fn next_event(req: &Request) -> Result<usize, Failure> {
-    let Some(last) = envelope::text(req.headers(), LAST_EVENT_ID)? else {
+    let Some(last) = envelope::header_text(req.headers(), LAST_EVENT_ID)? else {
         return Ok(0);
     };
     let last = last.parse::<usize>().map_err(|_| {
@@ -107,9 +110,9 @@
     let progress = slot.progress();
     let (state, run, text, error) = match &progress.end {
         None => ("running", "may_have_run", None, None),
-        Some(End::Whole) => ("done", "ran", Some(progress.text()), None),
-        Some(End::Called(_)) => ("done", "ran", None, None),
-        Some(End::Failed(f)) => {
+        Some(RequestEnd::Complete) => ("done", "ran", Some(progress.text()), None),
+        Some(RequestEnd::ServiceAnswered(_)) => ("done", "ran", None, None),
+        Some(RequestEnd::Failed(f)) => {
             let answer = f.kind.answer();
             ("failed", answer.run.as_str(), None, Some(answer.code))
         }
