--- a/crates/entry/src/control/actor.rs
+++ b/crates/entry/src/control/actor.rs
@@ -1,5 +1,5 @@
-//! The control arbiter's one task: it owns membership and the spread of the catalogue, takes in
-//! what happens, and carries out what they ask for.
+//! The task of the control arbiter. It owns the state machines of membership and of the spread of
+//! the catalogue, passes events to them, and executes the actions that they return.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -15,60 +15,61 @@
 use crate::{
     clock::Clock,
     control::{
-        Identity, News,
-        asking::Answer,
-        early::Early,
+        ControlUpdate, Identity,
         engines::{self, Engines},
-        hosts::{self, Borrower, Listing},
+        hosts::{self, Borrower, Listing, ShutdownFlag},
         orders,
         peers::{Inbound, Outbox},
-        store::{Reading, Store},
+        pending_maps::PendingMaps,
+        polling::PollResponse,
+        store::{CatalogueReader, ReadResult},
     },
     host::PeerInfo,
 };
 
-/// What the control task takes in.
+/// An event that the control task handles.
 #[derive(Debug)]
 pub enum Event {
-    /// Something came from a peer.
+    /// A message or a request from a peer.
     Inbound(Inbound),
-    /// The catalogue was read from the platform, or could not be.
-    Read(Reading),
-    /// The host list was read.
-    Listed(Listing),
-    /// The host list could not be read.
-    Unlisted,
-    /// A peer lent its list, or could not be asked.
-    Lent(Option<protocol::Listing>),
-    /// A peer asks for the list.
-    Lend(oneshot::Sender<protocol::Listing>),
-    /// This host saw a sign that an endpoint leaves. Incarnation 0: the life that is known.
-    Seen(membership::Sign),
-    /// An engine of the data centre answered.
-    Answered(Answer),
-    /// All engines that this host asks answered, or did not in time.
-    RoundOver,
-    /// The request arbiter sends a message to a peer.
+    /// A read of the catalogue from the platform ended.
+    CatalogueRead(ReadResult),
+    /// The host list was read from the platform.
+    ListingRead(Listing),
+    /// The host list could not be read from the platform.
+    ListingFailed,
+    /// The host list that a peer lent; `None` if the request to the peer failed.
+    PeerListing(Option<protocol::Listing>),
+    /// A peer requests the host list.
+    ListingRequest(oneshot::Sender<protocol::Listing>),
+    /// This host observed a sign that an endpoint is draining. Incarnation 0 stands for the known
+    /// incarnation of the endpoint.
+    SignObserved(membership::Sign),
+    /// A polled engine of the data centre answered.
+    EnginePolled(PollResponse),
+    /// Each engine that this host polls has answered, or its poll has failed or timed out.
+    PollRoundDone,
+    /// A message from the request arbiter, to be sent to a peer.
     Send(HostRef, Message),
-    /// The host drains: it leaves its peers' view.
-    Leave,
+    /// The host is shutting down and announces it to its peers.
+    ShutDown,
 }
 
-/// Messages gathered for each peer while one event is handled.
-type Outgoing = BTreeMap<HostId, (SocketAddr, Vec<Message>)>;
+/// The messages to each peer that are queued while one event is handled.
+type OutgoingMessages = BTreeMap<HostId, (SocketAddr, Vec<Message>)>;
 
-/// The parts of the control task that talk to others than hosts.
-pub struct Parts {
-    /// The catalogue in the platform.
-    pub store: Store,
-    /// What this host says of itself on the list.
-    pub leaving: hosts::Leaving,
-    /// Asks peers for the list.
+/// The components that the control task needs besides the state machines between hosts.
+pub struct Components {
+    /// Reads the catalogue from the platform.
+    pub catalogue: CatalogueReader,
+    /// Whether this host is listed as shutting down.
+    pub shutting_down: ShutdownFlag,
+    /// Borrows the host list from peers.
     pub borrower: Borrower,
-    /// The engines of the data centre.
+    /// The state of the engines of the data centre.
     pub engines: Engines,
-    /// The task that gives orders to engines.
-    pub orders: orders::Feed,
+    /// The handle of the task that sends orders to engines.
+    pub orders: orders::OrdersHandle,
 }
 
 /// The state of the control task.
@@ -77,25 +78,25 @@
     me: Identity,
     members: Members,
     spread: Spread,
-    store: Store,
-    leaving: hosts::Leaving,
+    catalogue: CatalogueReader,
+    shutting_down: ShutdownFlag,
     borrower: Borrower,
     engines: Engines,
-    orders: orders::Feed,
+    orders: orders::OrdersHandle,
     outbox: Outbox,
-    outgoing: Outgoing,
-    early: Early,
-    news: mpsc::UnboundedSender<News>,
+    outgoing: OutgoingMessages,
+    pending_maps: PendingMaps,
+    updates: mpsc::UnboundedSender<ControlUpdate>,
 }
 
 impl Actor {
-    /// A control task that knows nothing yet.
+    /// Creates a control task that knows no peers, endpoints or catalogue.
     pub fn new(
         clock: Clock,
         me: Identity,
         budget: spread::Budget,
-        parts: Parts,
-        news: mpsc::UnboundedSender<News>,
+        components: Components,
+        updates: mpsc::UnboundedSender<ControlUpdate>,
     ) -> Self {
         let members = Members::new(members::Config {
             me: me.host.clone(),
@@ -111,25 +112,25 @@
             budget,
         });
         let outbox = Outbox::new(me.host.clone());
-        let outgoing = Outgoing::new();
+        let outgoing = OutgoingMessages::new();
         Self {
             clock,
             me,
             members,
             spread,
-            store: parts.store,
-            leaving: parts.leaving,
-            borrower: parts.borrower,
-            engines: parts.engines,
-            orders: parts.orders,
+            catalogue: components.catalogue,
+            shutting_down: components.shutting_down,
+            borrower: components.borrower,
+            engines: components.engines,
+            orders: components.orders,
             outbox,
             outgoing,
-            early: Early::default(),
-            news,
+            pending_maps: PendingMaps::default(),
+            updates,
         }
     }
 
-    /// Handles events until the host stops.
+    /// Handles events until all senders of the channel are dropped, when the host stops.
     pub async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Event>) {
         loop {
             let due = self.members.next_tick().min(self.spread.next_tick());
@@ -151,130 +152,142 @@
         let now = self.clock.now();
         let mut actions = Vec::new();
         self.members.tick(now, &mut actions);
-        self.members_did(actions);
+        self.execute_members(actions);
         let mut actions = Vec::new();
         self.spread.tick(now, &mut actions);
-        self.spread_did(actions);
+        self.execute_spread(actions);
         let mut actions = Vec::new();
         self.engines.tick(now, &mut actions);
-        self.engines_did(actions);
+        self.execute_engines(actions);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Inbound(Inbound::Envelope(envelope)) => self.envelope(envelope),
-            Event::Inbound(inbound) => self.tell(News::Asked(inbound)),
-            Event::Read(reading) => self.read(reading),
-            Event::Listed(listing) => self.listed(listing),
-            Event::Unlisted => self.unlisted(),
-            Event::Lent(lent) => self.lent(lent),
-            // The asker may have given up.
-            Event::Lend(tx) => drop(tx.send(self.lend())),
-            Event::Seen(sign) => {
-                self.with_engines(|engines, now, did| engines.seen(now, sign, did))
+            Event::Inbound(Inbound::Envelope(envelope)) => self.receive_envelope(envelope),
+            Event::Inbound(inbound) => self.send_update(ControlUpdate::PeerRequest(inbound)),
+            Event::CatalogueRead(result) => self.handle_read(result),
+            Event::ListingRead(listing) => self.update_listing(listing),
+            Event::ListingFailed => self.borrow_listing(),
+            Event::PeerListing(lent) => self.receive_lent_listing(lent),
+            // The receiver is dropped if the request of the peer timed out.
+            Event::ListingRequest(tx) => drop(tx.send(self.listing_to_lend())),
+            Event::SignObserved(sign) => {
+                self.with_engines(|engines, now, actions| engines.observe_sign(now, sign, actions))
             }
-            Event::Answered(answer) => {
-                self.with_engines(|engines, now, did| engines.answered(now, answer, did));
+            Event::EnginePolled(response) => {
+                self.with_engines(|engines, now, actions| {
+                    engines.handle_response(now, response, actions)
+                });
             }
-            Event::RoundOver => self.engines.round_over(),
+            Event::PollRoundDone => self.engines.finish_poll_round(),
             Event::Send(to, message) => self.send(to, message),
-            Event::Leave => {
-                self.leaving.set();
+            Event::ShutDown => {
+                self.shutting_down.set();
                 let mut actions = Vec::new();
                 self.members
                     .announce_shutdown(self.clock.now(), &mut actions);
-                self.members_did(actions);
+                self.execute_members(actions);
             }
         }
     }
 
-    fn tell(&self, news: News) {
-        // Closed means that the host is stopping; the task ends by itself.
-        let _ = self.news.send(news);
+    fn send_update(&self, update: ControlUpdate) {
+        // The channel is closed when the host is stopping; then the task ends by itself.
+        let _ = self.updates.send(update);
     }
 
-    fn envelope(&mut self, envelope: Envelope) {
+    fn receive_envelope(&mut self, envelope: Envelope) {
         let now = self.clock.now();
         self.members.record_contact(now, &envelope.from);
         for message in envelope.messages {
             match message {
-                Message::Membership(membership::Message::Endpoints(news)) => {
-                    self.with_engines(|engines, now, did| engines.receive(now, news, did));
+                Message::Membership(membership::Message::Endpoints(message)) => {
+                    self.with_engines(|engines, now, actions| {
+                        engines.receive(now, message, actions)
+                    });
                 }
                 Message::Membership(message) => {
                     let mut actions = Vec::new();
                     self.members
                         .receive(now, &envelope.from, message, &mut actions);
-                    self.members_did(actions);
+                    self.execute_members(actions);
                 }
                 Message::Spread(message) => {
                     let mut actions = Vec::new();
                     self.spread
                         .receive(now, &envelope.from, message, &mut actions);
-                    self.spread_did(actions);
+                    self.execute_spread(actions);
                 }
                 Message::Rights(message) => {
-                    self.rights(envelope.from.clone(), message);
+                    self.forward_rights(envelope.from.clone(), message);
                 }
             }
         }
     }
 
-    /// Hands a message about rights on, once the limits can make use of it.
-    fn rights(&mut self, from: HostRef, message: rights::Message) {
-        let seen = self.others().any(|p| p.host == from);
-        let message = match seen {
+    /// Passes a message about rights to the request arbiter. A map of a host that is not in the view
+    /// yet is stored until the view contains the host.
+    fn forward_rights(&mut self, from: HostRef, message: rights::Message) {
+        let in_view = self.other_hosts().any(|p| p.host == from);
+        let message = match in_view {
             true => Some(message),
-            false => self.early.keep(&from, message),
+            false => self.pending_maps.store(&from, message),
         };
         if let Some(message) = message {
-            self.tell(News::Rights(from, message));
+            self.send_update(ControlUpdate::Rights(from, message));
         }
     }
 
-    fn read(&mut self, reading: Reading) {
+    fn handle_read(&mut self, result: ReadResult) {
         let now = self.clock.now();
         let mut actions = Vec::new();
-        match reading {
-            Reading::New(read) => self.spread.receive_store_read(now, read, &mut actions),
-            Reading::Head(head) => self.spread.receive_store_head(now, &head, &mut actions),
-            Reading::Away => self.spread.receive_store_failure(now),
+        match result {
+            ReadResult::Newer(read) => self.spread.receive_store_read(now, read, &mut actions),
+            ReadResult::NotNewer(head) => self.spread.receive_store_head(now, &head, &mut actions),
+            ReadResult::Failed => self.spread.receive_store_failure(now),
         }
-        self.spread_did(actions);
+        self.execute_spread(actions);
     }
 
-    fn listed(&mut self, listing: Listing) {
+    /// Applies a listing that was read from the platform.
+    fn update_listing(&mut self, listing: Listing) {
         let now = self.clock.now();
         self.members.update_list(now, &listing.hosts);
-        self.view_changed();
-        self.orders.endpoints(&listing.endpoints);
-        self.with_engines(|engines, now, did| engines.listed(now, listing.endpoints, did));
+        self.publish_view();
+        self.orders.set_endpoints(&listing.endpoints);
+        self.with_engines(|engines, now, actions| {
+            engines.update_list(now, listing.endpoints, actions)
+        });
     }
 
-    /// Borrows the list of a peer if there has been none yet.
-    fn unlisted(&mut self) {
+    /// Requests the list of a peer if this host has none yet.
+    fn borrow_listing(&mut self) {
         if self.engines.list().is_some() {
             return;
         }
-        let live: Vec<SocketAddr> = self.others().map(|p| p.addr).collect();
-        self.borrower.ask(&live);
+        let live: Vec<SocketAddr> = self.other_hosts().map(|p| p.addr).collect();
+        self.borrower.request(&live);
     }
 
-    fn lent(&mut self, lent: Option<protocol::Listing>) {
-        self.borrower.answered();
+    /// Applies a listing that a peer lent, unless this host has one already.
+    fn receive_lent_listing(&mut self, lent: Option<protocol::Listing>) {
+        self.borrower.finish_request();
         let Some(lent) = lent.filter(|_| self.engines.list().is_none()) else {
             return;
         };
         let (now, listing) = (self.clock.now(), Listing::from(lent));
         self.members.update_list(now, &listing.hosts);
-        self.view_changed();
+        self.publish_view();
         if !listing.endpoints.is_empty() {
-            log::info!("hosts: The list was lent by a peer.");
-            self.with_engines(|engines, now, did| engines.listed(now, listing.endpoints, did));
+            log::info!("hosts: The host list was borrowed from a peer.");
+            self.with_engines(|engines, now, actions| {
+                engines.update_list(now, listing.endpoints, actions)
+            });
         }
     }
 
-    fn lend(&self) -> protocol::Listing {
+    /// The list that this host lends to a peer: the known hosts and endpoints.
+    fn listing_to_lend(&self) -> protocol::Listing {
         let alive = self.members.view().filter(|m| m.host.incarnation > 0);
         let hosts = alive.map(|m| protocol::ListedHost {
             id: m.host.id,
@@ -284,55 +297,55 @@
         let endpoints = self.engines.list().unwrap_or_default();
         protocol::Listing {
             hosts: hosts.collect(),
-            endpoints: endpoints.iter().map(hosts::lend).collect(),
+            endpoints: endpoints.iter().map(hosts::to_lent).collect(),
         }
     }
 
     fn with_engines(&mut self, f: impl FnOnce(&mut Engines, Duration, &mut Vec<engines::Action>)) {
         let mut actions = Vec::new();
         f(&mut self.engines, self.clock.now(), &mut actions);
-        self.engines_did(actions);
+        self.execute_engines(actions);
     }
 
-    fn engines_did(&mut self, actions: Vec<engines::Action>) {
+    fn execute_engines(&mut self, actions: Vec<engines::Action>) {
         for action in actions {
             match action {
                 engines::Action::Send { to, addr, message } => {
                     let message = membership::Message::Endpoints(message);
-                    self.gather(to, addr, Message::Membership(message));
+                    self.queue_message(to, addr, Message::Membership(message));
                 }
-                engines::Action::Tell(news) => self.tell(news),
+                engines::Action::Notify(update) => self.send_update(update),
             }
         }
     }
 
-    fn members_did(&mut self, actions: Vec<members::Action>) {
+    fn execute_members(&mut self, actions: Vec<members::Action>) {
         for action in actions {
             match action {
                 members::Action::Send { to, addr, message } => {
-                    self.gather(to, addr, Message::Membership(message));
+                    self.queue_message(to, addr, Message::Membership(message));
                 }
-                members::Action::Changed => self.view_changed(),
+                members::Action::Changed => self.publish_view(),
             }
         }
     }
 
-    fn view_changed(&mut self) {
+    fn publish_view(&mut self) {
         self.spread
             .update_view(self.clock.now(), self.members.view());
         let view = self.members.view().collect();
-        self.with_engines(|engines, now, did| engines.peers(now, view, did));
-        let others: Vec<PeerInfo> = self.others().collect();
-        let seen: Vec<HostRef> = others.iter().map(|p| p.host.clone()).collect();
-        self.orders.peers(&others);
-        self.tell(News::Peers(others));
-        for (from, message) in self.early.take(&seen) {
-            self.tell(News::Rights(from, message));
+        self.with_engines(|engines, now, actions| engines.update_view(now, view, actions));
+        let others: Vec<PeerInfo> = self.other_hosts().collect();
+        let in_view: Vec<HostRef> = others.iter().map(|p| p.host.clone()).collect();
+        self.orders.set_peers(&others);
+        self.send_update(ControlUpdate::Peers(others));
+        for (from, message) in self.pending_maps.remove_known(&in_view) {
+            self.send_update(ControlUpdate::Rights(from, message));
         }
     }
 
-    /// The other hosts that were heard.
-    fn others(&self) -> impl Iterator<Item = PeerInfo> {
+    /// The other hosts of the view whose incarnation is known.
+    fn other_hosts(&self) -> impl Iterator<Item = PeerInfo> {
         let me = &self.me.host.id;
         let alive = self.members.view();
         let others = alive.filter(move |m| m.host.id != *me && m.host.incarnation > 0);
@@ -343,40 +356,44 @@
         })
     }
 
-    fn spread_did(&mut self, actions: Vec<spread::Action>) {
+    fn execute_spread(&mut self, actions: Vec<spread::Action>) {
         for action in actions {
             match action {
                 spread::Action::Send { to, addr, message } => {
-                    self.gather(to, addr, Message::Spread(message));
+                    self.queue_message(to, addr, Message::Spread(message));
                 }
                 spread::Action::InForce(_) => {
                     let catalogue = self.spread.catalogue().clone();
-                    self.with_engines(|engines, now, did| engines.intents(now, &catalogue, did));
-                    self.orders.catalogue(&catalogue);
-                    self.tell(News::Catalogue(catalogue));
+                    self.with_engines(|engines, now, actions| {
+                        engines.update_intents(now, &catalogue, actions)
+                    });
+                    self.orders.set_catalogue(&catalogue);
+                    self.send_update(ControlUpdate::Catalogue(catalogue));
+                }
+                spread::Action::Poll { after } => {
+                    self.catalogue.start_read(self.spread.head(), after)
                 }
-                spread::Action::Poll { after } => self.store.read(self.spread.head(), after),
-                spread::Action::Alarm(alarm) => alarmed(&alarm),
+                spread::Action::Alarm(alarm) => log_alarm(&alarm),
             }
         }
     }
 
-    /// Sends a message of the request arbiter to a host of the view, if that life of it is alive.
+    /// Sends a message of the request arbiter to a host, if the view contains this incarnation of it.
     fn send(&mut self, to: HostRef, message: Message) {
         let addr = self.members.view().find(|m| m.host == to).map(|m| m.addr);
         match addr {
-            Some(addr) => self.gather(to.id, addr, message),
+            Some(addr) => self.queue_message(to.id, addr, message),
             None => log::debug!(
-                "peers: A message to {} was dropped: not in the view.",
+                "peers: A message to {} was dropped: the host is not in the view.",
                 to.id
             ),
         }
     }
 
-    fn gather(&mut self, to: HostId, addr: SocketAddr, message: Message) {
-        let gathered = self.outgoing.entry(to).or_insert((addr, Vec::new()));
-        gathered.0 = addr;
-        gathered.1.push(message);
+    fn queue_message(&mut self, to: HostId, addr: SocketAddr, message: Message) {
+        let queued = self.outgoing.entry(to).or_insert((addr, Vec::new()));
+        queued.0 = addr;
+        queued.1.push(message);
     }
 
     fn flush(&mut self) {
@@ -386,7 +403,7 @@
     }
 }
 
-fn alarmed(alarm: &spread::Alarm) {
+fn log_alarm(alarm: &spread::Alarm) {
     match alarm {
         spread::Alarm::StoreOlder { in_force, found } => log::error!(
             "catalogue: ALARM store-older: the store holds revision {}, {} is in force here.",
--- a/crates/entry/src/control/engines.rs
+++ b/crates/entry/src/control/engines.rs
@@ -1,9 +1,10 @@
-//! What the hosts of a data centre learn from its engines, and tell each other: signs that an
-//! endpoint leaves, and loads.
+//! The state of the engines of a data centre as its hosts observe and share it: signs that an
+//! endpoint is draining, and loads.
 //!
-//! Each engine is asked by one live host of its data centre. Loads are shared among these hosts;
-//! changes of prefix caches stay with the host that asked. Signs that stand (in the host list, in
-//! the catalogue) are noted again in each round, so that they hold as long as they are seen.
+//! Each engine is polled by one live host of its data centre. Loads are shared among these hosts;
+//! changes of prefix caches are used by the polling host only. Persistent signs (in the host list,
+//! in the catalogue) are recorded again in each poll round, so that they don't expire while they are
+//! observed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,24 +28,25 @@
 use tokio::sync::mpsc;
 
 use crate::control::{
-    Identity, News,
+    ControlUpdate, Identity,
     actor::Event,
-    asking::{self, Answer, Question},
+    polling::{self, PollResponse, PollTarget},
 };
 
-/// How long a sign holds without being seen again.
+/// How long a sign is valid after it was last observed.
 pub const SIGN_TTL: Duration = Duration::from_secs(10);
-/// Between two rounds of questions, on average.
-const ROUND: Duration = Duration::from_secs(1);
-/// The share of a round by which rounds vary, so that hosts don't ask in step.
-const JITTER: f64 = 0.1;
-/// Loads older than this are forgotten.
-const MAX_AGE: Duration = Duration::from_secs(30);
+/// The average interval between two poll rounds.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// The largest deviation of a poll interval from the average, as a share of it. It keeps hosts from
+/// polling in step.
+const POLL_JITTER_SHARE: f64 = 0.1;
+/// Loads older than this are dropped.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(30);
 
-/// What is to be done.
+/// An action that the control task is to execute.
 #[derive(Debug)]
 pub enum Action {
-    /// Send a message to a host. It may get lost.
+    /// Send a message to a host. The message may be lost.
     Send {
         /// The receiver.
         to: HostId,
@@ -53,57 +55,59 @@
         /// The message.
         message: EndpointNews,
     },
-    /// Tell the request arbiter.
-    Tell(News),
+    /// Send an update to the request arbiter.
+    Notify(ControlUpdate),
 }
 
-/// What is known of an engine that this host asked.
+/// What is known of an engine that this host polled.
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    /// The life that was known first.
-    first: u64,
-    /// The life known now.
-    life: u64,
-    /// The last event of its prefix cache that is known.
-    after: u64,
+struct PolledEngine {
+    /// The first incarnation that was polled.
+    first_incarnation: u64,
+    /// The incarnation that was polled last.
+    incarnation: u64,
+    /// The number of the last event of its prefix cache that is known.
+    last_cache_event: u64,
 }
 
-impl Known {
-    /// The name of the life for the router. Shared loads tell no life, so the first known one goes
-    /// by the same name as an unknown one: the router takes another name for a new life.
-    fn life_name(&self) -> u64 {
-        match self.life == self.first {
+impl PolledEngine {
+    /// The incarnation that the router gets. It is 0 for the first known incarnation, as for an
+    /// unknown one: shared loads carry no incarnation, and the router treats a changed number as a
+    /// new incarnation.
+    fn router_incarnation(&self) -> u64 {
+        match self.incarnation == self.first_incarnation {
             true => 0,
-            false => self.life,
+            false => self.incarnation,
         }
     }
 }
 
-/// The endpoints of the data centre, as one host takes part in watching them.
+/// The state of the endpoints of the data centre, as far as one host knows it.
 pub struct Engines {
     me: Identity,
     http: awc::Client,
     tx: mpsc::UnboundedSender<Event>,
     signs: DrainingEndpoints,
     reports: LoadReports,
-    /// The list last known, of all data centres; `None` before the first.
+    /// The last known list of the endpoints of all data centres; `None` before the first.
     list: Option<Vec<routing::Endpoint>>,
-    /// Endpoints that operators want to leave.
-    intents: Vec<EndpointId>,
-    known: BTreeMap<EndpointId, Known>,
+    /// Endpoints that are to drain according to the catalogue.
+    drain_intents: Vec<EndpointId>,
+    polled: BTreeMap<EndpointId, PolledEngine>,
     by_key: BTreeMap<EndpointKey, EndpointId>,
-    /// Endpoints of which the request arbiter was told that they leave.
-    told: BTreeSet<EndpointId>,
-    /// The other hosts of the data centre that were heard.
-    near: BTreeMap<HostId, SocketAddr>,
-    /// The hosts of the data centre that live, among which the questions are divided.
-    live: BTreeSet<HostId>,
-    next_round: Duration,
-    asking: bool,
+    /// Endpoints that were last reported to the request arbiter as draining.
+    reported_draining: BTreeSet<EndpointId>,
+    /// The other hosts of the data centre whose incarnation is known, with their addresses.
+    local_peers: BTreeMap<HostId, SocketAddr>,
+    /// The live hosts of the data centre, among which the engines are divided for polling.
+    live_hosts: BTreeSet<HostId>,
+    next_poll: Duration,
+    polling: bool,
 }
 
 impl Engines {
-    /// A host that knows no endpoints. To be made on the arbiter that asks; answers go to `tx`.
+    /// Creates a state without endpoints. Must be called on the arbiter that polls; the results of
+    /// polls go to `tx`.
     pub fn new(me: Identity, tx: mpsc::UnboundedSender<Event>) -> Self {
         let signs = DrainingEndpoints::new(me.host.id.clone(), me.data_centre.clone());
         Self {
@@ -113,24 +117,24 @@
             signs,
             reports: LoadReports::default(),
             list: None,
-            intents: Vec::new(),
-            known: BTreeMap::new(),
+            drain_intents: Vec::new(),
+            polled: BTreeMap::new(),
             by_key: BTreeMap::new(),
-            told: BTreeSet::new(),
-            near: BTreeMap::new(),
-            live: BTreeSet::new(),
-            next_round: Duration::ZERO,
-            asking: false,
+            reported_draining: BTreeSet::new(),
+            local_peers: BTreeMap::new(),
+            live_hosts: BTreeSet::new(),
+            next_poll: Duration::ZERO,
+            polling: false,
         }
     }
 
-    /// The list last known, if any.
+    /// The last known list of endpoints, if any.
     pub fn list(&self) -> Option<&[routing::Endpoint]> {
         self.list.as_deref()
     }
 
-    /// Takes in the list.
-    pub fn listed(
+    /// Applies the list of endpoints.
+    pub fn update_list(
         &mut self,
         now: Duration,
         list: Vec<routing::Endpoint>,
@@ -141,45 +145,50 @@
             let near = list.iter().filter(|e| e.data_centre == *data_centre);
             self.by_key = near.map(|e| (reports::key(&e.id), e.id.clone())).collect();
             let by_key = &self.by_key;
-            self.known
+            self.polled
                 .retain(|id, _| by_key.contains_key(&reports::key(id)));
-            actions.push(Action::Tell(News::Endpoints(list.clone())));
+            actions.push(Action::Notify(ControlUpdate::Endpoints(list.clone())));
             self.list = Some(list);
         }
-        self.note_standing(now, actions);
+        self.record_persistent_signs(now, actions);
     }
 
-    /// Takes in the catalogue in force.
-    pub fn intents(&mut self, now: Duration, catalogue: &Catalogue, actions: &mut Vec<Action>) {
-        let leaving = catalogue.entries().filter_map(|entry| match entry {
+    /// Applies the catalogue in force.
+    pub fn update_intents(
+        &mut self,
+        now: Duration,
+        catalogue: &Catalogue,
+        actions: &mut Vec<Action>,
+    ) {
+        let draining = catalogue.entries().filter_map(|entry| match entry {
             Entry::Endpoint(e) if e.intent == EndpointIntent::Leave => Some(e.id.clone()),
             _ => None,
         });
-        self.intents = leaving.collect();
-        self.note_standing(now, actions);
+        self.drain_intents = draining.collect();
+        self.record_persistent_signs(now, actions);
     }
 
-    /// Takes in the view of the members.
-    pub fn peers(&mut self, now: Duration, view: Vec<Member>, actions: &mut Vec<Action>) {
+    /// Applies the view of the members.
+    pub fn update_view(&mut self, now: Duration, view: Vec<Member>, actions: &mut Vec<Action>) {
         let near = |m: &&Member| m.data_centre == self.me.data_centre && m.host.incarnation > 0;
         let near: Vec<&Member> = view.iter().filter(near).collect();
         let live = near.iter().filter(|m| m.state == State::Alive);
-        self.live = live.map(|m| m.host.id.clone()).collect();
+        self.live_hosts = live.map(|m| m.host.id.clone()).collect();
         let others = near.iter().filter(|m| m.host.id != self.me.host.id);
-        self.near = others.map(|m| (m.host.id.clone(), m.addr)).collect();
+        self.local_peers = others.map(|m| (m.host.id.clone(), m.addr)).collect();
         let mut did = Vec::new();
-        let heard = view.into_iter().filter(|m| m.host.incarnation > 0);
-        self.signs.update_view(now, heard, &mut did);
-        self.signs_did(did, actions);
+        let known = view.into_iter().filter(|m| m.host.incarnation > 0);
+        self.signs.update_view(now, known, &mut did);
+        self.execute_sign_actions(did, actions);
     }
 
-    /// Takes in a sign that this host saw itself.
-    pub fn seen(&mut self, now: Duration, sign: Sign, actions: &mut Vec<Action>) {
+    /// Records a sign that this host observed itself.
+    pub fn observe_sign(&mut self, now: Duration, sign: Sign, actions: &mut Vec<Action>) {
         let incarnation = match sign.incarnation {
-            0 => self.life(&sign.endpoint),
+            0 => self.incarnation(&sign.endpoint),
             incarnation => incarnation,
         };
-        self.note(
+        self.record_sign(
             now,
             Sign {
                 incarnation,
@@ -189,136 +198,154 @@
         );
     }
 
-    /// Takes in what another host of the data centre tells.
-    pub fn receive(&mut self, now: Duration, news: EndpointNews, actions: &mut Vec<Action>) {
-        match news {
+    /// Applies a message from another host of the data centre.
+    pub fn receive(&mut self, now: Duration, message: EndpointNews, actions: &mut Vec<Action>) {
+        match message {
             EndpointNews::Signs(signs) => {
                 let mut did = Vec::new();
                 self.signs.receive(now, &signs, &mut did);
-                self.signs_did(did, actions);
+                self.execute_sign_actions(did, actions);
                 for sign in &signs {
-                    self.tell_leaving(&sign.endpoint, actions);
+                    self.notify_draining(&sign.endpoint, actions);
                 }
             }
-            EndpointNews::Reports(reports) => self.shared(now, &reports, actions),
+            EndpointNews::Reports(reports) => self.receive_reports(now, &reports, actions),
         }
     }
 
-    /// Takes in what an engine said that this host asked.
-    pub fn answered(&mut self, now: Duration, answer: Answer, actions: &mut Vec<Action>) {
-        let id = &answer.endpoint;
-        self.note_life(id, &answer, actions);
-        let age = Duration::from_millis(answer.load.age_ms.into());
+    /// Applies the answers of an engine that this host polled.
+    pub fn handle_response(
+        &mut self,
+        now: Duration,
+        response: PollResponse,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = &response.endpoint;
+        self.update_incarnation(id, &response, actions);
+        let age = Duration::from_millis(response.load.age_ms.into());
         let load = Load {
-            running: u16::try_from(answer.load.running).unwrap_or(u16::MAX),
-            waiting: u16::try_from(answer.load.waiting).unwrap_or(u16::MAX),
+            running: u16::try_from(response.load.running).unwrap_or(u16::MAX),
+            waiting: u16::try_from(response.load.waiting).unwrap_or(u16::MAX),
             at: now.saturating_sub(age),
         };
         self.reports.record_polled(id, load);
         let report = wire::LoadReport {
             endpoint: id.to_string(),
-            incarnation: self.known.get(id).map_or(0, Known::life_name),
-            ..answer.load
+            incarnation: self
+                .polled
+                .get(id)
+                .map_or(0, PolledEngine::router_incarnation),
+            ..response.load
         };
-        actions.push(Action::Tell(News::Loads(vec![report])));
-        if !answer.cache.events.is_empty() {
-            let news = News::CacheEvents(id.clone(), answer.cache);
-            actions.push(Action::Tell(news));
+        actions.push(Action::Notify(ControlUpdate::Loads(vec![report])));
+        if !response.cache.events.is_empty() {
+            let update = ControlUpdate::CacheEvents(id.clone(), response.cache);
+            actions.push(Action::Notify(update));
         }
-        if answer.state.leaving {
-            let sign = sign(id, answer.state.incarnation, SignKind::Refusal);
-            self.note(now, sign, actions);
+        if response.state.leaving {
+            let sign = sign(id, response.state.incarnation, SignKind::Refusal);
+            self.record_sign(now, sign, actions);
         }
     }
 
-    /// Takes in that the questions of a round were answered, or not in time.
-    pub fn round_over(&mut self) {
-        self.asking = false;
+    /// Records that all polls of the round have ended.
+    pub fn finish_poll_round(&mut self) {
+        self.polling = false;
     }
 
-    /// Does what is due.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut did = Vec::new();
         self.signs.tick(now, &mut did);
-        self.signs_did(did, actions);
+        self.execute_sign_actions(did, actions);
         if let Some(message) = self.reports.share(now) {
-            let sends = self.near.iter().map(|(to, addr)| Action::Send {
+            let sends = self.local_peers.iter().map(|(to, addr)| Action::Send {
                 to: to.clone(),
                 addr: *addr,
                 message: message.clone(),
             });
             actions.extend(sends);
         }
-        if now >= self.next_round {
-            self.next_round = now + ROUND.mul_f64(1.0 + rand::rng().random_range(-JITTER..JITTER));
-            self.note_standing(now, actions);
-            self.ask(now);
+        if now >= self.next_poll {
+            self.next_poll = now
+                + POLL_INTERVAL
+                    .mul_f64(1.0 + rand::rng().random_range(-POLL_JITTER_SHARE..POLL_JITTER_SHARE));
+            self.record_persistent_signs(now, actions);
+            self.start_poll_round(now);
         }
     }
 
-    /// When [`Self::tick`] is to be called next, at the latest.
+    /// The time at which [`Self::tick`] must be called next, at the latest.
     pub fn next_tick(&self) -> Duration {
-        let due = self.next_round.min(self.reports.next_share());
+        let due = self.next_poll.min(self.reports.next_share());
         self.signs.next_tick().map_or(due, |at| at.min(due))
     }
 
-    /// Starts a round of questions unless one is still going on.
-    fn ask(&mut self, now: Duration) {
-        let mine = self.mine();
-        let keys: BTreeSet<EndpointKey> = mine.iter().map(|q| reports::key(&q.endpoint)).collect();
-        self.reports.retain(now, MAX_AGE, |key| keys.contains(&key));
-        if self.asking || mine.is_empty() {
+    /// Starts a poll round unless the last one has not ended yet.
+    fn start_poll_round(&mut self, now: Duration) {
+        let targets = self.poll_targets();
+        let keys: BTreeSet<EndpointKey> =
+            targets.iter().map(|t| reports::key(&t.endpoint)).collect();
+        self.reports
+            .retain(now, MAX_LOAD_AGE, |key| keys.contains(&key));
+        if self.polling || targets.is_empty() {
             return;
         }
-        self.asking = true;
-        let round = asking::round(self.http.clone(), mine, self.tx.clone());
+        self.polling = true;
+        let round = polling::poll_engines(self.http.clone(), targets, self.tx.clone());
         actix_rt::spawn(round);
     }
 
-    /// The engines of the data centre that this host asks.
-    fn mine(&self) -> Vec<Question> {
+    /// The engines of the data centre that this host polls.
+    fn poll_targets(&self) -> Vec<PollTarget> {
         let me = &self.me;
         let list = self.list.iter().flatten();
         let near = list.filter(|e| e.role == routing::Role::Engine);
         let near = near.filter(|e| e.data_centre == me.data_centre);
-        let mine =
-            near.filter(|e| reports::polling_host(&e.id, self.live.iter()) == Some(&me.host.id));
-        let questions = mine.map(|e| Question {
+        let mine = near
+            .filter(|e| reports::polling_host(&e.id, self.live_hosts.iter()) == Some(&me.host.id));
+        let targets = mine.map(|e| PollTarget {
             endpoint: e.id.clone(),
             addr: e.addr,
-            after: self.known.get(&e.id).map_or(0, |k| k.after),
+            after: self.polled.get(&e.id).map_or(0, |p| p.last_cache_event),
         });
-        questions.collect()
+        targets.collect()
     }
 
-    /// The life of an endpoint as far as it is known; 0 if not.
-    fn life(&self, endpoint: &EndpointId) -> u64 {
-        self.known.get(endpoint).map_or(0, |k| k.life)
+    /// The known incarnation of an endpoint; 0 if it is unknown.
+    fn incarnation(&self, endpoint: &EndpointId) -> u64 {
+        self.polled.get(endpoint).map_or(0, |p| p.incarnation)
     }
 
-    fn note_life(&mut self, id: &EndpointId, answer: &Answer, actions: &mut Vec<Action>) {
-        let life = answer.load.incarnation;
-        let known = self.known.entry(id.clone()).or_insert(Known {
-            first: life,
-            life,
-            after: 0,
+    fn update_incarnation(
+        &mut self,
+        id: &EndpointId,
+        response: &PollResponse,
+        actions: &mut Vec<Action>,
+    ) {
+        let incarnation = response.load.incarnation;
+        let known = self.polled.entry(id.clone()).or_insert(PolledEngine {
+            first_incarnation: incarnation,
+            incarnation,
+            last_cache_event: 0,
         });
-        // The events of another life are numbered anew.
-        known.after = match known.life == life {
-            true => answer.cache.last,
+        // Each incarnation numbers its events from the start.
+        known.last_cache_event = match known.incarnation == incarnation {
+            true => response.cache.last,
             false => 0,
         };
-        known.life = life;
-        let of_earlier = self.signs.is_draining(id, 0) && !self.signs.is_draining(id, life);
-        if of_earlier {
+        known.incarnation = incarnation;
+        let only_earlier =
+            self.signs.is_draining(id, 0) && !self.signs.is_draining(id, incarnation);
+        if only_earlier {
             let mut did = Vec::new();
-            self.signs.mark_serving(id, life, &mut did);
-            self.signs_did(did, actions);
+            self.signs.mark_serving(id, incarnation, &mut did);
+            self.execute_sign_actions(did, actions);
         }
     }
 
-    /// Takes in loads that another host asked for.
-    fn shared(&mut self, now: Duration, shared: &[Report], actions: &mut Vec<Action>) {
+    /// Applies loads from another host, which polled the engines.
+    fn receive_reports(&mut self, now: Duration, shared: &[Report], actions: &mut Vec<Action>) {
         let ids = shared.iter().filter_map(|r| self.by_key.get(&r.key));
         let before: Vec<(EndpointId, Option<Load>)> =
             ids.map(|id| (id.clone(), self.reports.load(id))).collect();
@@ -330,16 +357,20 @@
         });
         let newer: Vec<wire::LoadReport> = newer.collect();
         if !newer.is_empty() {
-            actions.push(Action::Tell(News::Loads(newer)));
+            actions.push(Action::Notify(ControlUpdate::Loads(newer)));
         }
     }
 
-    /// A shared load as an engine would report it. Sessions are not shared.
+    /// Converts a shared load to the form in which an engine reports it. Sessions are not shared, so
+    /// their numbers are 0.
     fn report(&self, now: Duration, id: &EndpointId, load: Load) -> wire::LoadReport {
         let age = now.saturating_sub(load.at).as_millis();
         wire::LoadReport {
             endpoint: id.to_string(),
-            incarnation: self.known.get(id).map_or(0, Known::life_name),
+            incarnation: self
+                .polled
+                .get(id)
+                .map_or(0, PolledEngine::router_incarnation),
             running: load.running.into(),
             waiting: load.waiting.into(),
             sessions: 0,
@@ -348,50 +379,57 @@
         }
     }
 
-    /// Notes the signs in the list and in the catalogue.
-    fn note_standing(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Records the signs that are in the list and in the catalogue.
+    fn record_persistent_signs(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let near = |e: &&routing::Endpoint| e.data_centre == self.me.data_centre;
         let listed = self.list.iter().flatten().filter(near);
         let listed = listed.filter(|e| e.draining);
         let listed = listed.map(|e| sign(&e.id, 0, SignKind::List));
-        let wanted = self.intents.iter();
+        let wanted = self.drain_intents.iter();
         let wanted = wanted.map(|id| sign(id, 0, SignKind::Operator));
         let signs: Vec<Sign> = listed.chain(wanted).collect();
         for sign in signs {
-            self.note(now, sign, actions);
+            self.record_sign(now, sign, actions);
         }
     }
 
-    fn note(&mut self, now: Duration, sign: Sign, actions: &mut Vec<Action>) {
+    fn record_sign(&mut self, now: Duration, sign: Sign, actions: &mut Vec<Action>) {
         let mut did = Vec::new();
         self.signs.observe_sign(now, &sign, &mut did);
-        self.signs_did(did, actions);
-        self.tell_leaving(&sign.endpoint, actions);
+        self.execute_sign_actions(did, actions);
+        self.notify_draining(&sign.endpoint, actions);
     }
 
-    fn signs_did(&mut self, did: Vec<endpoints::Action>, actions: &mut Vec<Action>) {
+    fn execute_sign_actions(&mut self, did: Vec<endpoints::Action>, actions: &mut Vec<Action>) {
         for action in did {
             match action {
                 endpoints::Action::Send { to, addr, message } => {
                     actions.push(Action::Send { to, addr, message });
                 }
-                endpoints::Action::Changed(endpoint) => self.tell_leaving(&endpoint, actions),
+                endpoints::Action::Changed(endpoint) => self.notify_draining(&endpoint, actions),
             }
         }
     }
 
-    /// Tells the request arbiter whether an endpoint leaves, if that changed.
-    fn tell_leaving(&mut self, endpoint: &EndpointId, actions: &mut Vec<Action>) {
-        let leaving = self.signs.is_draining(endpoint, self.life(endpoint));
-        let changed = match leaving {
-            true => self.told.insert(endpoint.clone()),
-            false => self.told.remove(endpoint),
+    /// Reports to the request arbiter whether an endpoint is draining, if that changed.
+    fn notify_draining(&mut self, endpoint: &EndpointId, actions: &mut Vec<Action>) {
+        let draining = self.signs.is_draining(endpoint, self.incarnation(endpoint));
+        let changed = match draining {
+            true => self.reported_draining.insert(endpoint.clone()),
+            false => self.reported_draining.remove(endpoint),
         };
         if changed {
             let endpoint = endpoint.clone();
-            let word = if leaving { "leaves" } else { "serves" };
-            log::info!("engines: {endpoint} {word}, as the data centre's hosts know.");
-            actions.push(Action::Tell(News::Leaving { endpoint, leaving }));
+            let state = if draining {
+                "is draining"
+            } else {
+                "is serving"
+            };
+            log::info!("engines: {endpoint} {state}, as the hosts of the data centre know.");
+            actions.push(Action::Notify(ControlUpdate::Draining {
+                endpoint,
+                draining,
+            }));
         }
     }
 }
--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/hosts.rs
@@ -1,4 +1,5 @@
-//! Asking the platform for hosts and endpoints, and a peer while the platform's can't be read.
+//! Reads the list of hosts and endpoints from the platform, and borrows it from a peer while it
+//! can't be read there.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,9 +17,9 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::mpsc;
 
-use crate::control::{Identity, actor::Event, peers, store::CALL_LIMIT};
+use crate::control::{Identity, actor::Event, peers, store::CALL_TIMEOUT};
 
-/// The hosts and endpoints as read at one time.
+/// The hosts and endpoints as of one read.
 #[derive(Debug)]
 pub struct Listing {
     /// The entry hosts.
@@ -27,117 +28,118 @@
     pub endpoints: Vec<routing::Endpoint>,
 }
 
-/// Whether this host says of itself that it is leaving.
+/// Whether this host is listed as shutting down; shared by all clones.
 #[derive(Debug, Clone, Default)]
-pub struct Leaving(Rc<Cell<bool>>);
+pub struct ShutdownFlag(Rc<Cell<bool>>);
 
-impl Leaving {
-    /// From the next look at the list on, this host is listed as leaving.
+impl ShutdownFlag {
+    /// Lists this host as shutting down from its next read of the list on.
     pub fn set(&self) {
         self.0.set(true);
     }
 }
 
-/// Reads the lists and keeps this host's own entry in them.
-pub struct Lists {
+/// Polls the list of hosts and endpoints and writes this host's own entry into it.
+pub struct ListingPoller {
     me: Identity,
     table: Table,
     endpoints: EndpointList,
-    leaving: Leaving,
+    shutting_down: ShutdownFlag,
 }
 
-impl Lists {
-    /// The lists in the platform's store.
-    pub fn new(platform: SocketAddr, me: Identity, leaving: Leaving) -> Self {
+impl ListingPoller {
+    /// Creates a poller of the lists in the platform's store.
+    pub fn new(platform: SocketAddr, me: Identity, shutting_down: ShutdownFlag) -> Self {
         Self {
             me,
-            table: Table::new(platform, CALL_LIMIT),
-            endpoints: EndpointList::new(platform, CALL_LIMIT),
-            leaving,
+            table: Table::new(platform, CALL_TIMEOUT),
+            endpoints: EndpointList::new(platform, CALL_TIMEOUT),
+            shutting_down,
         }
     }
 
-    /// Reads the lists again and again, every `poll`, and sends them to `tx`, until nobody listens.
-    pub async fn follow(self, poll: Duration, tx: mpsc::UnboundedSender<Event>) {
+    /// Reads the lists at the interval `poll_interval` and sends them to `tx`, until `tx` is closed.
+    pub async fn run(self, poll_interval: Duration, tx: mpsc::UnboundedSender<Event>) {
         while !tx.is_closed() {
             match self.read().await {
                 Ok(listing) => {
-                    let _ = tx.send(Event::Listed(listing));
+                    let _ = tx.send(Event::ListingRead(listing));
                 }
                 Err(e) => {
-                    log::warn!("hosts: Not refreshed: {e}.");
-                    let _ = tx.send(Event::Unlisted);
+                    log::warn!("hosts: The host list was not read: {e}.");
+                    let _ = tx.send(Event::ListingFailed);
                 }
             }
-            actix_rt::time::sleep(poll).await;
+            actix_rt::time::sleep(poll_interval).await;
         }
     }
 
     async fn read(&self) -> Result<Listing, PlatformError> {
         let endpoints = self.endpoints.read().await?;
         let hosts = entry_hosts::list(&self.table).await?;
-        let mine = self.mine();
-        if !hosts.contains(&mine) {
-            entry_hosts::announce(&self.table, &mine).await?;
+        let own = self.own_entry();
+        if !hosts.contains(&own) {
+            entry_hosts::announce(&self.table, &own).await?;
         }
         Ok(Listing {
-            hosts: hosts.into_iter().map(listed).collect(),
-            endpoints: endpoints.iter().filter_map(endpoint).collect(),
+            hosts: hosts.into_iter().map(to_peer).collect(),
+            endpoints: endpoints.iter().filter_map(to_routed).collect(),
         })
     }
 
-    /// The entry that this host is to have.
-    fn mine(&self) -> EntryHost {
+    /// The entry of this host as it must be in the list.
+    fn own_entry(&self) -> EntryHost {
         EntryHost {
             id: EndpointId(self.me.host.id.0.clone()),
             callers: self.me.callers,
             peers: self.me.peers,
             data_centre: self.me.data_centre.clone(),
-            leaving: self.leaving.0.get(),
+            leaving: self.shutting_down.0.get(),
         }
     }
 }
 
-/// Asks peers for the list while the platform's can't be read; one at a time.
+/// Borrows the list from a peer while it can't be read from the platform; one request at a time.
 pub struct Borrower {
     seeds: Vec<SocketAddr>,
     tx: mpsc::UnboundedSender<Event>,
-    asking: bool,
+    in_flight: bool,
 }
 
 impl Borrower {
-    /// A borrower that knows the peers `seeds` from the settings; what it gets goes to `tx`.
+    /// Creates a borrower with the peers `seeds` of the settings; it sends the lists to `tx`.
     pub fn new(seeds: Vec<SocketAddr>, tx: mpsc::UnboundedSender<Event>) -> Self {
         Self {
             seeds,
             tx,
-            asking: false,
+            in_flight: false,
         }
     }
 
-    /// Asks one of the `live` peers, or one of the settings if none is known, without waiting.
-    pub fn ask(&mut self, live: &[SocketAddr]) {
+    /// Starts a request to one of the `live` peers, or to one of the settings if there is none. Does
+    /// nothing while a request is in flight. The result arrives as an [`Event::PeerListing`].
+    pub fn request(&mut self, live: &[SocketAddr]) {
         let rng = &mut rand::rng();
         let chosen = live.choose(rng).or_else(|| self.seeds.choose(rng));
-        let Some(addr) = chosen.copied().filter(|_| !self.asking) else {
+        let Some(addr) = chosen.copied().filter(|_| !self.in_flight) else {
             return;
         };
-        self.asking = true;
+        self.in_flight = true;
         let tx = self.tx.clone();
         actix_rt::spawn(async move {
-            let listing = peers::listing(addr).await;
-            // Closed means that the host is stopping.
-            let _ = tx.send(Event::Lent(listing));
+            let listing = peers::fetch_listing(addr).await;
+            // The channel is closed when the host is stopping.
+            let _ = tx.send(Event::PeerListing(listing));
         });
     }
 
-    /// Takes in that the peer answered, or did not.
-    pub fn answered(&mut self) {
-        self.asking = false;
+    /// Records that the request ended, with or without an answer.
+    pub fn finish_request(&mut self) {
+        self.in_flight = false;
     }
 }
 
-/// A list as a peer lent it.
+/// Converts a list that a peer lent.
 impl From<protocol::Listing> for Listing {
     fn from(lent: protocol::Listing) -> Self {
         Self {
@@ -185,8 +187,8 @@
     }
 }
 
-/// An endpoint as it is lent to a peer.
-pub fn lend(endpoint: &routing::Endpoint) -> ListedEndpoint {
+/// Converts an endpoint to the form in which it is lent to a peer.
+pub fn to_lent(endpoint: &routing::Endpoint) -> ListedEndpoint {
     let role = match endpoint.role {
         routing::Role::Engine => EndpointRole::Engine {
             first: endpoint.layers.first,
@@ -206,8 +208,8 @@
     }
 }
 
-/// A listed entry host as the membership knows it.
-fn listed(host: EntryHost) -> ListedPeer {
+/// Converts a listed entry host to the type of the membership.
+fn to_peer(host: EntryHost) -> ListedPeer {
     ListedPeer {
         id: HostId(host.id.0),
         addr: host.peers,
@@ -216,15 +218,15 @@
     }
 }
 
-/// A listed endpoint as the router knows it; `None`, with a line in the log, if its names can't be
-/// used.
-fn endpoint(listed: &Endpoint) -> Option<routing::Endpoint> {
-    routed(listed)
+/// Converts a listed endpoint to the type of the router. Returns `None` and logs a warning if one of
+/// its names is invalid.
+fn to_routed(listed: &Endpoint) -> Option<routing::Endpoint> {
+    try_to_routed(listed)
         .inspect_err(|e| log::warn!("hosts: Endpoint {} can't be used: {e}.", listed.id))
         .ok()
 }
 
-fn routed(listed: &Endpoint) -> Result<routing::Endpoint, NameError> {
+fn try_to_routed(listed: &Endpoint) -> Result<routing::Endpoint, NameError> {
     let is_engine = listed.accelerator.is_some() || listed.layers.is_some();
     let accelerator = listed.accelerator.as_deref().unwrap_or_default();
     Ok(routing::Endpoint {
@@ -241,7 +243,7 @@
             end: listed.layers.map_or(0, |l| l.end),
         },
         accelerator: accelerator.to_owned(),
-        // The list says nothing of it: the router learns it from the endpoint's loads.
+        // Not in the list: the router derives it from the loads of the endpoint.
         layer_us: 0.0,
         draining: listed.draining,
         in_flight: 0,
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,12 +1,13 @@
-//! The control arbiter: what the host learns from the platform and from other hosts.
+//! The control arbiter: gets the state of the system from the platform, the engines and other hosts,
+//! and passes it to the request arbiter.
 
 pub mod actor;
-pub mod asking;
-pub mod early;
 pub mod engines;
 pub mod hosts;
 pub mod orders;
 pub mod peers;
+pub mod pending_maps;
+pub mod polling;
 pub mod store;
 
 use std::{net::SocketAddr, time::Duration};
@@ -20,105 +21,109 @@
 
 use crate::{clock::Clock, control::peers::Inbound, host::PeerInfo};
 
-/// What the control arbiter tells the request arbiter.
+/// An update from the control arbiter to the request arbiter.
 #[derive(Debug)]
-pub enum News {
+pub enum ControlUpdate {
     /// The catalogue as of a newer revision.
     Catalogue(Catalogue),
-    /// All endpoints the platform lists now.
+    /// All endpoints that the platform lists now.
     Endpoints(Vec<routing::Endpoint>),
-    /// Whether the hosts of the data centre know that an endpoint is leaving.
-    Leaving {
+    /// An endpoint of the data centre started or stopped draining, as its hosts know.
+    Draining {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether it is to get no new work.
-        leaving: bool,
+        /// Whether the endpoint must get no new work.
+        draining: bool,
     },
-    /// Newer loads of endpoints of the data centre, each told once.
+    /// Newer loads of endpoints of the data centre; each load is sent once.
     Loads(Vec<wire::LoadReport>),
-    /// Changes of an engine's prefix cache; only of engines that this host asks.
+    /// Changes of an engine's prefix cache; sent only for engines that this host polls.
     CacheEvents(EndpointId, wire::CacheEvents),
     /// The other live entry hosts.
     Peers(Vec<PeerInfo>),
-    /// A peer asks.
-    Asked(Inbound),
-    /// A peer sends a message about rights.
+    /// A request from a peer.
+    PeerRequest(Inbound),
+    /// A message about rights from a peer.
     Rights(HostRef, rights::Message),
 }
 
-/// Who this host is to its peers.
+/// The identity and the addresses of this host, as its peers know them.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// This life of this host.
+    /// The id and the incarnation of this host.
     pub host: HostRef,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where it takes peers.
+    /// The address at which it accepts connections of peers.
     pub peers: SocketAddr,
-    /// Where it takes callers.
+    /// The address at which it accepts requests of callers.
     pub callers: SocketAddr,
 }
 
-/// The request arbiter's way to the control task.
+/// The channel from the request arbiter to the control task.
 pub type ControlSender = mpsc::UnboundedSender<actor::Event>;
 
-/// What the control arbiter is started with.
-pub struct Start {
-    /// Who this host is.
+/// The settings and resources with which the control arbiter is started.
+pub struct StartConfig {
+    /// The identity of this host.
     pub me: Identity,
-    /// The clock both arbiters share.
+    /// The clock that both arbiters share.
     pub clock: Clock,
-    /// Where peers connect.
+    /// The socket on which connections of peers are accepted.
     pub listener: std::net::TcpListener,
-    /// Where the platform is.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// Hosts to ask for the host list while the platform's can't be read.
+    /// Hosts from which the host list is requested while it can't be read from the platform.
     pub seeds: Vec<SocketAddr>,
-    /// How often the platform is asked for the catalogue, by the hosts that poll it.
-    pub poll: Duration,
-    /// How often the platform is asked for the host list, by each host.
-    pub poll_hosts: Duration,
-    /// How long to wait for the peers' catalogue before the platform is asked.
-    pub compare: Duration,
+    /// The interval at which the hosts that poll the platform read the catalogue.
+    pub poll_interval: Duration,
+    /// The interval at which each host reads the host list from the platform.
+    pub host_list_interval: Duration,
+    /// How long a starting host waits for the catalogue of its peers before it polls the platform.
+    pub startup_wait: Duration,
 }
 
-/// Starts the control arbiter's work; to be called on that arbiter.
+/// Starts the tasks of the control arbiter. Must be called on that arbiter.
 pub fn start(
-    start: Start,
+    config: StartConfig,
     tx: ControlSender,
     rx: mpsc::UnboundedReceiver<actor::Event>,
-    news: mpsc::UnboundedSender<News>,
+    updates: mpsc::UnboundedSender<ControlUpdate>,
 ) {
-    let store = store::Store::new(start.platform, tx.clone());
+    let catalogue = store::CatalogueReader::new(config.platform, tx.clone());
     let budget = spread::Budget {
-        poll_interval: start.poll,
-        startup_wait: start.compare,
+        poll_interval: config.poll_interval,
+        startup_wait: config.startup_wait,
         ..spread::Budget::default()
     };
-    let borrower = hosts::Borrower::new(start.seeds, tx.clone());
-    let engines = engines::Engines::new(start.me.clone(), tx.clone());
-    let orders = orders::start(orders::Config::new(&start.me, start.platform), start.clock);
-    let leaving = hosts::Leaving::default();
-    let lists = hosts::Lists::new(start.platform, start.me.clone(), leaving.clone());
-    let parts = actor::Parts {
-        store,
-        leaving,
+    let borrower = hosts::Borrower::new(config.seeds, tx.clone());
+    let engines = engines::Engines::new(config.me.clone(), tx.clone());
+    let orders = orders::start(
+        orders::Config::new(&config.me, config.platform),
+        config.clock,
+    );
+    let shutting_down = hosts::ShutdownFlag::default();
+    let host_lists =
+        hosts::ListingPoller::new(config.platform, config.me.clone(), shutting_down.clone());
+    let components = actor::Components {
+        catalogue,
+        shutting_down,
         orders,
         borrower,
         engines,
     };
-    let actor = actor::Actor::new(start.clock, start.me, budget, parts, news);
+    let actor = actor::Actor::new(config.clock, config.me, budget, components, updates);
     actix_rt::spawn(actor.run(rx));
-    actix_rt::spawn(lists.follow(start.poll_hosts, tx.clone()));
-    actix_rt::spawn(serve_peers(start.listener, tx));
+    actix_rt::spawn(host_lists.run(config.host_list_interval, tx.clone()));
+    actix_rt::spawn(serve_peers(config.listener, tx));
 }
 
 async fn serve_peers(listener: std::net::TcpListener, tx: ControlSender) {
-    let served = async {
+    let result = async {
         listener.set_nonblocking(true)?;
         peers::serve(tokio::net::TcpListener::from_std(listener)?, tx).await
     };
-    if let Err(e) = served.await {
-        log::error!("peers: Other hosts are not served: {e}.");
+    if let Err(e) = result.await {
+        log::error!("peers: Connections of other hosts can't be accepted: {e}.");
     }
 }
--- a/crates/entry/src/control/orders.rs
+++ b/crates/entry/src/control/orders.rs
@@ -1,14 +1,14 @@
-//! Orders to the engines of this data centre: for each declared group a lease in the platform's
-//! table and, while it is held, the reading of the engines and the orders that bring them to what
-//! is declared.
+//! Orders to the engines of this data centre. For each declared group a host requests a lease in the
+//! platform's table. While it holds the lease, it reads the state of the group's engines and sends
+//! the orders that bring them to the declared state.
 //!
 //! One task of the control arbiter with its own events drives the state machines of
-//! [`dragonflyrill_orders`]. It learns from a [`Feed`] what is declared, where the endpoints are
-//! and which hosts live; it ends when the feed is dropped, and its leases lapse.
+//! [`dragonflyrill_orders`]. It gets the declared groups, the endpoints and the live hosts through an
+//! [`OrdersHandle`]. It ends when the handle is dropped, and its leases expire.
 //!
-//! Marks of drained endpoints stay here: they are logged, and end with the order. The other hosts
-//! go on sending work to a drained endpoint until it is ordered, at the latest after
-//! [`group::GroupConfig::max_drain_time`].
+//! That an endpoint is drained for an order is known and logged on this host only, and ends with the
+//! order. The other hosts continue to send work to a drained endpoint until it gets the order, at the
+//! latest after [`group::GroupConfig::max_drain_time`].
 
 mod calls;
 mod driver;
@@ -28,31 +28,37 @@
 
 use crate::{clock::Clock, control::Identity, host::PeerInfo};
 
-/// How long a hold of a lease lasts without being renewed.
-const TERM: Duration = Duration::from_secs(9);
-/// What other hosts wait beyond the term, for clocks of different rates.
-const MARGIN: Duration = Duration::from_secs(1);
+/// The term of a lease: it expires this long after it was last renewed.
+const LEASE_TERM: Duration = Duration::from_secs(9);
+/// How long other hosts wait beyond the term before they take a lease over, because clocks run at
+/// different rates.
+const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The settings of the task.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Which data centre's groups it cares for.
+    /// The data centre whose groups the task manages.
     pub data_centre: DataCentre,
-    /// Where the platform is.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// The leases, with this life of this host.
+    /// The settings of the leases, with the id and the incarnation of this host.
     pub lease: lease::LeaseConfig,
-    /// The groups.
+    /// The settings of the groups.
     pub group: group::GroupConfig,
 }
 
 impl Config {
-    /// The usual settings of the host `me`.
+    /// The default settings for the host `me`.
     pub fn new(me: &Identity, platform: SocketAddr) -> Self {
         Self {
             data_centre: me.data_centre.clone(),
             platform,
-            lease: lease::LeaseConfig::new(me.host.clone(), TERM, MARGIN, rand::random()),
+            lease: lease::LeaseConfig::new(
+                me.host.clone(),
+                LEASE_TERM,
+                LEASE_MARGIN,
+                rand::random(),
+            ),
             group: group::GroupConfig::default(),
         }
     }
@@ -67,52 +73,52 @@
 pub struct ListedEndpoint {
     /// The endpoint.
     pub id: EndpointId,
-    /// Where it takes calls.
+    /// The address at which it accepts calls.
     pub addr: SocketAddr,
-    /// Whether it is on its way out.
-    pub leaving: bool,
+    /// Whether it is draining.
+    pub draining: bool,
 }
 
-/// A call to an engine, and for which life of which group it was made.
+/// A call to an engine, and the group and its generation for which the call was made.
 #[derive(Debug, Clone)]
 pub(crate) struct CallRef {
     lease: lease::LeaseName,
-    /// Tells a group from one of the same name that was there before.
-    life: u64,
+    /// Distinguishes the group from an earlier one of the same name.
+    generation: u64,
     endpoint: EndpointId,
     call: group::CallId,
 }
 
-/// What the task takes in.
+/// An event that the task handles.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// What is declared now.
+    /// The groups of this data centre and the models that are declared now.
     Catalogue {
         groups: Vec<GroupEntry>,
         models: Vec<ModelEntry>,
     },
-    /// All endpoints the platform lists now.
+    /// All endpoints that the platform lists now.
     Endpoints(Vec<ListedEndpoint>),
     /// The other live hosts of this data centre.
     Peers(Vec<HostId>),
-    /// The table answered, or did not.
-    Table(lease::TxnId, Result<TxnOutcome, PlatformError>),
-    /// An engine answered, or did not.
-    Answer(CallRef, Result<EngineState, group::CallError>),
-    /// The requests whose KV cache an engine held at that time.
-    Sessions(CallRef, u32, Duration),
+    /// A transaction on the platform's table ended.
+    TxnDone(lease::TxnId, Result<TxnOutcome, PlatformError>),
+    /// A call to an engine ended.
+    CallDone(CallRef, Result<EngineState, group::CallError>),
+    /// The number of requests whose KV cache an engine held, and the time of that number.
+    SessionCount(CallRef, u32, Duration),
 }
 
-/// The way to the task. It ends when this is dropped.
+/// The handle of the task. The task ends when the handle is dropped.
 #[derive(Debug)]
-pub struct Feed {
+pub struct OrdersHandle {
     data_centre: DataCentre,
     tx: mpsc::UnboundedSender<Event>,
 }
 
-impl Feed {
-    /// This catalogue is in force.
-    pub fn catalogue(&self, catalogue: &Catalogue) {
+impl OrdersHandle {
+    /// Sets the catalogue in force.
+    pub fn set_catalogue(&self, catalogue: &Catalogue) {
         let mut groups = Vec::new();
         let mut models = Vec::new();
         for entry in catalogue.entries() {
@@ -122,39 +128,39 @@
                 _ => {}
             }
         }
-        self.tell(Event::Catalogue { groups, models });
+        self.send(Event::Catalogue { groups, models });
     }
 
-    /// All endpoints the platform lists now.
-    pub fn endpoints(&self, listed: &[routing::Endpoint]) {
+    /// Sets the endpoints that the platform lists now.
+    pub fn set_endpoints(&self, listed: &[routing::Endpoint]) {
         let listed = listed.iter().map(|e| ListedEndpoint {
             id: e.id.clone(),
             addr: e.addr,
-            leaving: e.draining,
+            draining: e.draining,
         });
-        self.tell(Event::Endpoints(listed.collect()));
+        self.send(Event::Endpoints(listed.collect()));
     }
 
-    /// The other live entry hosts.
-    pub fn peers(&self, peers: &[PeerInfo]) {
+    /// Sets the other live entry hosts.
+    pub fn set_peers(&self, peers: &[PeerInfo]) {
         let near = peers.iter().filter(|p| p.data_centre == self.data_centre);
-        self.tell(Event::Peers(near.map(|p| p.host.id.clone()).collect()));
+        self.send(Event::Peers(near.map(|p| p.host.id.clone()).collect()));
     }
 
-    fn tell(&self, event: Event) {
-        // Closed means that the host is stopping.
+    fn send(&self, event: Event) {
+        // The channel is closed when the host is stopping.
         let _ = self.tx.send(event);
     }
 }
 
 /// Starts the task on the current arbiter.
-pub fn start(cfg: Config, clock: Clock) -> Feed {
+pub fn start(cfg: Config, clock: Clock) -> OrdersHandle {
     let (tx, rx) = mpsc::unbounded_channel();
-    let feed = Feed {
+    let handle = OrdersHandle {
         data_centre: cfg.data_centre.clone(),
         tx,
     };
-    let driver = driver::Driver::new(cfg, clock, feed.tx.downgrade());
+    let driver = driver::Driver::new(cfg, clock, handle.tx.downgrade());
     actix_rt::spawn(driver.run(rx));
-    feed
+    handle
 }
--- a/crates/entry/src/control/orders/calls.rs
+++ b/crates/entry/src/control/orders/calls.rs
@@ -1,4 +1,5 @@
-//! The calls to the table and the engines, each made once and in a bounded time.
+//! The calls to the table and to the engines. Each call is made once, without a retry, and has a
+//! timeout.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,35 +18,35 @@
 use super::{CallRef, Config, Event};
 use crate::clock::Clock;
 
-/// What an engine answers to an order with an old fencing number.
-const STALE_FENCE: u16 = 409;
+/// The status with which an engine refuses an order with an old fencing number.
+const STALE_FENCE_STATUS: u16 = 409;
 
-/// Makes the calls and reports to the task.
+/// Makes the calls and sends their results to the task.
 pub(super) struct Calls {
     clock: Clock,
     leases: Rc<RefCell<Leases>>,
     table: Table,
     http: awc::Client,
-    /// The longest time a call to an engine takes. Half of the flight time: the rest is for the
-    /// engine to notice that the connection is closed.
-    limit: Duration,
-    /// Weak, so that the task ends with its feed.
+    /// The timeout of a call to an engine. It is half of `max_flight_time`: in the other half the
+    /// engine notices that the connection is closed.
+    call_timeout: Duration,
+    /// Weak, so that the task ends when its handle is dropped.
     tx: mpsc::WeakUnboundedSender<Event>,
 }
 
 impl Calls {
-    /// No calls yet.
+    /// Creates the clients, without any call.
     pub(super) fn new(
         cfg: &Config,
         clock: Clock,
         leases: Rc<RefCell<Leases>>,
         tx: mpsc::WeakUnboundedSender<Event>,
     ) -> Self {
-        let limit = cfg.group.max_flight_time / 2;
-        let connector = awc::Connector::new().timeout(limit / 2);
+        let call_timeout = cfg.group.max_flight_time / 2;
+        let connector = awc::Connector::new().timeout(call_timeout / 2);
         let http = awc::Client::builder()
             .connector(connector)
-            .timeout(limit)
+            .timeout(call_timeout)
             .disable_redirects()
             .finish();
         Self {
@@ -53,83 +54,93 @@
             leases,
             table: Table::new(cfg.platform, cfg.lease.answer_timeout),
             http,
-            limit,
+            call_timeout,
             tx,
         }
     }
 
-    /// Calls the table.
-    pub(super) fn table(&self, id: TxnId, call: TableCall) {
+    /// Starts a call to the platform's table.
+    pub(super) fn call_table(&self, id: TxnId, call: TableCall) {
         let (table, tx) = (self.table.clone(), self.tx.clone());
         actix_rt::spawn(async move {
             let result = table.call(&call).await;
-            report(&tx, Event::Table(id, result));
+            report(&tx, Event::TxnDone(id, result));
         });
     }
 
-    /// Asks an engine what it is, and for its sessions first if those count.
-    pub(super) fn read(&self, of: CallRef, addr: SocketAddr, with_sessions: bool) {
+    /// Starts to read the state of an engine. With `with_sessions`, reads the number of its sessions
+    /// first.
+    pub(super) fn read_state(&self, of: CallRef, addr: SocketAddr, with_sessions: bool) {
         let engine = EngineClient::new(self.http.clone(), addr);
-        let (clock, limit, tx) = (self.clock, self.limit, self.tx.clone());
-        let until = clock.now() + limit;
+        let (clock, call_timeout, tx) = (self.clock, self.call_timeout, self.tx.clone());
+        let deadline = clock.now() + call_timeout;
         actix_rt::spawn(async move {
             if with_sessions {
-                let asked = clock.now();
-                let load = bounded(limit / 2, engine.load(limit / 2)).await;
+                let started_at = clock.now();
+                let load = with_timeout(call_timeout / 2, engine.load(call_timeout / 2)).await;
                 if let Ok(load) = load {
                     let age = Duration::from_millis(load.age_ms.into());
-                    let at = asked.saturating_sub(age);
-                    report(&tx, Event::Sessions(of.clone(), load.sessions, at));
+                    let at = started_at.saturating_sub(age);
+                    report(&tx, Event::SessionCount(of.clone(), load.sessions, at));
                 }
             }
-            let left = until.saturating_sub(clock.now());
-            let state = bounded(left, engine.state(left)).await;
-            let state = state.and_then(|state| own(&of, state));
-            report(&tx, Event::Answer(of, state.map_err(|e| cause(&e))));
+            let left = deadline.saturating_sub(clock.now());
+            let state = with_timeout(left, engine.state(left)).await;
+            let state = state.and_then(|state| check_endpoint(&of, state));
+            report(
+                &tx,
+                Event::CallDone(of, state.map_err(|e| to_group_error(&e))),
+            );
         });
     }
 
-    /// Gives an order, if the lease still allows it.
-    pub(super) fn order(&self, of: CallRef, addr: SocketAddr, order: Order) {
+    /// Starts to send an order to an engine, if this host still holds the lease.
+    pub(super) fn send_order(&self, of: CallRef, addr: SocketAddr, order: Order) {
         let engine = EngineClient::new(self.http.clone(), addr);
         let (clock, leases, tx) = (self.clock, self.leases.clone(), self.tx.clone());
-        let until = clock.now() + self.limit;
+        let deadline = clock.now() + self.call_timeout;
         actix_rt::spawn(async move {
             let now = clock.now();
-            let left = until.saturating_sub(now);
+            let left = deadline.saturating_sub(now);
             let fence = Fence(order.fence);
-            // The last step before the order is sent.
+            // Nothing may delay the order between this check of the lease and the call.
             let allowed = leases.borrow().check(now, &of.lease, fence);
             let result = match allowed && !left.is_zero() {
-                true => bounded(left, engine.order(&order, left)).await,
-                false => Err(CallError::NotSent("the lease is gone".to_owned())),
+                true => with_timeout(left, engine.order(&order, left)).await,
+                false => Err(CallError::NotSent(
+                    "the lease is not held any more".to_owned(),
+                )),
             };
             if let Err(e) = &result {
-                log::warn!("orders: The order to {} has no answer: {e}.", of.endpoint);
+                log::warn!("orders: The order to {} failed: {e}.", of.endpoint);
             }
-            report(&tx, Event::Answer(of, result.map_err(|e| cause(&e))));
+            report(
+                &tx,
+                Event::CallDone(of, result.map_err(|e| to_group_error(&e))),
+            );
         });
     }
 
-    /// Reports that no call was made.
-    pub(super) fn not_sent(&self, of: CallRef) {
+    /// Reports that the call was not sent.
+    pub(super) fn report_not_sent(&self, of: CallRef) {
         let result: Result<EngineState, _> = Err(group::CallError::NotSent);
-        report(&self.tx, Event::Answer(of, result));
+        report(&self.tx, Event::CallDone(of, result));
     }
 }
 
-/// Ends a call at `limit`, its body too, and closes the connection.
-async fn bounded<T>(
-    limit: Duration,
+/// Cancels a call after `timeout`, also while its body is read, which closes the connection.
+async fn with_timeout<T>(
+    timeout: Duration,
     call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    let late = || CallError::Lost("no answer in time".to_owned());
-    let result = actix_rt::time::timeout(limit, call).await;
-    result.unwrap_or_else(|_| Err(late()))
+    let timed_out = || CallError::Lost("no answer in time".to_owned());
+    let result = actix_rt::time::timeout(timeout, call).await;
+    result.unwrap_or_else(|_| Err(timed_out()))
 }
 
-/// Refuses the state of another endpoint that has come to listen on the address.
-fn own(of: &CallRef, state: EngineState) -> Result<EngineState, CallError> {
+/// Returns `state`, or an error if it is the state of another endpoint, which now listens on the
+/// address.
+fn check_endpoint(of: &CallRef, state: EngineState) -> Result<EngineState, CallError> {
     if state.endpoint == of.endpoint.as_str() {
         return Ok(state);
     }
@@ -137,10 +148,10 @@
     Err(CallError::Malformed(found))
 }
 
-fn cause(e: &CallError) -> group::CallError {
+fn to_group_error(e: &CallError) -> group::CallError {
     match e {
         CallError::NotSent(_) => group::CallError::NotSent,
-        CallError::Status(STALE_FENCE) => group::CallError::StaleFence,
+        CallError::Status(STALE_FENCE_STATUS) => group::CallError::StaleFence,
         CallError::Status(_) | CallError::Lost(_) | CallError::Malformed(_) => {
             group::CallError::Unknown
         }
@@ -148,7 +159,7 @@
 }
 
 fn report(tx: &mpsc::WeakUnboundedSender<Event>, event: Event) {
-    // Gone means that the task is ending.
+    // There is no sender left when the task is ending.
     if let Some(tx) = tx.upgrade() {
         let _ = tx.send(event);
     }
--- a/crates/entry/src/control/peers.rs
+++ b/crates/entry/src/control/peers.rs
@@ -1,8 +1,8 @@
-//! Talking to other entry hosts over tarpc.
+//! Communication with other entry hosts over tarpc.
 //!
-//! Messages are one-way: [`Outbox`] gathers them for each peer and sends what has gathered as one
-//! envelope; what can't be sent is dropped, since every state machine behind them copes with
-//! losses. A connection that failed is made again with the next envelope.
+//! Messages are one-way: [`Outbox`] sends the messages to a peer as one envelope. Messages that can't
+//! be sent are dropped, since each state machine that sends them tolerates losses. After a failure
+//! the connection is opened again for the next envelope.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,31 +22,31 @@
 
 use crate::control::{ControlSender, actor::Event};
 
-/// How long a connection may take to be made.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a peer may take to take an envelope in.
+/// The timeout for the delivery of an envelope.
 const DELIVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a home may take to say who runs a request: a caller waits for it.
+/// The timeout for a claim at the home of a request. It is short because a caller waits for it.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a peer may take to say what it knows, besides the time it was told to wait.
+/// The timeout for a query about a request, in addition to the wait time in the query.
 const FIND_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a peer may take to lend its list.
+/// The timeout for a request for the list of a peer.
 const LISTING_TIMEOUT: Duration = Duration::from_secs(2);
-/// How many envelopes may be on their way to one peer; beyond that messages are dropped.
-const MAX_UNDERWAY: usize = 64;
+/// How many envelopes to one peer may be in flight. Beyond this bound messages are dropped.
+const MAX_ENVELOPES_IN_FLIGHT: usize = 64;
 
-/// What came in from a peer.
+/// A message or a request from a peer.
 #[derive(Debug)]
 pub enum Inbound {
     /// One-way messages.
     Envelope(Envelope),
-    /// A claim to run a request, with the way for its answer.
+    /// A claim to run a request, with the channel for the answer.
     Claim(Claim, oneshot::Sender<Claimed>),
-    /// A question about a request, with the way for its answer.
+    /// A query about a request, with the channel for the answer.
     Find(Query, oneshot::Sender<Found>),
 }
 
-/// The peers' side of this host.
+/// The server for calls of peers.
 #[derive(Clone)]
 struct Server {
     tx: ControlSender,
@@ -54,7 +54,7 @@
 
 impl Peer for Server {
     async fn deliver(self, _: context::Context, envelope: Envelope) {
-        // Fails only while the host is stopping.
+        // Fails only when the host is stopping.
         let _ = self.tx.send(Event::Inbound(Inbound::Envelope(envelope)));
     }
 
@@ -72,12 +72,12 @@
 
     async fn listing(self, _: context::Context) -> Listing {
         let (tx, rx) = oneshot::channel();
-        let _ = self.tx.send(Event::Lend(tx));
+        let _ = self.tx.send(Event::ListingRequest(tx));
         rx.await.unwrap_or_default()
     }
 }
 
-/// Serves peers on a listening socket; what comes in goes to `tx`.
+/// Accepts connections of peers on a listening socket and sends their messages and requests to `tx`.
 pub async fn serve(listener: tokio::net::TcpListener, tx: ControlSender) -> std::io::Result<()> {
     loop {
         let (io, peer) = match listener.accept().await {
@@ -88,14 +88,14 @@
             }
         };
         if let Err(e) = io.set_nodelay(true) {
-            log::debug!("peers: No-delay of {peer} was not set: {e}.");
+            log::debug!("peers: TCP_NODELAY was not set for {peer}: {e}.");
         }
         let server = Server { tx: tx.clone() };
-        actix_rt::spawn(connection(io, server));
+        actix_rt::spawn(serve_connection(io, server));
     }
 }
 
-async fn connection(io: tokio::net::TcpStream, server: Server) {
+async fn serve_connection(io: tokio::net::TcpStream, server: Server) {
     let mut codec = tarpc::tokio_util::codec::LengthDelimitedCodec::builder();
     let framed = codec.max_frame_length(MAX_FRAME).new_framed(io);
     let transport = tarpc::serde_transport::new(framed, Bincode::default());
@@ -106,46 +106,46 @@
     }
 }
 
-/// A connection to one peer, and how many envelopes are on it.
-struct Line {
+/// The connection to one peer, and the number of envelopes in flight to it.
+struct PeerConnection {
     addr: SocketAddr,
     client: Option<PeerClient>,
-    underway: usize,
+    in_flight: usize,
 }
 
 /// The connections to all peers.
 #[derive(Clone)]
 pub struct Outbox {
     me: HostRef,
-    lines: Rc<std::cell::RefCell<FxHashMap<HostId, Line>>>,
+    connections: Rc<std::cell::RefCell<FxHashMap<HostId, PeerConnection>>>,
 }
 
 impl Outbox {
-    /// An outbox of host `me` without connections.
+    /// Creates an outbox of host `me` without connections.
     pub fn new(me: HostRef) -> Self {
         Self {
             me,
-            lines: Rc::default(),
+            connections: Rc::default(),
         }
     }
 
-    /// Sends `messages` to `to` at `addr`, without waiting for it.
+    /// Starts to send `messages` to `to` at `addr` and returns at once.
     pub fn send(&self, to: &HostId, addr: SocketAddr, messages: Vec<Message>) {
-        let mut lines = self.lines.borrow_mut();
-        let fresh = || Line {
+        let mut connections = self.connections.borrow_mut();
+        let new_connection = || PeerConnection {
             addr,
             client: None,
-            underway: 0,
+            in_flight: 0,
         };
-        let line = lines.entry(to.clone()).or_insert_with(fresh);
-        if line.addr != addr {
-            *line = fresh();
+        let connection = connections.entry(to.clone()).or_insert_with(new_connection);
+        if connection.addr != addr {
+            *connection = new_connection();
         }
-        if line.underway >= MAX_UNDERWAY {
-            log::debug!("peers: Messages to {to} were dropped: too many underway.");
+        if connection.in_flight >= MAX_ENVELOPES_IN_FLIGHT {
+            log::debug!("peers: Messages to {to} were dropped: too many are in flight.");
             return;
         }
-        line.underway += 1;
+        connection.in_flight += 1;
         let envelope = Envelope {
             from: self.me.clone(),
             messages,
@@ -157,78 +157,83 @@
         if let Some(client) = self.client(&to, addr).await {
             let sent = client.deliver(deadline(DELIVER_TIMEOUT), envelope).await;
             if let Err(e) = sent {
-                log::debug!("peers: {to} did not take messages in: {e}.");
-                self.forget(&to, addr);
+                log::debug!("peers: Messages were not delivered to {to}: {e}.");
+                self.drop_connection(&to, addr);
             }
         }
-        if let Some(line) = self.lines.borrow_mut().get_mut(&to) {
-            line.underway = line.underway.saturating_sub(1);
+        if let Some(connection) = self.connections.borrow_mut().get_mut(&to) {
+            connection.in_flight = connection.in_flight.saturating_sub(1);
         }
     }
 
-    /// Asks the peer `to` who runs a request; `None` if it can't be asked.
+    /// Claims a request at the peer `to`. Returns `None` if the call fails.
     pub async fn claim(&self, to: &HostId, addr: SocketAddr, claim: Claim) -> Option<Claimed> {
         let client = self.client(to, addr).await?;
-        let asked = client.claim(deadline(CLAIM_TIMEOUT), claim).await;
-        self.known(to, addr, asked)
+        let result = client.claim(deadline(CLAIM_TIMEOUT), claim).await;
+        self.check_answer(to, addr, result)
     }
 
-    /// Asks the peer `to` about a request; `None` if it can't be asked.
+    /// Queries the peer `to` about a request. Returns `None` if the call fails.
     pub async fn find(&self, to: &HostId, addr: SocketAddr, query: Query) -> Option<Found> {
         let client = self.client(to, addr).await?;
         let limit = FIND_TIMEOUT + Duration::from_millis(query.wait_ms.into());
-        let asked = client.find(deadline(limit), query).await;
-        self.known(to, addr, asked)
+        let result = client.find(deadline(limit), query).await;
+        self.check_answer(to, addr, result)
     }
 
-    fn known<T>(
+    /// Returns the answer of a call; drops the connection if the call failed.
+    fn check_answer<T>(
         &self,
         to: &HostId,
         addr: SocketAddr,
-        asked: Result<T, client::RpcError>,
+        result: Result<T, client::RpcError>,
     ) -> Option<T> {
-        match asked {
+        match result {
             Ok(answer) => Some(answer),
             Err(e) => {
-                log::debug!("peers: {to} could not be asked: {e}.");
-                self.forget(to, addr);
+                log::debug!("peers: A call to {to} failed: {e}.");
+                self.drop_connection(to, addr);
                 None
             }
         }
     }
 
     async fn client(&self, to: &HostId, addr: SocketAddr) -> Option<PeerClient> {
-        let known = self.lines.borrow().get(to).and_then(|l| l.client.clone());
+        let known = self
+            .connections
+            .borrow()
+            .get(to)
+            .and_then(|c| c.client.clone());
         if known.is_some() {
             return known;
         }
         let client = connect(addr).await?;
-        let mut lines = self.lines.borrow_mut();
-        let line = lines.entry(to.clone()).or_insert(Line {
+        let mut connections = self.connections.borrow_mut();
+        let connection = connections.entry(to.clone()).or_insert(PeerConnection {
             addr,
             client: None,
-            underway: 0,
+            in_flight: 0,
         });
-        line.client = Some(client.clone());
+        connection.client = Some(client.clone());
         Some(client)
     }
 
-    fn forget(&self, to: &HostId, addr: SocketAddr) {
-        if let Some(line) = self.lines.borrow_mut().get_mut(to)
-            && line.addr == addr
+    fn drop_connection(&self, to: &HostId, addr: SocketAddr) {
+        if let Some(connection) = self.connections.borrow_mut().get_mut(to)
+            && connection.addr == addr
         {
-            line.client = None;
+            connection.client = None;
         }
     }
 }
 
-/// Asks the host at `addr` for its list; `None` if it can't be asked.
-pub async fn listing(addr: SocketAddr) -> Option<Listing> {
+/// Requests the list of the host at `addr`. Returns `None` if the call fails.
+pub async fn fetch_listing(addr: SocketAddr) -> Option<Listing> {
     let client = connect(addr).await?;
     match client.listing(deadline(LISTING_TIMEOUT)).await {
         Ok(listing) => Some(listing),
         Err(e) => {
-            log::debug!("peers: {addr} did not lend its list: {e}.");
+            log::debug!("peers: The list was not borrowed from {addr}: {e}.");
             None
         }
     }
@@ -246,7 +251,7 @@
     match actix_rt::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(transport)) => Some(PeerClient::new(client::Config::default(), transport).spawn()),
         Ok(Err(e)) => {
-            log::debug!("peers: {addr} was not reached: {e}.");
+            log::debug!("peers: A connection to {addr} failed: {e}.");
             None
         }
         Err(_) => None,
--- a/crates/entry/src/control/store.rs
+++ b/crates/entry/src/control/store.rs
@@ -1,4 +1,5 @@
-//! Reading the catalogue from the platform, without holding up the control task.
+//! Reads of the catalogue from the platform, in tasks of their own so that the control task doesn't
+//! wait.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,58 +14,60 @@
 
 use crate::control::actor::Event;
 
-/// How long one call to the platform may take.
-pub(super) const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// The timeout of one call to the platform.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What reading the catalogue gave.
+/// The result of a read of the catalogue.
 #[derive(Debug)]
-pub enum Reading {
+pub enum ReadResult {
     /// Newer changes, or a snapshot.
-    New(StoreRead),
-    /// The head, which is not newer, or older than what is in force.
-    Head(Head),
-    /// The platform did not answer in time.
-    Away,
+    Newer(StoreRead),
+    /// The head of the store, which is the same as or older than the catalogue in force.
+    NotNewer(Head),
+    /// The catalogue could not be read, as when the platform does not answer in time.
+    Failed,
 }
 
-/// The catalogue in the platform, as the control task reads it.
-pub struct Store {
+/// Reads the catalogue from the platform for the control task.
+pub struct CatalogueReader {
     store: Rc<CatalogueStore<Table>>,
     objects: Objects,
     tx: mpsc::UnboundedSender<Event>,
 }
 
-impl Store {
-    /// The catalogue in the platform at `addr`; readings go to `tx`.
+impl CatalogueReader {
+    /// Creates a reader of the platform at `addr` that sends its results to `tx`.
     pub fn new(addr: SocketAddr, tx: mpsc::UnboundedSender<Event>) -> Self {
-        // The spread polls again by itself; a retry here would only hold its answer back.
+        // The spread polls again by itself; a retry here would only delay the result.
         let policy = RetryPolicy {
             tries: 1,
             ..RetryPolicy::default()
         };
         let retry = Retry::new(policy, rand::random());
         Self {
-            store: Rc::new(CatalogueStore::new(Table::new(addr, CALL_LIMIT), retry)),
-            objects: Objects::new(addr, CALL_LIMIT),
+            store: Rc::new(CatalogueStore::new(Table::new(addr, CALL_TIMEOUT), retry)),
+            objects: Objects::new(addr, CALL_TIMEOUT),
             tx,
         }
     }
 
-    /// Reads the changes after `after` if the head is newer than `in_force`, without waiting.
-    pub fn read(&self, in_force: Head, after: Revision) {
+    /// Starts a task that reads the changes after `after` if the head is newer than `in_force`, and
+    /// the whole catalogue if changes are missing. The result arrives as an
+    /// [`Event::CatalogueRead`].
+    pub fn start_read(&self, in_force: Head, after: Revision) {
         let (store, objects, tx) = (self.store.clone(), self.objects.clone(), self.tx.clone());
         actix_rt::spawn(async move {
             store.note_seen(in_force.clone());
-            let reading = match read(&store, &objects, &in_force, after).await {
-                Ok(reading) => reading,
-                Err(StoreError::Older { found, .. }) => Reading::Head(found),
+            let result = match read(&store, &objects, &in_force, after).await {
+                Ok(result) => result,
+                Err(StoreError::Older { found, .. }) => ReadResult::NotNewer(found),
                 Err(e) => {
                     log::warn!("catalogue: Not read: {e}.");
-                    Reading::Away
+                    ReadResult::Failed
                 }
             };
-            // Closed means that the host is stopping.
-            let _ = tx.send(Event::Read(reading));
+            // The channel is closed when the host is stopping.
+            let _ = tx.send(Event::CatalogueRead(result));
         });
     }
 }
@@ -74,16 +77,16 @@
     objects: &Objects,
     in_force: &Head,
     after: Revision,
-) -> Result<Reading, StoreError> {
+) -> Result<ReadResult, StoreError> {
     let head = store.read_head().await?;
     if head.revision <= in_force.revision {
-        return Ok(Reading::Head(head));
+        return Ok(ReadResult::NotNewer(head));
     }
     match store.read_changes(after).await {
-        Ok(changes) => Ok(Reading::New(StoreRead::Changes(changes))),
+        Ok(changes) => Ok(ReadResult::Newer(StoreRead::Changes(changes))),
         Err(StoreError::Missing { .. }) => {
             let loaded = store.load(objects).await?;
-            Ok(Reading::New(StoreRead::Loaded(loaded)))
+            Ok(ReadResult::Newer(StoreRead::Loaded(loaded)))
         }
         Err(e) => Err(e),
     }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -146,19 +146,21 @@
     }
 
     /// Takes in what the control arbiter learned.
-    pub fn learn(self: &Rc<Self>, news: control::News) {
+    pub fn learn(self: &Rc<Self>, news: control::ControlUpdate) {
         match news {
-            control::News::Catalogue(catalogue) => self.take_catalogue(catalogue),
-            control::News::Endpoints(endpoints) => self.take_endpoints(endpoints),
-            control::News::Leaving { endpoint, leaving } => self.take_leaving(endpoint, leaving),
-            control::News::Loads(reports) => self.take_loads(&reports),
-            control::News::CacheEvents(endpoint, events) => {
+            control::ControlUpdate::Catalogue(catalogue) => self.take_catalogue(catalogue),
+            control::ControlUpdate::Endpoints(endpoints) => self.take_endpoints(endpoints),
+            control::ControlUpdate::Draining { endpoint, draining } => {
+                self.take_leaving(endpoint, draining)
+            }
+            control::ControlUpdate::Loads(reports) => self.take_loads(&reports),
+            control::ControlUpdate::CacheEvents(endpoint, events) => {
                 let mut router = self.router.borrow_mut();
                 router.apply_cache_events(self.now(), &endpoint, &events);
             }
-            control::News::Peers(peers) => self.take_peers(peers),
-            control::News::Asked(inbound) => self.answer_peer(inbound),
-            control::News::Rights(from, message) => self.admission.receive(&from, message),
+            control::ControlUpdate::Peers(peers) => self.take_peers(peers),
+            control::ControlUpdate::PeerRequest(inbound) => self.answer_peer(inbound),
+            control::ControlUpdate::Rights(from, message) => self.admission.receive(&from, message),
         }
     }
 
@@ -275,7 +277,7 @@
             ttl_ms: engines::SIGN_TTL.as_millis() as u32,
         };
         // Closed only when the control arbiter has stopped already.
-        let _ = self.control.send(actor::Event::Seen(sign));
+        let _ = self.control.send(actor::Event::SignObserved(sign));
     }
 
     /// The model `name`, if declared.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -29,7 +29,7 @@
         let addrs = (callers.local_addr()?, peers.local_addr()?);
         let (control_tx, control_rx) = mpsc::unbounded_channel();
         let host = Host::new(settings.clone(), Clock::start(), control_tx.clone());
-        let start = control::Start {
+        let start = control::StartConfig {
             me: control::Identity {
                 host: host.me.clone(),
                 data_centre: settings.data_centre.clone(),
@@ -40,9 +40,9 @@
             listener: peers,
             platform: settings.platform,
             seeds: settings.seeds.clone(),
-            poll: settings.poll,
-            poll_hosts: settings.poll_hosts,
-            compare: settings.compare,
+            poll_interval: settings.poll,
+            host_list_interval: settings.poll_hosts,
+            startup_wait: settings.compare,
         };
         let (tx, rx) = mpsc::unbounded_channel();
         let control = actix_rt::Arbiter::new();
@@ -89,7 +89,7 @@
     io::Error::new(e.kind(), format!("can't listen on {addr}: {e}"))
 }
 
-async fn learn(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::News>) {
+async fn learn(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::ControlUpdate>) {
     while let Some(news) = rx.recv().await {
         host.learn(news);
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -64,7 +64,7 @@
     host.draining.set(true);
     host.admission.leave();
     // Closed only when the control arbiter has stopped already.
-    let _ = host.control.send(control::actor::Event::Leave);
+    let _ = host.control.send(control::actor::Event::ShutDown);
     let running = host.requests.borrow().running();
     log::info!("drain: No new requests are taken; {running} are running.");
     let until = host.now() + host.settings.drain;
--- a/crates/entry/tests/orders.rs
+++ b/crates/entry/tests/orders.rs
@@ -18,7 +18,7 @@
 };
 use dragonflyrill_entry::{
     clock::Clock,
-    control::orders::{self, Feed},
+    control::orders::{self, OrdersHandle},
 };
 use dragonflyrill_orders::{group::GroupConfig, lease::LeaseConfig};
 use dragonflyrill_protocol::{HostId, HostRef};
@@ -154,7 +154,12 @@
 }
 
 /// A would-be holder that knows of no other host, so it goes for every lease.
-fn start_holder(name: &str, platform: SocketAddr, engines: &Engines, declared: &Catalogue) -> Feed {
+fn start_holder(
+    name: &str,
+    platform: SocketAddr,
+    engines: &Engines,
+    declared: &Catalogue,
+) -> OrdersHandle {
     let me = HostRef {
         id: HostId(Name::try_from(name).expect("a name")),
         incarnation: 1,
@@ -172,11 +177,11 @@
             max_drain_time: ms(400),
         },
     };
-    let feed = orders::start(cfg, Clock::start());
-    feed.peers(&[]);
-    feed.endpoints(&engines.listed());
-    feed.catalogue(declared);
-    feed
+    let handle = orders::start(cfg, Clock::start());
+    handle.set_peers(&[]);
+    handle.set_endpoints(&engines.listed());
+    handle.set_catalogue(declared);
+    handle
 }
 
 #[actix_rt::test]
@@ -203,7 +208,7 @@
         let next = catalogue(1, "2", "e0, e1, e2");
         let holder = start_holder("h0", platform.addr, &engines, &next);
         engines.until_declared("2").await;
-        holder.catalogue(&catalogue(2, "1", "e0, e1, e2"));
+        holder.set_catalogue(&catalogue(2, "1", "e0, e1, e2"));
         engines.until_declared("1").await;
     }
 }
--- a/crates/entry/tests/reports.rs
+++ b/crates/entry/tests/reports.rs
@@ -10,7 +10,7 @@
 use dragonflyrill_engines::wire;
 use dragonflyrill_entry::{
     clock::Clock,
-    control::{self, News},
+    control::{self, ControlUpdate},
     node::Node,
     settings::Settings,
 };
@@ -125,10 +125,10 @@
 }
 
 /// The control task of a host alone; what it learns comes out.
-fn lone_control(name: &HostId, platform: SocketAddr) -> mpsc::UnboundedReceiver<News> {
+fn lone_control(name: &HostId, platform: SocketAddr) -> mpsc::UnboundedReceiver<ControlUpdate> {
     let listener = std::net::TcpListener::bind(common::any_port()).expect("a free port");
     let peers = listener.local_addr().expect("bound");
-    let start = control::Start {
+    let start = control::StartConfig {
         me: control::Identity {
             host: HostRef {
                 id: name.clone(),
@@ -142,9 +142,9 @@
         listener,
         platform,
         seeds: Vec::new(),
-        poll: Duration::from_millis(20),
-        poll_hosts: Duration::from_millis(20),
-        compare: Duration::from_millis(50),
+        poll_interval: Duration::from_millis(20),
+        host_list_interval: Duration::from_millis(20),
+        startup_wait: Duration::from_millis(50),
     };
     let (tx, rx) = mpsc::unbounded_channel();
     let (news_tx, news_rx) = mpsc::unbounded_channel();
@@ -167,7 +167,7 @@
         let of_h0 = |r: &wire::LoadReport| r.max_sessions == 0 && r.endpoint == asked_by_h0;
         loop {
             match news.recv().await.expect("the task runs") {
-                News::Loads(loads) if loads.iter().any(of_h0) => return,
+                ControlUpdate::Loads(loads) if loads.iter().any(of_h0) => return,
                 _ => {}
             }
         }
