--- a/crates/entry/src/control/actor.rs
+++ b/crates/entry/src/control/actor.rs
@@ -17,7 +17,7 @@
     control::{
         ControlUpdate, Identity,
         engines::{self, Engines},
-        hosts::{self, Borrower, Listing, ShutdownFlag},
+        hosts::{self, Borrower, Listing},
         orders,
         peers::{Inbound, Outbox},
         pending_maps::PendingMaps,
@@ -63,7 +63,7 @@
     /// Reads the catalogue from the platform.
     pub catalogue: CatalogueReader,
     /// Whether this host is listed as shutting down.
-    pub shutting_down: ShutdownFlag,
+    pub shutting_down: hosts::ShutdownFlag,
     /// Borrows the host list from peers.
     pub borrower: Borrower,
     /// The state of the engines of the data centre.
@@ -79,7 +79,7 @@
     members: Members,
     spread: Spread,
     catalogue: CatalogueReader,
-    shutting_down: ShutdownFlag,
+    shutting_down: hosts::ShutdownFlag,
     borrower: Borrower,
     engines: Engines,
     orders: orders::OrdersHandle,
--- a/crates/entry/src/control/engines.rs
+++ b/crates/entry/src/control/engines.rs
@@ -420,12 +420,8 @@
         };
         if changed {
             let endpoint = endpoint.clone();
-            let state = if draining {
-                "is draining"
-            } else {
-                "is serving"
-            };
-            log::info!("engines: {endpoint} {state}, as the hosts of the data centre know.");
+            let word = if draining { "leaves" } else { "serves" };
+            log::info!("engines: {endpoint} {word}, as the hosts of the data centre know.");
             actions.push(Action::Notify(ControlUpdate::Draining {
                 endpoint,
                 draining,
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A small fleet in one process: platform, engines, services, entry hosts, all on free ports.
+//! Starts a small fleet in one process: platform, engines, services and entry hosts, all on free
+//! ports.
 
-#![allow(dead_code, reason = "each test binary uses its own part")]
+#![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -44,11 +45,13 @@
 deadline_ms = 5000
 repeatable = true
 ";
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// Tries of a condition, 10 ms apart, before a test gives up: far more than any needs.
-const TRIES: usize = 3000;
+/// The timeout of a call to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often a condition is checked, every 10 ms, before a test fails; far more often than any
+/// condition needs.
+const MAX_CHECKS: usize = 3000;
 
-/// The running fleet.
+/// A running fleet.
 pub(crate) struct Fleet {
     pub(crate) store: Rc<Store>,
     pub(crate) platform: server::Running,
@@ -59,7 +62,8 @@
 }
 
 impl Fleet {
-    /// One chain of two engines, one service, and `hosts` entry hosts that are ready.
+    /// Starts one chain of two engines, one service and `hosts` entry hosts, and waits until the hosts
+    /// are ready and see each other.
     pub(crate) async fn start(hosts: usize) -> Self {
         let _ = env_logger::builder().is_test(true).try_init();
         let (store, platform) = Store::start().await.expect("a free port");
@@ -81,8 +85,8 @@
             fleet.add_host(n).await;
         }
         for node in &fleet.nodes {
-            let sees_others = || node.host.peers().len() + 1 == hosts;
-            until("hosts see each other", sees_others).await;
+            let sees_all_hosts = || node.host.peers().len() + 1 == hosts;
+            until("hosts see each other", sees_all_hosts).await;
         }
         fleet
     }
@@ -108,20 +112,20 @@
         self.services.push(running);
     }
 
-    /// Puts one endpoint on the platform's list.
+    /// Adds one endpoint to the platform's list.
     pub(crate) async fn list(&self, endpoint: &Endpoint) {
         let registry = Registry::new(self.platform.addr);
         registry.add(endpoint).await.expect("the store answers");
     }
 
-    /// Accepts `declarations` as the next change.
+    /// Commits `declarations` as the next change of the catalogue.
     pub(crate) async fn apply(&self, declarations: &str) {
         let source = declare::Source {
             file: "test.ini",
             text: declarations,
         };
         let puts = Vec::<Entry>::try_from(source).expect("valid declarations");
-        let table = Table::new(self.platform.addr, CALL_LIMIT);
+        let table = Table::new(self.platform.addr, CALL_TIMEOUT);
         let store = CatalogueStore::new(table, Retry::new(RetryPolicy::default(), 1));
         let head = store.read_head().await.expect("the platform is up");
         let proposal = Proposal {
@@ -142,31 +146,31 @@
         let settings = Settings::parse("test.ini", &text).expect("valid settings");
         let node = Node::start(settings).await.expect("free ports");
         until("the host is ready", || {
-            node.host.ready() && sees_all(&node.host, self)
+            node.host.ready() && knows_all_endpoints(&node.host, self)
         })
         .await;
         self.nodes.push(node);
     }
 
-    /// Waits until each host of the data centre has a guard, which can give its rights to others.
+    /// Waits until each host of the data centre has a guard, which can pass its rights to others.
     pub(crate) async fn until_guarded(&self) {
-        let table = Table::new(self.platform.addr, CALL_LIMIT);
-        for _ in 0..TRIES {
+        let table = Table::new(self.platform.addr, CALL_TIMEOUT);
+        for _ in 0..MAX_CHECKS {
             let row = table
                 .get("limits/shards/dc")
                 .await
                 .expect("the platform is up");
-            if row.is_some_and(|row| guarded(&row, self.nodes.len())) {
+            if row.is_some_and(|row| all_have_guards(&row, self.nodes.len())) {
                 return;
             }
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("never came true: each host has a guard");
+        panic!("timed out: each host has a guard");
     }
 
-    /// How many records in the platform's table hold the end of their call.
+    /// The number of records in the platform's table that contain the end of their call.
     pub(crate) async fn recorded_ends(&self) -> usize {
-        let table = Table::new(self.platform.addr, CALL_LIMIT);
+        let table = Table::new(self.platform.addr, CALL_TIMEOUT);
         let rows = table
             .range(&KeyRange::prefix("record/"), 0)
             .await
@@ -175,7 +179,7 @@
         rows.rows.iter().filter(ended).count()
     }
 
-    /// How often the services ran calls whose key ends in `key`.
+    /// How often the services have run calls whose key ends in `key`.
     pub(crate) async fn ran(&self, key: &str) -> u64 {
         let mut sum = 0;
         for service in &self.services {
@@ -186,7 +190,7 @@
                 .send()
                 .await
                 .expect("the service answers");
-            let body = rsp.body().await.expect("a whole body");
+            let body = rsp.body().await.expect("a complete body");
             let ledger: Vec<serde_json::Value> = serde_json::from_slice(&body).expect("JSON");
             let theirs = ledger
                 .iter()
@@ -198,7 +202,7 @@
         sum
     }
 
-    /// Where host `n` takes callers.
+    /// The address at which host `n` accepts requests of callers.
     pub(crate) fn host(&self, n: usize) -> SocketAddr {
         self.nodes[n].callers()
     }
@@ -207,7 +211,7 @@
         format!("http://{}{path}", self.host(n))
     }
 
-    /// A generation call of workspace `w`.
+    /// A completion request of workspace `w` to host `n`, without its body.
     pub(crate) fn completion(&self, n: usize) -> awc::ClientRequest {
         self.http
             .post(self.url(n, "/v1/completions"))
@@ -215,13 +219,13 @@
     }
 }
 
-fn guarded(row: &Row, hosts: usize) -> bool {
+fn all_have_guards(row: &Row, hosts: usize) -> bool {
     let map: serde_json::Value = serde_json::from_slice(&row.value).expect("JSON");
     let members = map["members"].as_array().expect("members");
     members.len() == hosts && members.iter().all(|m| !m["guard"].is_null())
 }
 
-fn sees_all(host: &Rc<Host>, fleet: &Fleet) -> bool {
+fn knows_all_endpoints(host: &Rc<Host>, fleet: &Fleet) -> bool {
     let listed = fleet.engines.len() + fleet.services.len();
     host.router.borrow().table().len() == listed
 }
@@ -239,16 +243,16 @@
 
 /// Waits until `condition` holds.
 pub(crate) async fn until(what: &str, condition: impl Fn() -> bool) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_CHECKS {
         if condition() {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never came true: {what}");
+    panic!("timed out: {what}");
 }
 
-/// The right text of an answer.
+/// The text of a correct answer.
 pub(crate) fn expected_text(prompt: &str, tokens: usize) -> String {
     let prompt = token::tokenize(prompt);
     let tokens = reference::expected_tokens(MODEL, LAYERS, &prompt, tokens);
--- a/crates/entry/tests/orders.rs
+++ b/crates/entry/tests/orders.rs
@@ -1,5 +1,7 @@
-//! The orders task against stand-ins: engines that check fencing numbers and engines that don't end
-//! as declared, whoever gives the orders.
+//! The orders task against stand-ins: engines that check fencing numbers, and engines that don't,
+//! reach the declared state whichever host sends the orders. The tests guard against a declared
+//! state that is never reached or doesn't last, because an engine or a lease holder fails or two
+//! holders act at the same time, and against orders without a lease.
 
 mod common;
 
@@ -29,25 +31,27 @@
 const LAYERS: u32 = 8;
 const RANGES: [Layers; 2] = [Layers { first: 0, end: 4 }, Layers { first: 4, end: 8 }];
 const NONE: Layers = Layers { first: 0, end: 0 };
-/// Looks at a condition, 10 ms apart, before a test gives up: far more than any needs.
-const LOOKS: usize = 6000;
-/// Looks in a row at which a state has to hold to be the one in the end.
-const STEADY: usize = 40;
+/// How often a condition is checked, every 10 ms, before a test fails; far more often than any
+/// condition needs.
+const MAX_CHECKS: usize = 6000;
+/// In how many consecutive checks a state must hold to count as final.
+const FINAL_CHECKS: usize = 40;
 
-/// Looks at engines that nobody may order, 10 ms apart: longer than a lease's first wait.
-const LOOKS_WITHOUT_LEASE: usize = 250;
+/// How often engines that must get no order are checked, every 10 ms: for longer than a host waits
+/// before it takes a lease.
+const CHECKS_WITHOUT_LEASE: usize = 250;
 
-/// Engines in one process, by index `e0`, `e1`...
+/// Engines in one process; the engine at index 0 has the name `e0`, and so on.
 struct Engines {
     running: Vec<Running>,
     http: awc::Client,
 }
 
 impl Engines {
-    async fn start(held: &[Layers], checks_fence: bool) -> Self {
+    async fn start(layers_held: &[Layers], checks_fence: bool) -> Self {
         let _ = env_logger::builder().is_test(true).try_init();
         let mut running = Vec::new();
-        for (index, layers) in held.iter().enumerate() {
+        for (index, layers) in layers_held.iter().enumerate() {
             let mut cfg = engine::EngineConfig::new(&format!("e{index}"), MODEL, LAYERS);
             cfg.layers = *layers;
             cfg.checks_fence = checks_fence;
@@ -83,11 +87,11 @@
         let url = format!("http://{}/standin/faults", self.running[index].addr());
         let body = serde_json::json!({ "mode": mode });
         let rsp = self.http.post(url).send_json(&body).await;
-        assert!(rsp.expect("the engine is there").status().is_success());
+        assert!(rsp.expect("the engine is up").status().is_success());
     }
 
-    /// Takes down the only engine that holds some range.
-    async fn take_down_needed(&self) {
+    /// Takes down an engine that is the only one to hold its range.
+    async fn take_down_sole_holder(&self) {
         let states = self.states().await;
         let holders = |range: &Layers| states.iter().filter(|s| s.layers == *range).count();
         let sole = states
@@ -98,7 +102,7 @@
         self.set_mode(index.expect("a number"), "down").await;
     }
 
-    /// What the engines say that answer.
+    /// The states of the engines that answer.
     async fn states(&self) -> Vec<EngineState> {
         let mut states = Vec::new();
         for running in &self.running {
@@ -108,27 +112,27 @@
         states
     }
 
-    /// Waits until each range is served in this version only, and goes on being so.
+    /// Waits until each range is served in this version only, in [`FINAL_CHECKS`] consecutive checks.
     async fn until_declared(&self, version: &str) {
-        let mut steady = 0;
+        let mut consecutive = 0;
         let mut states = Vec::new();
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_CHECKS {
             states = self.states().await;
-            steady = if declared(&states, version) {
-                steady + 1
+            consecutive = if is_as_declared(&states, version) {
+                consecutive + 1
             } else {
                 0
             };
-            if steady == STEADY {
+            if consecutive == FINAL_CHECKS {
                 return;
             }
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("never as declared with version {version}: {states:?}");
+        panic!("timed out before the engines were as declared with version {version}: {states:?}");
     }
 }
 
-fn declared(states: &[EngineState], version: &str) -> bool {
+fn is_as_declared(states: &[EngineState], version: &str) -> bool {
     RANGES.iter().all(|range| {
         let mut held = states.iter().filter(|s| s.layers == *range).peekable();
         held.peek().is_some() && held.all(|s| !s.loading && s.version == version)
@@ -153,7 +157,7 @@
     Store::start().await.expect("a free port")
 }
 
-/// A would-be holder that knows of no other host, so it goes for every lease.
+/// Starts the orders task of a host that knows no other host and so requests every lease.
 fn start_holder(
     name: &str,
     platform: SocketAddr,
@@ -185,7 +189,7 @@
 }
 
 #[actix_rt::test]
-async fn a_spare_takes_over_the_range_of_an_engine_that_went_down() {
+async fn a_spare_takes_over_the_range_of_an_engine_that_is_down() {
     for checks_fence in [true, false] {
         let engines = Engines::start(&[RANGES[0], RANGES[1], NONE], checks_fence).await;
         let (_store, platform) = start_platform().await;
@@ -214,7 +218,7 @@
 }
 
 #[actix_rt::test]
-async fn a_second_holder_goes_on_when_either_of_two_ends() {
+async fn the_other_host_reaches_the_declared_state_after_either_of_two_stops() {
     for ending in [0, 1] {
         let engines = Engines::start(&[RANGES[0], RANGES[1], NONE], true).await;
         let (_store, platform) = start_platform().await;
@@ -226,14 +230,15 @@
             .collect();
         engines.until_declared("2").await;
         drop(holders.remove(ending));
-        engines.take_down_needed().await;
+        engines.take_down_sole_holder().await;
         engines.until_declared("2").await;
     }
 }
 
-/// Each holder has a table of its own, so both hold the lease at once, under any fences.
+/// Each holder has its own table, so both hold the lease at the same time, with unrelated fencing
+/// numbers.
 #[actix_rt::test]
-async fn two_holders_that_act_at_once_end_in_the_declared_state() {
+async fn two_holders_that_act_at_the_same_time_reach_the_declared_state() {
     for checks_fence in [true, false] {
         let engines = Engines::start(&[RANGES[0], RANGES[1], NONE], checks_fence).await;
         let platforms = [start_platform().await, start_platform().await];
@@ -241,13 +246,13 @@
         let _h0 = start_holder("h0", platforms[0].1.addr, &engines, &next);
         let _h1 = start_holder("h-1", platforms[1].1.addr, &engines, &next);
         engines.until_declared("2").await;
-        engines.take_down_needed().await;
+        engines.take_down_sole_holder().await;
         engines.until_declared("2").await;
     }
 }
 
 #[actix_rt::test]
-async fn a_holder_gets_a_fence_above_the_one_an_engine_has_seen() {
+async fn a_holder_gets_a_fence_above_the_highest_that_an_engine_has_seen() {
     let engines = Engines::start(&[RANGES[0], RANGES[1], NONE], true).await;
     for (running, layers) in engines.running.iter().zip(RANGES) {
         let order = Order {
@@ -269,13 +274,13 @@
 }
 
 #[actix_rt::test]
-async fn no_order_is_given_before_the_lease_is_held() {
+async fn no_order_is_sent_before_the_lease_is_held() {
     let engines = Engines::start(&[RANGES[0], RANGES[1], NONE], false).await;
     let (store, platform) = start_platform().await;
     store.set_faults(Faults::down(DownAs::Closed));
     let next = catalogue(1, "2", "e0, e1, e2");
     let _holder = start_holder("h0", platform.addr, &engines, &next);
-    for _ in 0..LOOKS_WITHOUT_LEASE {
+    for _ in 0..CHECKS_WITHOUT_LEASE {
         let states = engines.states().await;
         assert!(states.iter().all(|s| s.fence == 0), "{states:?}");
         actix_rt::time::sleep(Duration::from_millis(10)).await;
--- a/crates/entry/tests/reports.rs
+++ b/crates/entry/tests/reports.rs
@@ -1,4 +1,6 @@
-//! What the hosts of a data centre learn of endpoints, each from its own and from the others.
+//! The state of endpoints that the hosts of a data centre observe themselves and receive from each
+//! other. The tests guard against work sent to a draining endpoint by a host that has not observed
+//! the sign itself, and against a host that lacks the loads or the list that another host has.
 
 mod common;
 
@@ -20,28 +22,28 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-/// The engine that leaves; `e0` runs the same layers.
+/// The engine that drains; `e0` holds the same layers.
 const SPARE: &str = "e0b";
-/// Far more than any condition needs.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// The timeout for a condition; far longer than any condition needs.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 fn id(name: &str) -> EndpointId {
     EndpointId::try_from(name).expect("a valid id")
 }
 
-/// Three hosts, and a second engine for the first layers.
+/// Starts a fleet of three hosts with a second engine for the first layers.
 async fn fleet_with_spare() -> Fleet {
     let mut fleet = Fleet::start(3).await;
     fleet.add_engine(SPARE, 0, 4, 0).await;
     until("all hosts know the spare engine", || {
-        leaving(&fleet) == [Some(false); 3]
+        draining_at_hosts(&fleet) == [Some(false); 3]
     })
     .await;
     fleet
 }
 
-/// Whether the spare engine leaves, as each host knows.
-fn leaving(fleet: &Fleet) -> Vec<Option<bool>> {
+/// Whether each host knows the spare engine as draining; `None` if it doesn't know the engine.
+fn draining_at_hosts(fleet: &Fleet) -> Vec<Option<bool>> {
     let hosts = fleet.nodes.iter().map(|n| {
         let router = n.host.router.borrow();
         router.table().get(&id(SPARE)).map(|e| e.draining)
@@ -49,7 +51,7 @@
     hosts.collect()
 }
 
-fn spare(fleet: &Fleet) -> SocketAddr {
+fn spare_addr(fleet: &Fleet) -> SocketAddr {
     fleet.engines[2].addr()
 }
 
@@ -59,7 +61,7 @@
     assert!(rsp.status().is_success(), "{}", rsp.status());
 }
 
-/// How many steps an engine was sent, run or refused.
+/// The number of steps that were sent to an engine, whether it ran or refused them.
 async fn steps_sent(fleet: &Fleet, addr: SocketAddr) -> u64 {
     let call = fleet.http.get(format!("http://{addr}/standin/stats"));
     let mut rsp = call.send().await.expect("an answer");
@@ -77,58 +79,59 @@
     assert_eq!(body["choices"][0]["text"], expected_text(prompt, 2));
 }
 
-/// Waits until all hosts know that the spare engine leaves; then none may send it work.
-async fn gets_no_new_work(fleet: &Fleet) {
-    until("all hosts know that the spare engine leaves", || {
-        leaving(fleet) == [Some(true); 3]
+/// Waits until all hosts know that the spare engine is draining, and asserts that none sends it work
+/// after that.
+async fn assert_no_new_work(fleet: &Fleet) {
+    until("all hosts know that the spare engine is draining", || {
+        draining_at_hosts(fleet) == [Some(true); 3]
     })
     .await;
-    let before = steps_sent(fleet, spare(fleet)).await;
+    let before = steps_sent(fleet, spare_addr(fleet)).await;
     for call in 0..30 {
         complete(fleet, call % 3, &format!("prompt {call}")).await;
     }
-    assert_eq!(steps_sent(fleet, spare(fleet)).await, before);
+    assert_eq!(steps_sent(fleet, spare_addr(fleet)).await, before);
 }
 
 #[actix_rt::test]
-async fn engine_listed_as_leaving_gets_no_new_work_from_any_host() {
+async fn engine_listed_as_draining_gets_no_new_work_from_any_host() {
     let fleet = fleet_with_spare().await;
     let mut cfg = EngineConfig::new(SPARE, common::MODEL, common::LAYERS);
     cfg.data_centre = "dc".into();
     cfg.layers = wire::Layers { first: 0, end: 4 };
     cfg.layer_us = 1;
-    let mut listing = cfg.listing(spare(&fleet));
+    let mut listing = cfg.listing(spare_addr(&fleet));
     listing.draining = true;
     fleet.list(&listing).await;
-    gets_no_new_work(&fleet).await;
+    assert_no_new_work(&fleet).await;
 }
 
 #[actix_rt::test]
-async fn engine_that_says_itself_that_it_leaves_gets_no_new_work_from_any_host() {
+async fn engine_that_reports_itself_as_draining_gets_no_new_work_from_any_host() {
     let fleet = fleet_with_spare().await;
-    post(&fleet, spare(&fleet), "/standin/leave", &json!({})).await;
-    gets_no_new_work(&fleet).await;
+    post(&fleet, spare_addr(&fleet), "/standin/leave", &json!({})).await;
+    assert_no_new_work(&fleet).await;
 }
 
 #[actix_rt::test]
-async fn engine_that_operators_want_to_leave_gets_no_new_work_from_any_host() {
+async fn engine_that_the_catalogue_drains_gets_no_new_work_from_any_host() {
     let fleet = fleet_with_spare().await;
     fleet.apply("[endpoint e0b]\nintent = leave\n").await;
-    gets_no_new_work(&fleet).await;
+    assert_no_new_work(&fleet).await;
 }
 
 #[actix_rt::test]
-async fn refusal_seen_by_one_host_keeps_the_others_away_too() {
+async fn refusal_observed_by_one_host_stops_new_work_from_all_hosts() {
     let fleet = fleet_with_spare().await;
     fleet.nodes[1].host.endpoint_refused(&id(SPARE));
-    gets_no_new_work(&fleet).await;
+    assert_no_new_work(&fleet).await;
 }
 
-/// The control task of a host alone; what it learns comes out.
-fn lone_control(name: &HostId, platform: SocketAddr) -> mpsc::UnboundedReceiver<ControlUpdate> {
+/// Starts the control arbiter's tasks without the rest of a host, and returns their updates.
+fn start_control(name: &HostId, platform: SocketAddr) -> mpsc::UnboundedReceiver<ControlUpdate> {
     let listener = std::net::TcpListener::bind(common::any_port()).expect("a free port");
     let peers = listener.local_addr().expect("bound");
-    let start = control::StartConfig {
+    let config = control::StartConfig {
         me: control::Identity {
             host: HostRef {
                 id: name.clone(),
@@ -147,37 +150,37 @@
         startup_wait: Duration::from_millis(50),
     };
     let (tx, rx) = mpsc::unbounded_channel();
-    let (news_tx, news_rx) = mpsc::unbounded_channel();
-    control::start(start, tx, rx, news_tx);
-    news_rx
+    let (update_tx, update_rx) = mpsc::unbounded_channel();
+    control::start(config, tx, rx, update_tx);
+    update_rx
 }
 
 #[actix_rt::test]
-async fn loads_that_one_host_asked_for_reach_the_other_hosts_of_the_data_centre() {
+async fn loads_that_one_host_polled_reach_the_other_hosts_of_the_data_centre() {
     let mut fleet = Fleet::start(1).await;
     let hosts = ["h0", "lone"].map(|n| HostId(n.try_into().expect("a valid name")));
-    let asked_by_h0 = (0..)
+    let polled_by_h0 = (0..)
         .map(|n| format!("asked-{n}"))
         .find(|n| reports::polling_host(&id(n), hosts.iter()) == Some(&hosts[0]))
         .expect("one of many");
-    fleet.add_engine(&asked_by_h0, 0, 4, 0).await;
-    let mut news = lone_control(&hosts[1], fleet.platform.addr);
+    fleet.add_engine(&polled_by_h0, 0, 4, 0).await;
+    let mut updates = start_control(&hosts[1], fleet.platform.addr);
     let shared = async {
-        // Sessions are told by the engine, and not shared.
-        let of_h0 = |r: &wire::LoadReport| r.max_sessions == 0 && r.endpoint == asked_by_h0;
+        // A load from the engine itself has its sessions; a shared load has none.
+        let of_h0 = |r: &wire::LoadReport| r.max_sessions == 0 && r.endpoint == polled_by_h0;
         loop {
-            match news.recv().await.expect("the task runs") {
+            match updates.recv().await.expect("the task runs") {
                 ControlUpdate::Loads(loads) if loads.iter().any(of_h0) => return,
                 _ => {}
             }
         }
     };
-    let waited = actix_rt::time::timeout(LONGEST_WAIT, shared).await;
-    waited.expect("a load that the other host asked for");
+    let waited = actix_rt::time::timeout(MAX_WAIT, shared).await;
+    waited.expect("a load that the other host polled");
 }
 
 #[test]
-fn seeds_are_addresses_with_commas_between_them() {
+fn seeds_are_comma_separated_addresses() {
     let platform = common::any_port();
     let with = |seeds: &str| {
         let text =
@@ -192,7 +195,7 @@
 }
 
 #[actix_rt::test]
-async fn host_that_starts_while_the_platform_is_away_serves_by_what_a_peer_lends() {
+async fn host_that_starts_while_the_platform_is_unavailable_serves_with_a_list_from_a_peer() {
     let mut fleet = Fleet::start(1).await;
     let platform = fleet.platform.addr;
     fleet.store.set_faults(Faults::down(DownAs::Closed));
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,33 +1,33 @@
-//! Settings that can't be used are refused with the place and what would be right.
+//! Invalid settings are refused with an error that names the place and the valid values.
 
 use dragonflyrill_entry::settings::{Settings, Spans};
 use proptest::prelude::*;
 
-const GOOD: &str = "[host]\nid = geoje-1\ndata_centre = geoje\n[listen]\ncallers = 10.0.0.1:80\n\
+const VALID: &str = "[host]\nid = geoje-1\ndata_centre = geoje\n[listen]\ncallers = 10.0.0.1:80\n\
                     peers = 10.0.0.1:81\n[platform]\naddress = 10.0.0.9:2379\n";
 
 fn message(text: &str) -> String {
-    let errors = Settings::parse("e.ini", text).expect_err("settings that can't be used");
+    let errors = Settings::parse("e.ini", text).expect_err("invalid settings");
     let lines: Vec<_> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 #[test]
-fn good_settings_have_documented_defaults() {
-    let settings = Settings::parse("e.ini", GOOD).expect("good settings");
+fn valid_settings_have_documented_defaults() {
+    let settings = Settings::parse("e.ini", VALID).expect("valid settings");
     assert_eq!(settings.host.as_str(), "geoje-1");
     assert_eq!(settings.max_body, 1 << 20);
     assert_eq!(settings.spans, Spans::Off);
 }
 
 #[test]
-fn documented_example_is_good() {
+fn documented_example_is_valid() {
     let text = include_str!("../../../config/entry.ini");
     Settings::parse("config/entry.ini", text).expect("the documented example");
 }
 
 #[test]
-fn each_fault_is_named_with_its_place() {
+fn each_error_names_its_place() {
     let cases = [
         (
             "[host]\nid = geoje-1",
@@ -66,20 +66,20 @@
         ),
     ];
     for (from, to, expected) in cases {
-        let message = message(&GOOD.replace(from, to));
+        let message = message(&VALID.replace(from, to));
         assert!(message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_errors_are_reported_together() {
     let message = message("[host]\nid = -\n[listen]\ncallers = x\n");
     assert_eq!(message.lines().count(), 5, "{message}");
 }
 
 proptest! {
     #[test]
-    fn any_text_is_answered_without_panic(text in "(\\[?[a-z]{1,8}\\]?( = [ -~]{0,12})?\n){0,12}") {
+    fn any_text_is_parsed_without_panic(text in "(\\[?[a-z]{1,8}\\]?( = [ -~]{0,12})?\n){0,12}") {
         let _ = Settings::parse("e.ini", &text);
     }
 }
--- a/crates/entry/tests/several_hosts.rs
+++ b/crates/entry/tests/several_hosts.rs
@@ -1,4 +1,5 @@
-//! The same request at several hosts: one run, one answer for all.
+//! The same request at several hosts runs once and has the same answer at each host. The tests guard
+//! against a second run, or an unknown request, at a host that doesn't run the request itself.
 
 mod common;
 
@@ -6,16 +7,16 @@
 use futures_util::future::join_all;
 use serde_json::{Value, json};
 
-async fn text(call: awc::ClientRequest, req: &Value) -> (u16, Value) {
+async fn send(call: awc::ClientRequest, req: &Value) -> (u16, Value) {
     let mut rsp = call.send_json(req).await.expect("an answer");
-    let body = rsp.body().await.expect("a whole body");
+    let body = rsp.body().await.expect("a complete body");
     (
         rsp.status().as_u16(),
         serde_json::from_slice(&body).expect("JSON"),
     )
 }
 
-fn released(fleet: &Fleet) -> u64 {
+fn released_tokens(fleet: &Fleet) -> u64 {
     fleet
         .nodes
         .iter()
@@ -24,24 +25,24 @@
 }
 
 #[actix_rt::test]
-async fn same_key_at_all_hosts_at_once_runs_once() {
+async fn same_key_at_all_hosts_at_the_same_time_runs_once() {
     let fleet = Fleet::start(3).await;
     let req = json!({"model": "m", "prompt": "twice", "max_tokens": 6});
     let calls = (0..9).map(|i| {
         let call = fleet
             .completion(i % 3)
             .insert_header(("idempotency-key", "k"));
-        text(call, &req)
+        send(call, &req)
     });
     for (status, body) in join_all(calls).await {
         assert_eq!(status, 200, "{body}");
         assert_eq!(body["choices"][0]["text"], expected_text("twice", 6));
     }
-    assert_eq!(released(&fleet), 6, "one run");
+    assert_eq!(released_tokens(&fleet), 6, "one run");
 }
 
 #[actix_rt::test]
-async fn many_keys_find_their_runs_whatever_host_is_asked() {
+async fn each_key_is_answered_from_its_run_at_any_host() {
     let fleet = Fleet::start(3).await;
     for k in 0..12 {
         let req = json!({"model": "m", "prompt": format!("key {k}"), "max_tokens": 2});
@@ -49,7 +50,7 @@
             let call = fleet
                 .completion(n)
                 .insert_header(("idempotency-key", format!("k{k}")));
-            let (status, body) = text(call, &req).await;
+            let (status, body) = send(call, &req).await;
             assert_eq!(status, 200, "{body}");
             assert_eq!(
                 body["choices"][0]["text"],
@@ -57,7 +58,7 @@
             );
         }
     }
-    assert_eq!(released(&fleet), 24, "each of 12 keys ran once");
+    assert_eq!(released_tokens(&fleet), 24, "each of 12 keys ran once");
 }
 
 #[actix_rt::test]
@@ -66,10 +67,10 @@
     for (n, prompt, expected) in [(0, "a", 200), (1, "b", 422)] {
         let req = json!({"model": "m", "prompt": prompt, "max_tokens": 1});
         let call = fleet.completion(n).insert_header(("idempotency-key", "k"));
-        let (status, body) = text(call, &req).await;
+        let (status, body) = send(call, &req).await;
         assert_eq!(status, expected, "{body}");
     }
-    assert_eq!(released(&fleet), 1);
+    assert_eq!(released_tokens(&fleet), 1);
 }
 
 #[actix_rt::test]
@@ -77,7 +78,7 @@
     let fleet = Fleet::start(2).await;
     let req = json!({"model": "m", "prompt": "move", "max_tokens": 6});
     let call = fleet.completion(0).insert_header(("idempotency-key", "k"));
-    text(call, &req).await;
+    send(call, &req).await;
     let resume = fleet
         .http
         .get(fleet.url(1, "/v1/requests/k/events"))
@@ -85,7 +86,7 @@
         .insert_header(("last-event-id", "1"));
     let mut rsp = resume.send().await.expect("an answer");
     assert_eq!(rsp.status(), 200);
-    let stream = rsp.body().await.expect("a whole stream");
+    let stream = rsp.body().await.expect("a complete stream");
     let stream = std::str::from_utf8(&stream).expect("text");
     let ids: Vec<_> = stream
         .lines()
@@ -96,7 +97,7 @@
 }
 
 #[actix_rt::test]
-async fn unknown_request_is_told_so() {
+async fn unknown_request_gets_404() {
     let fleet = Fleet::start(2).await;
     let call = fleet
         .http
--- a/crates/entry/tests/trace.rs
+++ b/crates/entry/tests/trace.rs
@@ -1,6 +1,7 @@
-//! One trace from the caller to the last stage, with a span for each hop.
+//! A request has one trace from the caller to the last stage, with a span for each hop. The test
+//! guards against a hop without a span and against a span outside the caller's trace.
 //!
-//! A test binary of its own: spans are set up once for a process.
+//! This is a test binary of its own because spans can be set up only once in a process.
 
 mod common;
 
@@ -11,7 +12,7 @@
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
 const CALLER_SPAN: &str = "b7ad6b7169203331";
 
-fn named<'a>(spans: &'a [Value], name: &str) -> Vec<&'a Value> {
+fn spans_named<'a>(spans: &'a [Value], name: &str) -> Vec<&'a Value> {
     spans.iter().filter(|s| s["name"] == name).collect()
 }
 
@@ -36,11 +37,11 @@
         .map(|l| serde_json::from_str(l).expect("JSON"))
         .collect();
     let traced: Vec<Value> = spans.into_iter().filter(|s| s["trace"] == TRACE).collect();
-    let request = named(&traced, "request");
+    let request = spans_named(&traced, "request");
     assert_eq!(request.len(), 1);
     assert_eq!(request[0]["parent"], CALLER_SPAN);
-    assert_eq!(named(&traced, "admit").len(), 1);
-    let steps = named(&traced, "step");
+    assert_eq!(spans_named(&traced, "admit").len(), 1);
+    let steps = spans_named(&traced, "step");
     assert_eq!(steps.len(), 6, "two stages, three tokens");
     for step in steps {
         assert_eq!(step["parent"], request[0]["span"]);
--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -1,21 +1,24 @@
-//! Requests through one entry host, a chain of engines and a plain service, over real sockets.
+//! Requests through one entry host, a chain of engines and a plain service, over real sockets. The
+//! tests guard against a wrong or incomplete answer, a second run of the same key, and a refusal that
+//! doesn't name its reason.
 
 mod common;
 
 use common::{Fleet, expected_text};
 use serde_json::{Value, json};
 
-async fn body(
+async fn json_body(
     mut rsp: awc::ClientResponse<
         impl futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
     >,
 ) -> Value {
-    let body = rsp.body().await.expect("a whole body");
+    let body = rsp.body().await.expect("a complete body");
     serde_json::from_slice(&body).unwrap_or_else(|e| panic!("{e}: {body:?}"))
 }
 
-/// The token texts of a stream of server-sent events, and whether it ended as whole.
-fn events(stream: &str) -> (String, bool) {
+/// Returns the text of the tokens in a stream of server-sent events, and whether the stream is
+/// complete.
+fn parse_events(stream: &str) -> (String, bool) {
     let mut text = String::new();
     let mut done = false;
     for line in stream.lines() {
@@ -41,13 +44,13 @@
         .await
         .expect("an answer");
     assert_eq!(rsp.status(), 200);
-    let answer = body(rsp).await;
+    let answer = json_body(rsp).await;
     assert_eq!(answer["choices"][0]["text"], expected_text("tank 4", 5));
     assert_eq!(answer["usage"]["total_tokens"], 11);
 }
 
 #[actix_rt::test]
-async fn streamed_answer_equals_the_reference_and_ends_whole() {
+async fn streamed_answer_equals_the_reference_and_is_complete() {
     let fleet = Fleet::start(1).await;
     let req = json!({"model": "m", "prompt": "tank 5", "max_tokens": 7, "stream": true});
     let mut rsp = fleet
@@ -56,8 +59,8 @@
         .await
         .expect("an answer");
     assert_eq!(rsp.status(), 200);
-    let stream = rsp.body().await.expect("a whole stream");
-    let (text, done) = events(std::str::from_utf8(&stream).expect("text"));
+    let stream = rsp.body().await.expect("a complete stream");
+    let (text, done) = parse_events(std::str::from_utf8(&stream).expect("text"));
     assert_eq!(text, expected_text("tank 5", 7));
     assert!(done);
 }
@@ -70,7 +73,7 @@
     for _ in 0..2 {
         let call = fleet.completion(0).insert_header(("idempotency-key", "k1"));
         let rsp = call.send_json(&req).await.expect("an answer");
-        answers.push(body(rsp).await["choices"][0]["text"].clone());
+        answers.push(json_body(rsp).await["choices"][0]["text"].clone());
     }
     assert_eq!(answers[0], answers[1]);
     assert_eq!(fleet.nodes[0].host.metrics.tokens.get(), 3);
@@ -105,8 +108,8 @@
         .expect("an answer")
         .body()
         .await
-        .expect("a whole stream");
-    let (text, done) = events(std::str::from_utf8(&stream).expect("text"));
+        .expect("a complete stream");
+    let (text, done) = parse_events(std::str::from_utf8(&stream).expect("text"));
     let whole = expected_text("resume", 6);
     let head = expected_text("resume", 4);
     assert_eq!(Some(text.as_str()), whole.strip_prefix(&head));
@@ -114,7 +117,7 @@
 }
 
 #[actix_rt::test]
-async fn service_call_is_passed_through() {
+async fn service_call_is_forwarded() {
     let fleet = Fleet::start(1).await;
     let call = fleet
         .http
@@ -126,7 +129,7 @@
         .await
         .expect("an answer");
     assert_eq!(rsp.status(), 200);
-    let answer = body(rsp).await;
+    let answer = json_body(rsp).await;
     assert_eq!(answer["method"], "PUT");
     assert!(
         answer["path"]
@@ -137,7 +140,7 @@
 }
 
 #[actix_rt::test]
-async fn refusals_name_the_field_and_say_not_run() {
+async fn refusals_name_the_field_and_report_not_run() {
     let fleet = Fleet::start(1).await;
     let cases = [
         (
@@ -185,7 +188,7 @@
             .await
             .expect("an answer");
         assert_eq!(rsp.status(), status, "{req}");
-        let error = body(rsp).await["error"].clone();
+        let error = json_body(rsp).await["error"].clone();
         assert_eq!(error["code"], code, "{req}");
         assert_eq!(error["run"], "not_run", "{req}");
         let message = error["message"].as_str().expect("a message");
@@ -194,7 +197,7 @@
 }
 
 #[actix_rt::test]
-async fn bad_headers_are_refused_by_name() {
+async fn invalid_headers_are_refused() {
     let fleet = Fleet::start(1).await;
     let cases = [
         ("x-workspace", "nobody", 403),
@@ -210,7 +213,7 @@
         let call = fleet.completion(0).insert_header((header, value));
         let rsp = call.send_json(&req).await.expect("an answer");
         assert_eq!(rsp.status(), status, "{header}: {value}");
-        assert_eq!(body(rsp).await["error"]["run"], "not_run");
+        assert_eq!(json_body(rsp).await["error"]["run"], "not_run");
     }
 }
 
@@ -239,7 +242,7 @@
         .expect("an answer");
     assert_eq!(rsp.status(), 503);
     assert!(rsp.headers().contains_key("retry-after"));
-    assert_eq!(body(rsp).await["error"]["code"], "not_ready");
+    assert_eq!(json_body(rsp).await["error"]["code"], "not_ready");
     let ready = fleet
         .http
         .get(fleet.url(0, "/readyz"))
@@ -250,7 +253,7 @@
 }
 
 #[actix_rt::test]
-async fn metrics_count_ends_and_tokens() {
+async fn metrics_count_requests_by_end_and_tokens() {
     let fleet = Fleet::start(1).await;
     let req = json!({"model": "m", "prompt": "count", "max_tokens": 4});
     fleet
@@ -264,7 +267,7 @@
         .send()
         .await
         .expect("an answer");
-    let text = rsp.body().await.expect("a whole body");
+    let text = rsp.body().await.expect("a complete body");
     let text = std::str::from_utf8(&text).expect("text");
     assert!(
         text.contains("dragonflyrill_requests_total{end=\"whole\"} 1"),
