--- a/crates/entry/src/bin/dragonflyrill-entry.rs
+++ b/crates/entry/src/bin/dragonflyrill-entry.rs
@@ -65,11 +65,11 @@
     ExitCode::from(BAD_SETTINGS)
 }
 
-fn open_spans(settings: &Settings) -> io::Result<Option<spans::Guard>> {
+fn open_spans(settings: &Settings) -> io::Result<Option<spans::ExportGuard>> {
     let service = settings.host.as_str();
     match &settings.spans {
         Spans::Off => {
-            spans::off();
+            spans::disable();
             Ok(None)
         }
         Spans::File(path) => spans::to_file(service, Path::new(path)).map(Some),
--- a/crates/entry/src/caller/attach.rs
+++ b/crates/entry/src/caller/attach.rs
@@ -35,7 +35,7 @@
         Opened::New(slot) => (slot.clone(), Some(slot)),
         Opened::Reused => return Err(answer::key_reused()),
     };
-    host.metrics.running.set(requests.running() as i64);
+    host.metrics.requests_running.set(requests.running() as i64);
     Ok(Attached {
         reader: Reader::attach(slot),
         fresh,
--- a/crates/entry/src/caller/mod.rs
+++ b/crates/entry/src/caller/mod.rs
@@ -25,7 +25,7 @@
         .get(context::TRACEPARENT)
         .and_then(|v| v.to_str().ok());
     if let Some(parent) = parent {
-        context::adopt(&span, parent);
+        context::set_parent(&span, parent);
     }
     let answered = route(&host, req).instrument(span).await;
     Ok(answered.unwrap_or_else(|failure| answer::failure(&failure)))
--- a/crates/entry/src/drive/driver.rs
+++ b/crates/entry/src/drive/driver.rs
@@ -339,7 +339,7 @@
             "drive: {} lost layers {layers} at {lost}.",
             self.generation.spec().request
         );
-        self.host.metrics.replaced.inc();
+        self.host.metrics.stages_replaced.inc();
         self.note_lost(&lost);
         self.avoid.push(lost);
         let now = self.host.now();
--- a/crates/entry/src/drive/mod.rs
+++ b/crates/entry/src/drive/mod.rs
@@ -105,7 +105,7 @@
     slot.end(end);
     host.requests.borrow_mut().finished();
     host.metrics
-        .running
+        .requests_running
         .set(host.requests.borrow().running() as i64);
     let (host, slot) = (host.clone(), slot.clone());
     actix_rt::spawn(async move {
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -174,7 +174,9 @@
             "catalogue: Revision {} is in force.",
             catalogue.revision().0
         );
-        self.metrics.revision.set(catalogue.revision().0 as i64);
+        self.metrics
+            .catalogue_revision
+            .set(catalogue.revision().0 as i64);
         self.catalogue.replace(Rc::new(catalogue));
         self.in_force_since.set(self.now());
     }
--- a/crates/telemetry/src/context.rs
+++ b/crates/telemetry/src/context.rs
@@ -1,4 +1,4 @@
-//! The W3C trace context, `traceparent`, from and to spans.
+//! Conversion between spans and the W3C trace context, `traceparent`.
 
 use opentelemetry::{
     Context,
@@ -9,10 +9,10 @@
 use tracing::Span;
 use tracing_opentelemetry::OpenTelemetrySpanExt;
 
-/// The header that carries the context.
+/// The name of the header with the context.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// One `traceparent` value as a carrier.
+/// A propagation carrier with one `traceparent` value.
 #[derive(Default)]
 struct Carrier(Option<String>);
 
@@ -37,15 +37,17 @@
     }
 }
 
-/// Makes `span` a child of the caller's span. A malformed value is ignored.
-pub fn adopt(span: &Span, traceparent: &str) {
+/// Makes `span` a child of the caller's span, which `traceparent` names. A malformed value is
+/// ignored.
+pub fn set_parent(span: &Span, traceparent: &str) {
     let carrier = Carrier(Some(traceparent.to_owned()));
     let cx = TraceContextPropagator::new().extract(&carrier);
-    // Fails only where spans are off.
+    // Fails only if spans are disabled.
     let _ = span.set_parent(cx);
 }
 
-/// The `traceparent` value that makes a hop a child of `span`; `None` where spans are off.
+/// Returns the `traceparent` value with which the next hop's span becomes a child of `span`; `None`
+/// if spans are disabled.
 pub fn traceparent(span: &Span) -> Option<String> {
     if span.is_disabled() {
         return None;
--- a/crates/telemetry/src/file.rs
+++ b/crates/telemetry/src/file.rs
@@ -1,4 +1,4 @@
-//! Spans as JSON lines in a file.
+//! Export of spans to a file, as one JSON object per line.
 
 use std::{
     fs::File,
@@ -15,9 +15,9 @@
 };
 use serde::Serialize;
 
-/// One span, as it stands in the file.
+/// One span in the form in which it is written to the file. Times are in microseconds.
 #[derive(Serialize)]
-struct Line<'a> {
+struct SpanRecord<'a> {
     trace: String,
     span: String,
     parent: String,
@@ -28,7 +28,7 @@
     attributes: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Writes spans to a file.
+/// An exporter that writes spans to a file.
 #[derive(Debug)]
 pub(crate) struct FileExporter {
     out: Mutex<BufWriter<File>>,
@@ -36,8 +36,8 @@
 }
 
 impl FileExporter {
-    /// Appends to the file at `path`, which is made if missing.
-    pub(crate) fn create(path: &Path) -> io::Result<Self> {
+    /// Opens the file at `path` for appending, and creates it if missing.
+    pub(crate) fn open(path: &Path) -> io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Self {
             out: Mutex::new(BufWriter::new(file)),
@@ -49,32 +49,32 @@
         let mut out = self
             .out
             .lock()
-            .map_err(|_| io::Error::other("a writer panicked"))?;
+            .map_err(|_| io::Error::other("a thread panicked while it wrote spans"))?;
         for span in batch {
-            serde_json::to_writer(&mut *out, &self.line(span))?;
+            serde_json::to_writer(&mut *out, &self.record(span))?;
             out.write_all(b"\n")?;
         }
         out.flush()
     }
 
-    fn line<'a>(&'a self, span: &'a SpanData) -> Line<'a> {
+    fn record<'a>(&'a self, span: &'a SpanData) -> SpanRecord<'a> {
         let attributes = span
             .attributes
             .iter()
             .map(|kv| (kv.key.to_string(), kv.value.to_string().into()))
             .collect();
-        let took = span
+        let duration = span
             .end_time
             .duration_since(span.start_time)
             .unwrap_or_default();
-        Line {
+        SpanRecord {
             trace: span.span_context.trace_id().to_string(),
             span: span.span_context.span_id().to_string(),
             parent: span.parent_span_id.to_string(),
             service: &self.service,
             name: &span.name,
-            start_us: micros(span.start_time),
-            us: took.as_micros(),
+            start_us: unix_micros(span.start_time),
+            us: duration.as_micros(),
             attributes,
         }
     }
@@ -92,7 +92,7 @@
     }
 }
 
-fn micros(at: SystemTime) -> u128 {
+fn unix_micros(at: SystemTime) -> u128 {
     at.duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros()
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Logs, spans and metrics, the same for every program.
+//! Logs, spans and metrics, with the same setup for every program.
 //!
-//! [`logs`] sets up short lines on standard error; [`spans`] sends the spans of a trace to a file
-//! or a collector; [`context`] carries a trace from hop to hop in W3C form; [`metrics`] are the
-//! counters of an entry host.
+//! [`logs`] sets up log lines on standard error. [`spans`] exports the spans of a trace to a file or
+//! to a collector. [`context`] propagates a trace from hop to hop in the W3C form. [`metrics`] has
+//! the metrics of an entry host.
 
 pub mod context;
 mod file;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,54 +1,54 @@
-//! The counters of an entry host, in the format of Prometheus.
+//! The metrics of an entry host, in the Prometheus text format.
 
 use prometheus::{
     Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds of the latency histograms, in seconds.
-const SECONDS: &[f64] = &[
+/// Upper bounds of the buckets of the latency histograms, in seconds.
+const LATENCY_BUCKETS_SECONDS: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// All counters of one host.
+/// All metrics of one host.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by how they ended: `whole`, `called`, or the code of the error.
+    /// Ended requests by the label `end`: `whole`, `called`, or the code of the error.
     pub requests: IntCounterVec,
     /// Tokens released to callers.
     pub tokens: IntCounter,
     /// Steps sent to engines.
     pub steps: IntCounter,
-    /// Stages replaced while a request was running.
-    pub replaced: IntCounter,
-    /// Requests running now.
-    pub running: IntGauge,
+    /// Stages that were replaced while a request was running.
+    pub stages_replaced: IntCounter,
+    /// Requests that are running now.
+    pub requests_running: IntGauge,
     /// The revision of the catalogue in force.
-    pub revision: IntGauge,
-    /// Seconds from a request's arrival to its first token.
+    pub catalogue_revision: IntGauge,
+    /// Seconds from the arrival of a request to its first token.
     pub first_token: Histogram,
-    /// Seconds between two tokens of one request.
+    /// Seconds between two consecutive tokens of one request.
     pub between_tokens: Histogram,
 }
 
 impl Metrics {
-    /// Counters at zero.
+    /// Creates and registers the metrics, all at zero.
     ///
     /// # Errors
-    /// None in practice: the names are constants, valid and distinct.
+    /// Doesn't fail in practice: the names are constants, valid and distinct.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new_custom(Some("dragonflyrill".into()), None)?;
         let requests = Opts::new("requests_total", "Requests by how they ended.");
         Ok(Self {
-            requests: add(&registry, IntCounterVec::new(requests, &["end"])?)?,
+            requests: register(&registry, IntCounterVec::new(requests, &["end"])?)?,
             tokens: counter(&registry, "tokens_total", "Tokens released to callers.")?,
             steps: counter(&registry, "steps_total", "Steps sent to engines.")?,
-            replaced: counter(
+            stages_replaced: counter(
                 &registry,
                 "stages_replaced_total",
                 "Stages replaced in mid-request.",
             )?,
-            running: gauge(&registry, "requests_running", "Requests running now.")?,
-            revision: gauge(
+            requests_running: gauge(&registry, "requests_running", "Requests running now.")?,
+            catalogue_revision: gauge(
                 &registry,
                 "catalogue_revision",
                 "Revision of the catalogue in force.",
@@ -59,18 +59,19 @@
         })
     }
 
-    /// The counters as text.
+    /// Returns the metrics in the Prometheus text format; an empty text, with an error in the log, if
+    /// they can't be encoded.
     pub fn render(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_else(|e| {
-                log::error!("metrics: Not rendered: {e}.");
+                log::error!("metrics: The metrics could not be encoded: {e}.");
                 String::new()
             })
     }
 }
 
-fn add<C: prometheus::core::Collector + Clone + 'static>(
+fn register<C: prometheus::core::Collector + Clone + 'static>(
     registry: &Registry,
     collector: C,
 ) -> prometheus::Result<C> {
@@ -79,14 +80,14 @@
 }
 
 fn counter(registry: &Registry, name: &str, help: &str) -> prometheus::Result<IntCounter> {
-    add(registry, IntCounter::new(name, help)?)
+    register(registry, IntCounter::new(name, help)?)
 }
 
 fn gauge(registry: &Registry, name: &str, help: &str) -> prometheus::Result<IntGauge> {
-    add(registry, IntGauge::new(name, help)?)
+    register(registry, IntGauge::new(name, help)?)
 }
 
 fn histogram(registry: &Registry, name: &str, help: &str) -> prometheus::Result<Histogram> {
-    let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
-    add(registry, Histogram::with_opts(opts)?)
+    let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_SECONDS.to_vec());
+    register(registry, Histogram::with_opts(opts)?)
 }
--- a/crates/telemetry/src/otlp.rs
+++ b/crates/telemetry/src/otlp.rs
@@ -1,7 +1,7 @@
-//! Spans by OTLP over HTTP.
+//! Export of spans by OTLP over HTTP.
 //!
-//! The exporter runs on a thread of its own, and the HTTP client belongs to one arbiter, so
-//! requests go over a channel.
+//! The exporter runs on its own thread, but the HTTP client can be used on one arbiter only, so
+//! requests are passed to that arbiter over a channel.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -11,10 +11,10 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// How long a collector may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout of a request to a collector.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The exporter to the collector at `addr`.
+/// Creates an exporter to the collector at `addr`.
 pub(crate) fn exporter(addr: SocketAddr) -> Result<SpanExporter, ExporterBuildError> {
     SpanExporter::builder()
         .with_http()
@@ -24,21 +24,22 @@
         .build()
 }
 
-struct Job {
+/// A request, and the channel for its response.
+struct PendingRequest {
     req: Request<Bytes>,
     tx: oneshot::Sender<Result<Response<Bytes>, HttpError>>,
 }
 
-/// An HTTP client that lives on an arbiter of its own.
+/// An HTTP client that runs on its own arbiter.
 struct ArbiterClient {
-    tx: mpsc::UnboundedSender<Job>,
+    tx: mpsc::UnboundedSender<PendingRequest>,
 }
 
 impl ArbiterClient {
     fn start() -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
         actix_rt::Arbiter::new().spawn_fn(move || {
-            actix_rt::spawn(run(rx));
+            actix_rt::spawn(handle_requests(rx));
         });
         Self { tx }
     }
@@ -55,18 +56,18 @@
     async fn send_bytes(&self, req: Request<Bytes>) -> Result<Response<Bytes>, HttpError> {
         let (tx, rx) = oneshot::channel();
         self.tx
-            .send(Job { req, tx })
+            .send(PendingRequest { req, tx })
             .map_err(|_| "the arbiter has stopped")?;
         rx.await?
     }
 }
 
-async fn run(mut rx: mpsc::UnboundedReceiver<Job>) {
-    let http = awc::Client::builder().timeout(TIMEOUT).finish();
-    while let Some(job) = rx.recv().await {
-        let result = send(&http, job.req).await;
-        // The exporter may have given up waiting.
-        let _ = job.tx.send(result);
+async fn handle_requests(mut rx: mpsc::UnboundedReceiver<PendingRequest>) {
+    let http = awc::Client::builder().timeout(REQUEST_TIMEOUT).finish();
+    while let Some(pending) = rx.recv().await {
+        let result = send(&http, pending.req).await;
+        // The receiver is dropped if the exporter has stopped waiting.
+        let _ = pending.tx.send(result);
     }
 }
 
--- a/crates/telemetry/src/spans.rs
+++ b/crates/telemetry/src/spans.rs
@@ -1,4 +1,4 @@
-//! Where spans go.
+//! Setup of the export of spans, to a file or to a collector.
 
 use std::{io, net::SocketAddr, path::Path};
 
@@ -14,37 +14,44 @@
 /// The name of the instrumentation scope.
 const SCOPE: &str = "dragonflyrill";
 
-/// Keeps spans flowing; sends what is left when dropped.
-#[must_use = "spans stop when this is dropped"]
-pub struct Guard {
+/// Keeps the export of spans running. Dropping it exports the remaining spans and ends the export.
+#[must_use = "the export of spans ends when this is dropped"]
+pub struct ExportGuard {
     provider: SdkTracerProvider,
 }
 
-impl Drop for Guard {
+impl Drop for ExportGuard {
     fn drop(&mut self) {
         if let Err(e) = self.provider.shutdown() {
-            log::warn!("spans: Not all spans were sent: {e}.");
+            log::warn!("spans: Not all spans were exported: {e}.");
         }
     }
 }
 
-/// Drops all spans, so that they don't appear among the log lines either.
-pub fn off() {
-    set_up(tracing_subscriber::registry().with(LevelFilter::OFF));
+/// Disables all spans, so that they don't appear among the log lines either.
+pub fn disable() {
+    install_subscriber(tracing_subscriber::registry().with(LevelFilter::OFF));
 }
 
-/// Appends each span to the file at `path`, one JSON object a line.
-pub fn to_file(service: &str, path: &Path) -> io::Result<Guard> {
-    Ok(install(service, FileExporter::create(path)?))
+/// Appends each span to the file at `path`, which is created if missing, as one JSON object per
+/// line.
+///
+/// # Errors
+/// The file can't be opened.
+pub fn to_file(service: &str, path: &Path) -> io::Result<ExportGuard> {
+    Ok(start_export(service, FileExporter::open(path)?))
 }
 
 /// Sends spans to the collector at `addr`, by OTLP over HTTP.
-pub fn to_collector(service: &str, addr: SocketAddr) -> io::Result<Guard> {
+///
+/// # Errors
+/// The exporter can't be created.
+pub fn to_collector(service: &str, addr: SocketAddr) -> io::Result<ExportGuard> {
     let exporter = otlp::exporter(addr).map_err(io::Error::other)?;
-    Ok(install(service, exporter))
+    Ok(start_export(service, exporter))
 }
 
-fn install(service: &str, exporter: impl SpanExporter + 'static) -> Guard {
+fn start_export(service: &str, exporter: impl SpanExporter + 'static) -> ExportGuard {
     let resource = Resource::builder()
         .with_service_name(service.to_owned())
         .build();
@@ -53,16 +60,16 @@
         .with_resource(resource)
         .build();
     let layer = tracing_opentelemetry::layer().with_tracer(provider.tracer(SCOPE));
-    set_up(
+    install_subscriber(
         tracing_subscriber::registry()
             .with(LevelFilter::INFO)
             .with(layer),
     );
-    Guard { provider }
+    ExportGuard { provider }
 }
 
-fn set_up(subscriber: impl SubscriberInitExt) {
+fn install_subscriber(subscriber: impl SubscriberInitExt) {
     if let Err(e) = subscriber.try_init() {
-        log::warn!("spans: Not set up: {e}.");
+        log::warn!("spans: The subscriber was not installed: {e}.");
     }
 }
