--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -54,7 +54,7 @@
 }
 
 /// The sections and keys that may appear.
-const KNOWN: dragonflyrill_settings::Known = &[
+const KNOWN: dragonflyrill_settings::KnownKeys = &[
     ("host", &["id", "data_centre"]),
     ("listen", &["callers", "peers", "seeds"]),
     (
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -68,7 +68,7 @@
 
 /// The keys, by section; each must be there but for `link_mbps`, `peers_announced`, `endpoint_heartbeat_ms`,
 /// `hold_s` and those of `logs`.
-const KNOWN: settings::Known = &[
+const KNOWN: settings::KnownKeys = &[
     ("host", &["name", "address", "data_centre", "link_mbps"]),
     (
         "listen",
@@ -126,14 +126,14 @@
         let usual = peers.map_or("0.0.0.0:0".to_owned(), |peers| peers.to_string());
         let announced = p.optional("listen", "peers_announced", &usual, settings::address);
         let store = p.required("store", "address", settings::address);
-        let key_revocation = p.required("bounds", "key_revocation_ms", settings::fine_millis);
-        let config_apply = p.required("bounds", "config_apply_ms", settings::fine_millis);
-        let endpoint_drain = p.required("bounds", "endpoint_drain_ms", settings::fine_millis);
+        let key_revocation = p.required("bounds", "key_revocation_ms", settings::fractional_millis);
+        let config_apply = p.required("bounds", "config_apply_ms", settings::fractional_millis);
+        let endpoint_drain = p.required("bounds", "endpoint_drain_ms", settings::fractional_millis);
         let heartbeat = p.optional(
             "bounds",
             "endpoint_heartbeat_ms",
             ENDPOINT_HEARTBEAT_MS,
-            settings::fine_millis,
+            settings::fractional_millis,
         );
         let grace = p.required("bounds", "grace_s", settings::seconds);
         let ratio = p.required("retries", "ratio", settings::decimal);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,20 +1,21 @@
-//! Settings files: INI, parsed once into checked types, with every error naming its place.
+//! Settings files in the INI format, which are parsed once into checked types. Each error names the
+//! file, the section and the key.
 //!
-//! A program lists the sections and keys that may appear and takes values one by one from a
-//! [`Parser`]; what is wrong is collected, so that all errors of a file are told at once.
+//! A program lists the sections and keys that may appear, and reads the values one by one from a
+//! [`Parser`]. The parser collects the errors, so that all errors of a file are reported together.
 
 use std::{fmt, net::SocketAddr, path::Path, time::Duration};
 
-/// A setting that can't be used; names the place and what would be right.
+/// An error in a settings file, with its place and the valid values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingError {
-    /// The file.
+    /// The path of the file.
     pub file: String,
-    /// The section.
+    /// The section; empty if the error concerns the whole file.
     pub section: String,
-    /// The key; empty if the section itself is wrong.
+    /// The key; empty if the error concerns the section or the whole file.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and which values are valid.
     pub problem: String,
 }
 
@@ -28,17 +29,20 @@
     }
 }
 
-/// The sections that may appear and the keys of each.
-pub type Known = &'static [(&'static str, &'static [&'static str])];
+/// The sections that may appear, each with its keys.
+pub type KnownKeys = &'static [(&'static str, &'static [&'static str])];
 
-/// Reads a file; one that can't be read is an error like any other.
+/// Reads a file into a text.
+///
+/// # Errors
+/// One [`SettingError`] if the file can't be read.
 pub fn read(path: &Path) -> Result<String, Vec<SettingError>> {
     std::fs::read_to_string(path)
-        .map_err(|e| whole(&path.display().to_string(), format!("can't be read: {e}")))
+        .map_err(|e| file_error(&path.display().to_string(), format!("can't be read: {e}")))
 }
 
-/// An error that concerns the file as a whole.
-fn whole(file: &str, problem: String) -> Vec<SettingError> {
+/// Returns an error that concerns the whole file.
+fn file_error(file: &str, problem: String) -> Vec<SettingError> {
     vec![SettingError {
         file: file.to_owned(),
         section: String::new(),
@@ -47,7 +51,7 @@
     }]
 }
 
-/// Reads values out of one file and collects what is wrong with them.
+/// Reads the values of one file and collects the errors.
 pub struct Parser<'a> {
     file: &'a str,
     ini: ini::Ini,
@@ -56,9 +60,12 @@
 
 impl<'a> Parser<'a> {
     /// Parses the text of a file.
+    ///
+    /// # Errors
+    /// One [`SettingError`] with the line if the text is not INI.
     pub fn new(file: &'a str, text: &str) -> Result<Self, Vec<SettingError>> {
         let ini = ini::Ini::load_from_str(text)
-            .map_err(|e| whole(file, format!("line {}: {}", e.line + 1, e.msg)))?;
+            .map_err(|e| file_error(file, format!("line {}: {}", e.line + 1, e.msg)))?;
         Ok(Self {
             file,
             ini,
@@ -66,7 +73,7 @@
         })
     }
 
-    fn error(&mut self, section: &str, key: &str, problem: String) {
+    fn push_error(&mut self, section: &str, key: &str, problem: String) {
         let (file, section, key) = (self.file.to_owned(), section.to_owned(), key.to_owned());
         self.errors.push(SettingError {
             file,
@@ -76,15 +83,15 @@
         });
     }
 
-    /// Notes an error for each section or key that is not known.
-    pub fn refuse_unknown(&mut self, known: Known) {
+    /// Adds an error for each section or key that is not in `known`.
+    pub fn refuse_unknown(&mut self, known: KnownKeys) {
         let mut unknown = Vec::new();
         for (section, properties) in &self.ini {
             let name = section.unwrap_or_default();
-            let section_known = known.iter().find(|(s, _)| *s == name);
-            let Some((_, keys)) = section_known else {
+            let found = known.iter().find(|(s, _)| *s == name);
+            let Some((_, keys)) = found else {
                 if section.is_some() || !properties.is_empty() {
-                    unknown.push((name.to_owned(), String::new(), sections(known)));
+                    unknown.push((name.to_owned(), String::new(), section_names(known)));
                 }
                 continue;
             };
@@ -94,12 +101,13 @@
                 }
             }
         }
-        for (section, key, right) in unknown {
-            self.error(&section, &key, format!("is not known; known are: {right}"));
+        for (section, key, valid) in unknown {
+            self.push_error(&section, &key, format!("is not known; known are: {valid}"));
         }
     }
 
-    /// The value of a key that must be there; `check` gives it, or says what would be right.
+    /// Reads the value of a required key. `check` parses the value, or returns which values are valid.
+    /// Returns `None` and adds an error if the key is missing or its value is invalid.
     pub fn required<T>(
         &mut self,
         section: &str,
@@ -107,13 +115,14 @@
         check: impl Fn(&str) -> Result<T, String>,
     ) -> Option<T> {
         let Some(value) = self.ini.get_from(Some(section), key).map(str::to_owned) else {
-            self.error(section, key, "is missing".into());
+            self.push_error(section, key, "is missing".into());
             return None;
         };
         self.check(section, key, &value, check)
     }
 
-    /// The value of a key, or that of `default` if it is left out.
+    /// Reads the value of a key, or parses `default` if the key is missing. Returns `None` and adds an
+    /// error if the value is invalid.
     pub fn optional<T>(
         &mut self,
         section: &str,
@@ -129,7 +138,8 @@
         self.check(section, key, &value, check)
     }
 
-    /// The settings, unless anything was wrong. A value that is missing has left its error behind.
+    /// Returns `settings`, or all errors if there are any. `settings` is `None` only if a value has added
+    /// an error.
     pub fn finish<T>(self, settings: Option<T>) -> Result<T, Vec<SettingError>> {
         match settings {
             Some(settings) if self.errors.is_empty() => Ok(settings),
@@ -146,41 +156,41 @@
     ) -> Option<T> {
         match check(value) {
             Ok(checked) => Some(checked),
-            Err(right) => {
-                self.error(section, key, format!("{value:?} can't be used: {right}"));
+            Err(valid) => {
+                self.push_error(section, key, format!("{value:?} can't be used: {valid}"));
                 None
             }
         }
     }
 }
 
-/// An IP number and a port.
+/// Parses an IP address and a port.
 pub fn address(value: &str) -> Result<SocketAddr, String> {
-    let right = "an IP number and a port are needed, such as 10.0.0.7:8080";
-    value.parse().map_err(|_| right.to_owned())
+    let valid = "an IP number and a port are needed, such as 10.0.0.7:8080";
+    value.parse().map_err(|_| valid.to_owned())
 }
 
-/// Addresses, comma-separated.
+/// Parses addresses with ports, separated by commas.
 pub fn addresses(value: &str) -> Result<Vec<SocketAddr>, String> {
-    let parts = value.split(',').map(str::trim);
-    parts.filter(|p| !p.is_empty()).map(address).collect()
+    let addresses = value.split(',').map(str::trim);
+    addresses.filter(|a| !a.is_empty()).map(address).collect()
 }
 
-/// A whole number within bounds.
+/// Parses an integer from `min` to `max`.
 pub fn number(value: &str, min: u64, max: u64) -> Result<u64, String> {
-    let right = format!("a whole number from {min} to {max} is needed");
+    let valid = format!("a whole number from {min} to {max} is needed");
     match value.parse::<u64>() {
         Ok(n) if (min..=max).contains(&n) => Ok(n),
-        _ => Err(right),
+        _ => Err(valid),
     }
 }
 
-/// A whole number of milliseconds within bounds.
+/// Parses an integer number of milliseconds from `min` to `max`.
 pub fn millis(value: &str, min: u64, max: u64) -> Result<Duration, String> {
     number(value, min, max).map(Duration::from_millis)
 }
 
-/// A number that may have a fraction, not below zero.
+/// Parses a number that is at least 0 and may have a fraction.
 pub fn decimal(value: &str) -> Result<f64, String> {
     match value.trim().parse::<f64>() {
         Ok(n) if n.is_finite() && n >= 0.0 => Ok(n),
@@ -188,17 +198,17 @@
     }
 }
 
-/// A number of seconds that may have a fraction.
+/// Parses a number of seconds that may have a fraction.
 pub fn seconds(value: &str) -> Result<Duration, String> {
     decimal(value).map(Duration::from_secs_f64)
 }
 
-/// A number of milliseconds that may have a fraction.
-pub fn fine_millis(value: &str) -> Result<Duration, String> {
+/// Parses a number of milliseconds that may have a fraction.
+pub fn fractional_millis(value: &str) -> Result<Duration, String> {
     decimal(value).map(|ms| Duration::from_secs_f64(ms / 1000.0))
 }
 
-/// A text that is not empty.
+/// Trims a text and checks that it is not empty.
 pub fn text(value: &str) -> Result<String, String> {
     match value.trim() {
         "" => Err("a text is needed".to_owned()),
@@ -206,7 +216,7 @@
     }
 }
 
-fn sections(known: Known) -> String {
+fn section_names(known: KnownKeys) -> String {
     let names: Vec<_> = known.iter().map(|(s, _)| *s).collect();
     names.join(", ")
 }
