--- a/crates/engines/src/client.rs
+++ b/crates/engines/src/client.rs
@@ -7,32 +7,34 @@
 
 use crate::{body, wire};
 
-/// The longest result line accepted from an engine, in bytes.
-const MAX_LINE: usize = 16 << 20;
+/// The longest line or body that is accepted from an engine, in bytes.
+const MAX_LINE_BYTES: usize = 16 << 20;
 
-/// Why a call to an endpoint did not end well.
+/// Why a call to an endpoint failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection was made: the endpoint has not seen the call.
+    /// No connection was established, so the endpoint has not received the call.
     #[error("no connection: {0}")]
     NotSent(String),
-    /// The connection broke or timed out after the call was sent: it may have run.
+    /// The connection broke or the call timed out after it was sent, so it may have run.
     #[error("answer lost: {0}")]
     Lost(String),
-    /// The endpoint answered with an unexpected status.
+    /// The endpoint answered with an unexpected HTTP status.
     #[error("status {0}")]
     Status(u16),
-    /// The answer could not be understood.
+    /// The answer could not be parsed.
     #[error("bad answer: {0}")]
     Malformed(String),
 }
 
 impl CallError {
-    /// Maps an error of the HTTP client, telling calls that were never sent from those that were.
+    /// Converts an error of the HTTP client: to [`Self::NotSent`] if the call was certainly not sent,
+    /// else to [`Self::Lost`].
     pub fn from_send(e: &awc::error::SendRequestError) -> Self {
         use awc::error::{ConnectError, SendRequestError};
         match e {
-            // In spite of its name: the connection was closed after the request went out.
+            // In spite of its name, this error means that the connection was closed after the request
+            // was sent.
             SendRequestError::Connect(ConnectError::Disconnected) => Self::Lost(e.to_string()),
             SendRequestError::Connect(e) => Self::NotSent(e.to_string()),
             e => Self::Lost(e.to_string()),
@@ -40,7 +42,7 @@
     }
 }
 
-/// Calls one engine over kept-alive connections.
+/// Calls one engine over persistent connections.
 #[derive(Clone)]
 pub struct EngineClient {
     http: awc::Client,
@@ -48,12 +50,13 @@
 }
 
 impl EngineClient {
-    /// A client of the engine at `addr` that shares the connections of `http`.
+    /// Creates a client of the engine at `addr` that shares the connections of `http`.
     pub fn new(http: awc::Client, addr: SocketAddr) -> Self {
         Self { http, addr }
     }
 
-    /// Runs `steps`, handing each result to `on_result` as it arrives. Returns after the last.
+    /// Runs `steps` and passes each result to `on_result` as it arrives. Returns after the end of the
+    /// response; a step may then still have no result.
     pub async fn steps(
         &self,
         steps: &[wire::TracedStep],
@@ -74,22 +77,22 @@
         while let Some(chunk) = rsp.next().await {
             let chunk = chunk.map_err(|e| CallError::Lost(e.to_string()))?;
             buf.extend_from_slice(&chunk);
-            while let Some(line) = take_line(&mut buf) {
+            while let Some(line) = split_line(&mut buf) {
                 on_result(decode(&line)?);
             }
-            if buf.len() > MAX_LINE {
+            if buf.len() > MAX_LINE_BYTES {
                 return Err(CallError::Malformed("a line is too long".into()));
             }
         }
         Ok(())
     }
 
-    /// Frees what the engine holds for a request.
+    /// Frees the slot and the KV cache of a request on the engine.
     pub async fn cancel(&self, cancel: &wire::Cancel, timeout: Duration) -> Result<(), CallError> {
         self.post("/v1/cancel", cancel, timeout).await.map(drop)
     }
 
-    /// Exports the KV cache of `request`; `None` if the engine holds none.
+    /// Exports the KV cache of `request`. Returns `None` if the engine holds none.
     pub async fn export_kv(
         &self,
         request: &str,
@@ -104,12 +107,12 @@
             .map_err(|e| CallError::from_send(&e))?;
         match rsp.status().as_u16() {
             404 => Ok(None),
-            200 => decode(&body::read(&mut rsp, MAX_LINE).await?).map(Some),
+            200 => decode(&body::read(&mut rsp, MAX_LINE_BYTES).await?).map(Some),
             status => Err(CallError::Status(status)),
         }
     }
 
-    /// Imports a KV cache exported elsewhere.
+    /// Imports a KV cache that another engine exported.
     pub async fn import_kv(
         &self,
         checkpoint: &wire::KvCheckpoint,
@@ -118,12 +121,12 @@
         self.post("/v1/kv", checkpoint, timeout).await.map(drop)
     }
 
-    /// The engine's last report of its load.
+    /// Reads the engine's last report of its load.
     pub async fn load(&self, timeout: Duration) -> Result<wire::LoadReport, CallError> {
         self.get("/v1/load", timeout).await
     }
 
-    /// Changes of the engine's prefix cache after event `after`.
+    /// Reads the changes of the engine's prefix cache after the event number `after`.
     pub async fn cache_events(
         &self,
         after: u64,
@@ -133,12 +136,13 @@
             .await
     }
 
-    /// What the engine is.
+    /// Reads the state of the engine.
     pub async fn state(&self, timeout: Duration) -> Result<wire::EngineState, CallError> {
         self.get("/v1/state", timeout).await
     }
 
-    /// Gives an order. `Status(409)` means that the fencing number is old.
+    /// Sends an order and returns the state of the engine. The error `Status(409)` means that the
+    /// fencing number is old.
     pub async fn order(
         &self,
         order: &wire::Order,
@@ -187,25 +191,26 @@
     if !rsp.status().is_success() {
         return Err(CallError::Status(rsp.status().as_u16()));
     }
-    body::read(&mut rsp, MAX_LINE).await
+    body::read(&mut rsp, MAX_LINE_BYTES).await
 }
 
 fn encode_lines(steps: &[wire::TracedStep]) -> Vec<u8> {
     let mut buf = Vec::with_capacity(steps.len() * 256);
     for step in steps {
-        // Serializing plain integers and strings into memory cannot fail.
+        // Writing integers and strings to memory as JSON can't fail.
         match step.traceparent {
             Some(_) => serde_json::to_writer(&mut buf, step),
-            // Flattening costs time that a step without a trace need not spend.
+            // `TracedStep` is flattened, which costs time; a step without a trace doesn't need it.
             None => serde_json::to_writer(&mut buf, &step.step),
         }
-        .expect("a step is plain data");
+        .expect("a step can be written as JSON");
         buf.push(b'\n');
     }
     buf
 }
 
-fn take_line(buf: &mut BytesMut) -> Option<Bytes> {
+/// Removes the first complete line from `buf` and returns it without its newline.
+fn split_line(buf: &mut BytesMut) -> Option<Bytes> {
     let end = buf.iter().position(|b| *b == b'\n')?;
     let line = buf.split_to(end + 1).freeze();
     Some(line.slice(..end))
--- a/crates/engines/src/lib.rs
+++ b/crates/engines/src/lib.rs
@@ -1,8 +1,9 @@
-//! Adapters to endpoints: model engines that hold a range of layers, and plain services.
+//! Client side of endpoints: model engines that hold a range of layers, and plain services.
 //!
-//! No published protocol moves single layer ranges, so the engine interface in [`wire`] is a small
-//! JSON-over-HTTP one: newline-delimited steps in, newline-delimited results out. [`client`] calls
-//! it, [`body`] reads answers whole or not at all; [`token`] turns text into token ids and back.
+//! No published protocol runs single layer ranges, so [`wire`] defines a small engine interface with
+//! JSON over HTTP: the request has one step per line, the response one result per line. [`client`]
+//! calls this interface. [`body`] reads complete response bodies. [`token`] converts text to token ids
+//! and back.
 
 pub mod body;
 pub mod client;
--- a/crates/engines/src/token.rs
+++ b/crates/engines/src/token.rs
@@ -1,14 +1,14 @@
-//! Text to token ids and back.
+//! Converts text to token ids and back.
 //!
-//! The router only counts tokens and passes ids on; what an id means is the engines' matter. This
-//! byte-level vocabulary is the one the engines at hand use.
+//! The router only counts tokens and forwards their ids; the engines define what an id means. The
+//! vocabulary here is the byte-level one that the present engines use.
 
-/// The token ids of `text`: one for each UTF-8 byte.
+/// Returns the token ids of `text`: one for each UTF-8 byte.
 pub fn tokenize(text: &str) -> Vec<u64> {
     text.bytes().map(u64::from).collect()
 }
 
-/// The text of a generated token.
+/// Returns the text of a generated token: a space and the id in hexadecimal.
 pub fn detokenize(token: u64) -> String {
     format!(" {token:x}")
 }
--- a/crates/engines/src/wire.rs
+++ b/crates/engines/src/wire.rs
@@ -1,14 +1,14 @@
-//! The engine interface, as it stands on the wire.
+//! The wire format of the engine interface.
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `POST /v1/steps` | one [`Step`] or [`TracedStep`] per line | one [`StepResult`] per line, in the order they finish |
+//! | `POST /v1/steps` | one [`Step`] or [`TracedStep`] per line | one [`StepResult`] per line, in the order in which the steps end |
 //! | `POST /v1/cancel` | [`Cancel`] | 204; the slot and the KV cache of the request are freed |
-//! | `GET /v1/load` | | [`LoadReport`], possibly stale by the engine's lag |
+//! | `GET /v1/load` | | [`LoadReport`], delayed by the engine's lag |
 //! | `GET /v1/cache-events?after=SEQ` | | [`CacheEvents`] |
-//! | `GET /v1/kv/REQUEST` | | [`KvCheckpoint`], 404 if none |
+//! | `GET /v1/kv/REQUEST` | | [`KvCheckpoint`]; 404 if the engine holds none |
 //! | `POST /v1/kv` | [`KvCheckpoint`] | 204 |
-//! | `POST /v1/orders` | [`Order`] | [`EngineState`], 409 if the engine checks fences and it is old |
+//! | `POST /v1/orders` | [`Order`] | [`EngineState`]; 409 if the engine checks fencing numbers and that of the order is old |
 //! | `GET /v1/state` | | [`EngineState`] |
 
 use std::{fmt, ops::Range};
@@ -25,7 +25,7 @@
 }
 
 impl Layers {
-    /// The range as the standard library writes it.
+    /// Converts to the range type of the standard library.
     pub fn range(self) -> Range<u32> {
         self.first..self.end
     }
@@ -39,17 +39,18 @@
 
 /// One unit of work: run `layers` over the positions `start..start + inputs.len()`.
 ///
-/// A step is identified by (request, attempt, start). The engine runs it at most once: asked again,
-/// it answers from what it did. A step of an older attempt than one seen is refused.
+/// A step is identified by (request, attempt, start). The engine runs it at most once, and answers a
+/// retry with the stored result. It refuses a step of an attempt older than the newest that it has
+/// received for the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// The request, unique over all workspaces.
     pub request: String,
-    /// Grows each time the chain of the request changes.
+    /// The number of the attempt; it increases each time the chain of the request changes.
     pub attempt: u32,
     /// The model.
     pub model: String,
-    /// The layers to run. The engine must hold exactly or more than these.
+    /// The layers to run. The engine must hold all of them; it may hold more.
     pub layers: Layers,
     /// The position in the sequence of the first input.
     pub start: u32,
@@ -58,14 +59,14 @@
     /// Hashes of the prompt's prefix blocks, for the prefix cache; empty for generated tokens.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub prefix: Vec<u64>,
-    /// 0 is served first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Time left until the caller's deadline, in milliseconds.
+    /// The time left until the caller's deadline, in milliseconds.
     pub deadline_ms: u32,
 }
 
-/// A step with the trace it belongs to. On the wire the trace is one more field of the step, so
-/// that steps of many traces can travel in one call.
+/// A step with its trace context. On the wire the trace context is one more field of the step, so
+/// that one call can carry steps of several traces.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TracedStep {
     /// The step.
@@ -76,14 +77,14 @@
     pub traceparent: Option<String>,
 }
 
-/// Proof of what an engine ran.
+/// The endpoint, incarnation and layers that ran a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
     /// The endpoint that ran the step.
     pub endpoint: String,
-    /// Which life of the endpoint it was; a restart makes a new one.
+    /// The incarnation of the endpoint; each restart has a new one.
     pub incarnation: u64,
-    /// The layers it ran.
+    /// The layers that it ran.
     pub layers: Layers,
 }
 
@@ -91,15 +92,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepRefusal {
-    /// The engine's KV cache of this request ends elsewhere than at `start`.
+    /// The engine's KV cache of this request doesn't end at `start`.
     Position,
-    /// A newer attempt of this request is known.
+    /// The engine knows a newer attempt of this request.
     StaleAttempt,
     /// The engine does not hold the layers or the model.
     Layers,
-    /// The engine has no slot free, or is leaving.
+    /// The engine has no free slot, or is draining.
     Busy,
-    /// The engine takes no new requests.
+    /// The engine is draining and accepts no new requests.
     Leaving,
     /// The step's deadline has passed.
     Deadline,
@@ -113,18 +114,18 @@
 pub enum StepOutcome {
     /// The step ran.
     Done {
-        /// What ran it.
+        /// The endpoint, incarnation and layers that ran it.
         receipt: Receipt,
         /// One output for each position: activations, or token ids from the last layer.
         outputs: Vec<u64>,
-        /// Positions answered from the prefix cache.
+        /// The number of positions that were answered from the prefix cache.
         cached: u32,
     },
     /// The step did not run.
     Refused {
-        /// Why.
+        /// Why the step did not run.
         reason: StepRefusal,
-        /// The position the engine's KV cache of this request ends at.
+        /// The position at which the engine's KV cache of this request ends.
         expected: u32,
     },
 }
@@ -138,76 +139,76 @@
     pub attempt: u32,
     /// The step's first position.
     pub start: u32,
-    /// How it ended.
+    /// How the step ended.
     pub outcome: StepOutcome,
 }
 
-/// Frees what an engine holds for a request.
+/// A call that frees the slot and the KV cache of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancel {
     /// The request.
     pub request: String,
-    /// Attempts up to this one are refused from now on.
+    /// From now on the engine refuses attempts up to this one.
     pub attempt: u32,
 }
 
-/// An engine's report of its own load. It may lag.
+/// An engine's report of its own load. It may be delayed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The endpoint.
     pub endpoint: String,
-    /// Which life of the endpoint reports.
+    /// The incarnation of the endpoint that reports.
     pub incarnation: u64,
-    /// Steps being run.
+    /// The number of steps that are running.
     pub running: u32,
-    /// Steps waiting.
+    /// The number of steps that are waiting.
     pub waiting: u32,
-    /// Requests whose KV cache is held.
+    /// The number of requests whose KV cache the engine holds.
     pub sessions: u32,
-    /// The most requests whose KV cache can be held.
+    /// The maximum number of requests whose KV cache the engine can hold.
     pub max_sessions: u32,
-    /// Age of the figures in milliseconds.
+    /// The age of the numbers, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Changes of an engine's prefix cache, late and with gaps.
+/// Changes of an engine's prefix cache. They may be delayed, and events may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The number to ask after next time.
+    /// The event number to pass as `after` in the next call.
     pub last: u64,
-    /// The events, oldest first. Numbers may be missing.
+    /// The events, oldest first. Event numbers may be missing.
     pub events: Vec<CacheEvent>,
 }
 
 /// One change of an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; gaps mean lost events.
+    /// The number of the event; a gap in the numbers means that events were lost.
     pub seq: u64,
     /// The hash of the prefix block.
     pub block: u64,
-    /// Whether the block was stored; else it was evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// The KV cache of one request over some layers, as exported by an engine.
+/// The KV cache of one request over a range of layers, as an engine exports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvCheckpoint {
     /// The request.
     pub request: String,
-    /// The attempt that made it.
+    /// The attempt that created the KV cache.
     pub attempt: u32,
     /// The model.
     pub model: String,
-    /// The layers it covers.
+    /// The layers that the KV cache covers.
     pub layers: Layers,
-    /// The position it ends at.
+    /// The position at which the KV cache ends.
     pub position: u32,
     /// One state for each layer.
     pub state: Vec<u64>,
 }
 
-/// What an engine is told to be.
+/// An order to an engine: the model, version and layers that it must hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The lease holder's fencing number.
@@ -220,23 +221,23 @@
     pub layers: Layers,
 }
 
-/// What an engine is.
+/// The state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// The endpoint.
     pub endpoint: String,
-    /// Which life of the endpoint this is.
+    /// The incarnation of the endpoint.
     pub incarnation: u64,
-    /// The highest fencing number seen.
+    /// The highest fencing number that the engine has received.
     pub fence: u64,
-    /// The model held.
+    /// The model that the engine holds.
     pub model: String,
     /// The version of the weights.
     pub version: String,
-    /// The layers held.
+    /// The layers that the engine holds.
     pub layers: Layers,
     /// Whether the weights are still being loaded.
     pub loading: bool,
-    /// Whether the engine takes no new requests.
+    /// Whether the engine is draining and accepts no new requests.
     pub leaving: bool,
 }
--- a/crates/engines/tests/lost_answers.rs
+++ b/crates/engines/tests/lost_answers.rs
@@ -1,4 +1,6 @@
-//! What a call may have done is told truthfully, whatever the connection does.
+//! A failed call is reported as not sent only if it can't have run. The tests guard against a lost
+//! answer that is reported as a call that was not sent, which a caller would retry, and against a
+//! body that was cut short but counts as complete.
 
 use std::time::Duration;
 
@@ -8,10 +10,11 @@
     net::TcpListener,
 };
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Accepts one call, reads some of it, writes `answer` and closes.
-async fn endpoint(answer: &'static [u8]) -> EngineClient {
+/// Starts an endpoint that accepts one call, reads the first bytes of it, writes `answer` and closes
+/// the connection. Returns a client of it.
+async fn client_of_endpoint(answer: &'static [u8]) -> EngineClient {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     actix_rt::spawn(async move {
@@ -25,25 +28,25 @@
 }
 
 #[actix_rt::test]
-async fn connection_closed_after_the_request_may_have_run() {
-    let engine = endpoint(b"").await;
-    let result = engine.steps(&[], LIMIT, drop).await;
+async fn connection_closed_after_the_request_is_a_lost_answer() {
+    let engine = client_of_endpoint(b"").await;
+    let result = engine.steps(&[], TIMEOUT, drop).await;
     assert!(matches!(result, Err(CallError::Lost(_))), "{result:?}");
 }
 
 #[actix_rt::test]
-async fn refused_connection_has_not_run() {
+async fn refused_connection_is_a_call_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     drop(listener);
     let engine = EngineClient::new(awc::Client::default(), addr);
-    let result = engine.steps(&[], LIMIT, drop).await;
+    let result = engine.steps(&[], TIMEOUT, drop).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
 }
 
 #[actix_rt::test]
-async fn body_cut_short_is_not_taken_for_a_whole_one() {
-    let engine = endpoint(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{}").await;
-    let result = engine.load(LIMIT).await;
+async fn body_cut_short_is_a_lost_answer() {
+    let engine = client_of_endpoint(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{}").await;
+    let result = engine.load(TIMEOUT).await;
     assert!(matches!(result, Err(CallError::Lost(_))), "{result:?}");
 }
