--- a/crates/engines/src/wire.rs
+++ b/crates/engines/src/wire.rs
@@ -77,7 +77,7 @@
     pub traceparent: Option<String>,
 }
 
-/// The endpoint, incarnation and layers that ran a step.
+/// Evidence of which endpoint, incarnation and layers ran a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
     /// The endpoint that ran the step.
--- a/crates/entry/src/control/actor.rs
+++ b/crates/entry/src/control/actor.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Handles events until all senders of the channel are dropped, when the host stops.
+    /// Handles events until the host stops.
     pub async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Event>) {
         loop {
             let due = self.members.next_tick().min(self.spread.next_tick());
@@ -192,7 +192,7 @@
     }
 
     fn send_update(&self, update: ControlUpdate) {
-        // The channel is closed when the host is stopping; then the task ends by itself.
+        // The channel is closed only when the host is stopping, which also ends this task.
         let _ = self.updates.send(update);
     }
 
--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/hosts.rs
@@ -66,7 +66,7 @@
                     let _ = tx.send(Event::ListingRead(listing));
                 }
                 Err(e) => {
-                    log::warn!("hosts: The host list was not read: {e}.");
+                    log::warn!("hosts: The lists of hosts and endpoints were not refreshed: {e}.");
                     let _ = tx.send(Event::ListingFailed);
                 }
             }
--- a/crates/entry/src/control/orders/calls.rs
+++ b/crates/entry/src/control/orders/calls.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// Cancels a call after `timeout`, also while its body is read, which closes the connection.
+/// Cancels a call after `timeout`, also while its body is being read. The cancellation closes the
+/// connection.
 async fn with_timeout<T>(
     timeout: Duration,
     call: impl Future<Output = Result<T, CallError>>,
