--- a/crates/entry/src/caller/attach.rs
+++ b/crates/entry/src/caller/attach.rs
@@ -35,7 +35,7 @@
         OpenResult::New(slot) => (slot.clone(), Some(slot)),
         OpenResult::KeyReused => return Err(answer::key_reused()),
     };
-    host.metrics.running.set(requests.running() as i64);
+    host.metrics.requests_running.set(requests.running() as i64);
     Ok(Attachment {
         reader: Reader::attach(slot),
         new_slot,
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -147,21 +147,21 @@
     }
 
     /// Applies an update from the control arbiter.
-    pub fn apply_update(self: &Rc<Self>, update: control::News) {
+    pub fn apply_update(self: &Rc<Self>, update: control::ControlUpdate) {
         match update {
-            control::News::Catalogue(catalogue) => self.install_catalogue(catalogue),
-            control::News::Endpoints(endpoints) => self.replace_endpoints(endpoints),
-            control::News::Leaving { endpoint, leaving } => {
-                self.set_endpoint_draining(endpoint, leaving)
+            control::ControlUpdate::Catalogue(catalogue) => self.install_catalogue(catalogue),
+            control::ControlUpdate::Endpoints(endpoints) => self.replace_endpoints(endpoints),
+            control::ControlUpdate::Draining { endpoint, draining } => {
+                self.set_endpoint_draining(endpoint, draining)
             }
-            control::News::Loads(reports) => self.apply_load_reports(&reports),
-            control::News::CacheEvents(endpoint, events) => {
+            control::ControlUpdate::Loads(reports) => self.apply_load_reports(&reports),
+            control::ControlUpdate::CacheEvents(endpoint, events) => {
                 let mut router = self.router.borrow_mut();
                 router.apply_cache_events(self.now(), &endpoint, &events);
             }
-            control::News::Peers(peers) => self.replace_peers(peers),
-            control::News::Asked(inbound) => self.answer_peer_call(inbound),
-            control::News::Rights(from, message) => self.admission.receive(&from, message),
+            control::ControlUpdate::Peers(peers) => self.replace_peers(peers),
+            control::ControlUpdate::PeerRequest(inbound) => self.answer_peer_call(inbound),
+            control::ControlUpdate::Rights(from, message) => self.admission.receive(&from, message),
         }
     }
 
@@ -175,7 +175,9 @@
             "catalogue: Revision {} is in force.",
             catalogue.revision().0
         );
-        self.metrics.revision.set(catalogue.revision().0 as i64);
+        self.metrics
+            .catalogue_revision
+            .set(catalogue.revision().0 as i64);
         self.catalogue.replace(Rc::new(catalogue));
         self.in_force_since.set(self.now());
     }
@@ -282,7 +284,7 @@
             ttl_ms: engines::SIGN_TTL.as_millis() as u32,
         };
         // The channel is closed only after the control arbiter has stopped.
-        let _ = self.control.send(actor::Event::Seen(sign));
+        let _ = self.control.send(actor::Event::SignObserved(sign));
     }
 
     /// The model `name`, if the catalogue declares it.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -29,7 +29,7 @@
         let addrs = (callers.local_addr()?, peers.local_addr()?);
         let (control_tx, control_rx) = mpsc::unbounded_channel();
         let host = Host::new(settings.clone(), Clock::start(), control_tx.clone());
-        let start = control::Start {
+        let start = control::StartConfig {
             me: control::Identity {
                 host: host.me.clone(),
                 data_centre: settings.data_centre.clone(),
@@ -40,9 +40,9 @@
             listener: peers,
             platform: settings.platform,
             seeds: settings.seeds.clone(),
-            poll: settings.poll_interval,
-            poll_hosts: settings.poll_hosts_interval,
-            compare: settings.compare_timeout,
+            poll_interval: settings.poll_interval,
+            host_list_interval: settings.poll_hosts_interval,
+            startup_wait: settings.compare_timeout,
         };
         let (tx, rx) = mpsc::unbounded_channel();
         let control = actix_rt::Arbiter::new();
@@ -91,7 +91,7 @@
     io::Error::new(e.kind(), format!("can't listen on {addr}: {e}"))
 }
 
-async fn apply_updates(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::News>) {
+async fn apply_updates(host: Rc<Host>, mut rx: mpsc::UnboundedReceiver<control::ControlUpdate>) {
     while let Some(update) = rx.recv().await {
         host.apply_update(update);
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -68,7 +68,7 @@
     host.draining.set(true);
     host.admission.hand_over();
     // The channel is closed only after the control arbiter has stopped.
-    let _ = host.control.send(control::actor::Event::Leave);
+    let _ = host.control.send(control::actor::Event::ShutDown);
     let running = host.requests.borrow().running();
     log::info!("drain: New requests are refused; {running} are running.");
     let until = host.now() + host.settings.drain_limit;
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -55,7 +55,7 @@
 }
 
 /// The sections of the file and the keys of each.
-const KNOWN: dragonflyrill_settings::Known = &[
+const KNOWN: dragonflyrill_settings::KnownKeys = &[
     ("host", &["id", "data_centre"]),
     ("listen", &["callers", "peers", "seeds"]),
     (
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -68,7 +68,7 @@
 
 /// The known keys, by section. All are required except `link_mbps`, `peers_announced`, `endpoint_heartbeat_ms`,
 /// `hold_s` and those of `logs`.
-const KNOWN_KEYS: settings::Known = &[
+const KNOWN_KEYS: settings::KnownKeys = &[
     ("host", &["name", "address", "data_centre", "link_mbps"]),
     (
         "listen",
@@ -131,14 +131,14 @@
             settings::address,
         );
         let store = p.required("store", "address", settings::address);
-        let key_revocation = p.required("bounds", "key_revocation_ms", settings::fine_millis);
-        let config_apply = p.required("bounds", "config_apply_ms", settings::fine_millis);
-        let endpoint_drain = p.required("bounds", "endpoint_drain_ms", settings::fine_millis);
+        let key_revocation = p.required("bounds", "key_revocation_ms", settings::fractional_millis);
+        let config_apply = p.required("bounds", "config_apply_ms", settings::fractional_millis);
+        let endpoint_drain = p.required("bounds", "endpoint_drain_ms", settings::fractional_millis);
         let heartbeat = p.optional(
             "bounds",
             "endpoint_heartbeat_ms",
             DEFAULT_ENDPOINT_HEARTBEAT_MS,
-            settings::fine_millis,
+            settings::fractional_millis,
         );
         let grace = p.required("bounds", "grace_s", settings::seconds);
         let ratio = p.required("retries", "ratio", settings::decimal);
