--- a/crates/standins/src/bin/standin-relay.rs
+++ b/crates/standins/src/bin/standin-relay.rs
@@ -70,7 +70,7 @@
             cfg.to
         );
     }
-    process::ended().await?;
+    process::shutdown_signal().await?;
     running.stop().await;
     Ok(())
 }
--- a/crates/standins/src/bin/standin-service.rs
+++ b/crates/standins/src/bin/standin-service.rs
@@ -87,7 +87,7 @@
     for endpoint in running.listings() {
         log::info!("service {}: listens on {}.", endpoint.id, endpoint.addr);
     }
-    register::run_registered(args.platform, &running, process::ended()).await?;
+    register::run_registered(args.platform, &running, process::shutdown_signal()).await?;
     running.stop().await;
     Ok(())
 }
--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, read at the edge and passed inwards.
+//! The wall clock. Servers read it and pass the time to the engine core, which reads no clock.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/standins/src/engine/config.rs
+++ b/crates/standins/src/engine/config.rs
@@ -59,8 +59,8 @@
         Self {
             id: id.to_owned(),
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            data_centre: register::DATA_CENTRE.to_owned(),
-            accelerator: register::ACCELERATOR.to_owned(),
+            data_centre: register::DEFAULT_DATA_CENTRE.to_owned(),
+            accelerator: register::DEFAULT_ACCELERATOR.to_owned(),
             model: model.to_owned(),
             version: "1".to_owned(),
             model_layers,
@@ -104,9 +104,9 @@
     type Error = anyhow::Error;
 
     fn try_from(mut raw: Settings) -> anyhow::Result<Self> {
-        let id: String = raw.need("id")?;
-        let model: String = raw.need("model")?;
-        let text: String = raw.need("layers")?;
+        let id: String = raw.take_required("id")?;
+        let model: String = raw.take_required("model")?;
+        let text: String = raw.take_required("layers")?;
         let layers = parse_layers(&text)
             .ok_or_else(|| raw.error("layers", format!("bad value {text:?}: not FIRST..END")))?;
         let base = Self::new(&id, &model, raw.take_or("model_layers", layers.end)?);
@@ -145,7 +145,7 @@
         if cfg.max_batch == 0 {
             return Err(raw.error("max_batch", "has to be 1 or more"));
         }
-        raw.finish()?;
+        raw.reject_unknown()?;
         Ok(cfg)
     }
 }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -26,7 +26,7 @@
 };
 use crate::{
     Running, clock,
-    serve::{self, Answer, Call, CutError, Handler},
+    serve::{self, AbortError, Answer, Call, Handler},
 };
 
 /// The shortest iteration that takes time: one tick of the timer.
@@ -55,12 +55,12 @@
 impl Results {
     /// The results that are there, at least one; nothing when the call is answered. Fails if the
     /// engine forgot steps of the call.
-    async fn next(&mut self) -> Option<Result<Vec<wire::StepResult>, CutError>> {
+    async fn next(&mut self) -> Option<Result<Vec<wire::StepResult>, AbortError>> {
         if self.missing == 0 {
             return None;
         }
         let Some(first) = self.rx.recv().await else {
-            return Some(Err(CutError));
+            return Some(Err(AbortError));
         };
         let mut batch = vec![first];
         while let Ok(result) = self.rx.try_recv() {
@@ -92,7 +92,7 @@
                 return self.control(&call).unwrap_or_else(|answer| answer);
             }
             if self.until_answering().await.is_err() {
-                return Answer::Cut;
+                return Answer::Abort;
             }
             self.call(&call).unwrap_or_else(|answer| answer)
         }
@@ -131,12 +131,12 @@
     }
 
     /// Waits while the engine is frozen; fails if it is down.
-    async fn until_answering(&self) -> Result<(), CutError> {
+    async fn until_answering(&self) -> Result<(), AbortError> {
         let mut rx = self.faults.subscribe();
         let answering = rx.wait_for(|faults| faults.mode != Mode::Freeze).await;
         match answering {
             Ok(faults) if faults.mode != Mode::Down => Ok(()),
-            _ => Err(CutError),
+            _ => Err(AbortError),
         }
     }
 
@@ -230,22 +230,22 @@
             Some((results.next().await?, results))
         });
         let lines = batches.then(move |batch| Arc::clone(&host).lines(batch));
-        Ok(Answer::Pieces(Box::pin(lines)))
+        Ok(Answer::Stream(Box::pin(lines)))
     }
 
     /// The lines of results, unless the engine is told to lose one of them.
     async fn lines(
         self: Arc<Self>,
-        batch: Result<Vec<wire::StepResult>, CutError>,
-    ) -> Result<Bytes, CutError> {
+        batch: Result<Vec<wire::StepResult>, AbortError>,
+    ) -> Result<Bytes, AbortError> {
         self.until_answering().await?;
         let drop_answers = self.faults.borrow().drop_answers;
         let mut lines = Vec::new();
         for result in &batch? {
             if drop_answers > 0.0 && self.lock().rng.random::<f64>() < drop_answers {
-                return Err(CutError);
+                return Err(AbortError);
             }
-            serde_json::to_writer(&mut lines, result).map_err(|_| CutError)?;
+            serde_json::to_writer(&mut lines, result).map_err(|_| AbortError)?;
             lines.push(b'\n');
         }
         Ok(lines.into())
@@ -320,7 +320,7 @@
             }
         }
         let content_type = "application/x-ndjson";
-        Answer::Whole {
+        Answer::Complete {
             status: StatusCode::OK,
             content_type,
             body: body.into(),
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,15 +1,17 @@
-//! Stand-ins for model engines and plain services; that of the platform's store is beside its adapter.
+//! Stand-ins for model engines and plain services. The stand-in of the platform's store is in the crate
+//! `dragonflyrill-adapter-standin`.
 //!
-//! They let the system's programs run as separate processes on one machine, with the faults that
-//! the real ones have, and they keep ledgers of what they really ran, so that a judge need not take
-//! the system's own word. They are never published.
+//! With them the system's programs run as separate processes on one machine and meet the faults of
+//! real back ends. Each stand-in records the work that it ran in a ledger, so that a test can verify
+//! the system's results independently. These crates are never published.
 //!
-//! Start at [`engine`] and [`service`]; each has a `start` that runs it in-process on the current
-//! `actix_rt` system and answers a [`Running`]. [`mod@reference`] computes what a model
-//! must answer, independently of any engine. [`relay`] is a TCP relay that can be cut.
+//! The entry points are [`engine`] and [`service`]: each has a `start` function that runs stand-ins
+//! in-process on the current `actix_rt` system and returns a [`Running`]. [`mod@reference`] computes
+//! the expected output of a model independently of any engine. [`relay`] is a TCP relay with faults
+//! such as a network partition.
 //!
-//! Besides the interface it stands in for, each has paths under `/standin/` for faults, counters
-//! and ledgers, which faults never reach.
+//! Besides the interface that it stands in for, each stand-in serves paths under `/standin/` for
+//! faults, counters and ledgers. Injected faults don't affect these paths.
 
 pub mod clock;
 pub mod engine;
--- a/crates/standins/src/reference.rs
+++ b/crates/standins/src/reference.rs
@@ -1,10 +1,10 @@
 //! The deterministic model that all engine stand-ins run.
 //!
 //! For each position with input `x`, the layers run in order. Layer `l` has a KV state `k`, which
-//! starts at [`initial_state`] and is changed by every position: `k = mix(k ^ x, l, position)`,
+//! starts at [`initial_state`]. Each position updates it: `k = mix(k ^ x, l, position)`,
 //! then `x = mix(x ^ k, l, 0)`. After the last layer of the model the output is
-//! `x % `[`VOCABULARY`], a token id. So an output depends on every layer of every earlier position:
-//! a layer that was skipped, run twice or run out of order changes the answer.
+//! `x % `[`VOCABULARY`], a token id. An output thus depends on every layer of every earlier position:
+//! a layer that is skipped, run twice or run out of order changes the output.
 
 use xxhash_rust::xxh3;
 
@@ -23,7 +23,8 @@
         .collect()
 }
 
-/// Runs one position through the layers `first..first + states.len()` and answers the activation.
+/// Runs one position through the layers `first..first + states.len()`, updates their KV states and
+/// returns the activation.
 pub fn run_position(states: &mut [u64], first: u32, position: u32, input: u64) -> u64 {
     let mut x = input;
     for (layer, k) in (first..).zip(states) {
@@ -33,12 +34,13 @@
     x
 }
 
-/// The token id of an activation of the model's last layer.
+/// Converts an activation of the model's last layer to a token id.
 pub fn token_id(activation: u64) -> u64 {
     activation % VOCABULARY
 }
 
-/// The `n` tokens that a model of `layers` layers generates after `prompt`; none for an empty one.
+/// Returns the `n` tokens that a model of `layers` layers generates after `prompt`, or none if the
+/// prompt is empty.
 pub fn expected_tokens(model: &str, layers: u32, prompt: &[u64], n: usize) -> Vec<u64> {
     let mut states = initial_states(model, 0, layers);
     let mut position = 0;
@@ -58,20 +60,20 @@
     tokens
 }
 
-/// One token for each byte of the text in UTF-8.
+/// Splits a text into tokens, one for each byte of its UTF-8 encoding.
 pub fn tokenize(text: &str) -> Vec<u64> {
     text.bytes().map(u64::from).collect()
 }
 
-/// The text of a token.
+/// Returns the text of a token: a space and the token id in hexadecimal.
 pub fn detokenize(token: u64) -> String {
     format!(" {token:x}")
 }
 
-/// A hash of the three numbers, by the finalizer of SplitMix64.
+/// Hashes the three numbers with the finalizer of SplitMix64.
 fn mix(value: u64, layer: u32, position: u32) -> u64 {
-    let place = (u64::from(layer) << 32) | u64::from(position);
-    finalize(value ^ finalize(place.wrapping_add(0x9e37_79b9_7f4a_7c15)))
+    let layer_and_position = (u64::from(layer) << 32) | u64::from(position);
+    finalize(value ^ finalize(layer_and_position.wrapping_add(0x9e37_79b9_7f4a_7c15)))
 }
 
 fn finalize(value: u64) -> u64 {
--- a/crates/standins/src/relay/mod.rs
+++ b/crates/standins/src/relay/mod.rs
@@ -46,11 +46,11 @@
 
     fn try_from(mut raw: Settings) -> anyhow::Result<Self> {
         let cfg = Self {
-            name: raw.need("id")?,
-            listen: raw.need("listen")?,
-            to: raw.need("to")?,
+            name: raw.take_required("id")?,
+            listen: raw.take_required("listen")?,
+            to: raw.take_required("to")?,
         };
-        raw.finish()?;
+        raw.reject_unknown()?;
         Ok(cfg)
     }
 }
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! The HTTP server under every stand-in.
+//! The HTTP server that all stand-ins share.
 
 use std::{
     io,
@@ -21,14 +21,14 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::task::JoinHandle;
 
-/// The largest request body that is taken.
-const MAX_BODY: usize = 64 << 20;
-/// How long an idle connection is kept.
+/// The maximum size of a request body; larger ones are answered 413.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// The time after which an idle connection is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Connections waiting to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 4096;
 
-/// A stand-in that runs. It goes on when this is dropped; only [`Running::stop`] ends it.
+/// A running stand-in. Dropping this handle does not stop it; only [`Running::stop`] does.
 pub struct Running {
     addrs: Vec<SocketAddr>,
     server: ServerHandle,
@@ -37,25 +37,25 @@
 }
 
 impl Running {
-    /// The address it listens on; of the first one if it has more.
+    /// The first address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addrs[0]
     }
 
-    /// All addresses it listens on, in the order of its settings.
+    /// All addresses on which it listens, in the order of its settings.
     pub fn addrs(&self) -> &[SocketAddr] {
         &self.addrs
     }
 
-    /// The entries of what it serves now.
+    /// The endpoint entries of what it serves now.
     pub fn listings(&self) -> Vec<Endpoint> {
-        let parts = self.handlers.iter().zip(&self.addrs);
-        parts
+        let pairs = self.handlers.iter().zip(&self.addrs);
+        pairs
             .filter_map(|(handler, &addr)| handler.listing(addr))
             .collect()
     }
 
-    /// Stops at once; calls under way are cut.
+    /// Stops immediately and closes the connections of calls in progress.
     pub async fn stop(self) {
         for task in &self.tasks {
             task.abort();
@@ -64,7 +64,7 @@
     }
 }
 
-/// One HTTP call with its whole body.
+/// One HTTP call with its complete body.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) method: Method,
@@ -75,13 +75,13 @@
 }
 
 impl Call {
-    /// The body as JSON, or the answer that refuses it.
+    /// Parses the body as JSON, or returns an answer with status 400.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
         serde_json::from_slice(&self.body)
             .map_err(|err| Answer::error(StatusCode::BAD_REQUEST, &format!("body: {err}")))
     }
 
-    /// The raw value of a query parameter; nothing is percent-decoded.
+    /// The raw value of a query parameter, without percent-decoding.
     pub(crate) fn query_value(&self, name: &str) -> Option<&str> {
         let mut pairs = self
             .query
@@ -90,7 +90,7 @@
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// The text of a header.
+    /// The value of a header, if it is text.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
@@ -98,16 +98,16 @@
 
 /// How a call ends.
 pub(crate) enum Answer {
-    /// A whole answer.
-    Whole {
+    /// A complete answer.
+    Complete {
         status: StatusCode,
         content_type: &'static str,
         body: Bytes,
     },
-    /// Status 200 with a body that comes in pieces; an error in it closes the connection.
-    Pieces(Pin<Box<dyn Stream<Item = Result<Bytes, CutError>>>>),
+    /// Status 200 with a body that is sent in chunks; an error in the stream closes the connection.
+    Stream(Pin<Box<dyn Stream<Item = Result<Bytes, AbortError>>>>),
     /// The connection is closed without an answer.
-    Cut,
+    Abort,
 }
 
 #[derive(Serialize)]
@@ -116,15 +116,15 @@
 }
 
 impl Answer {
-    /// Status 200 with a JSON body.
+    /// An answer with status 200 and a JSON body.
     pub(crate) fn json<T: Serialize>(value: &T) -> Self {
         Self::json_with(StatusCode::OK, value)
     }
 
-    /// A JSON body with a status.
+    /// An answer with a status and a JSON body.
     pub(crate) fn json_with<T: Serialize>(status: StatusCode, value: &T) -> Self {
         match serde_json::to_vec(value) {
-            Ok(body) => Self::Whole {
+            Ok(body) => Self::Complete {
                 status,
                 content_type: "application/json",
                 body: body.into(),
@@ -133,28 +133,28 @@
         }
     }
 
-    /// A status without a body.
+    /// An answer with a status and no body.
     pub(crate) fn empty(status: StatusCode) -> Self {
-        Self::Whole {
+        Self::Complete {
             status,
             content_type: "text/plain",
             body: Bytes::new(),
         }
     }
 
-    /// A status with a JSON body that says what is wrong.
+    /// An answer with a status and a JSON body that holds the error message.
     pub(crate) fn error(status: StatusCode, error: &str) -> Self {
         Self::json_with(status, &ErrorBody { error })
     }
 
-    /// Status 404.
+    /// An answer with status 404.
     pub(crate) fn not_found() -> Self {
         Self::error(StatusCode::NOT_FOUND, "no such path")
     }
 
     fn into_response(self) -> Response<BoxBody> {
         match self {
-            Self::Whole {
+            Self::Complete {
                 status,
                 content_type,
                 body,
@@ -163,32 +163,32 @@
                 response.insert_header((header::CONTENT_TYPE, content_type));
                 response.body(body).map_into_boxed_body()
             }
-            Self::Pieces(stream) => Response::build(StatusCode::OK)
+            Self::Stream(stream) => Response::build(StatusCode::OK)
                 .body(BodyStream::new(stream))
                 .map_into_boxed_body(),
-            Self::Cut => Response::with_body(StatusCode::OK, BoxBody::new(CutBody)),
+            Self::Abort => Response::with_body(StatusCode::OK, BoxBody::new(AbortBody)),
         }
     }
 }
 
-/// The reason for which a connection is closed in the middle of an answer.
+/// The error that makes the server close a connection in the middle of an answer, as a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct CutError;
+pub(crate) struct AbortError;
 
-impl std::fmt::Display for CutError {
+impl std::fmt::Display for AbortError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("cut by the stand-in")
     }
 }
 
-impl std::error::Error for CutError {}
+impl std::error::Error for AbortError {}
 
-/// A body that fails before its first byte, by which the server closes the connection before the
-/// head of the answer is flushed.
-struct CutBody;
+/// A body that fails before its first byte, which makes the server close the connection before it
+/// flushes the head of the answer.
+struct AbortBody;
 
-impl MessageBody for CutBody {
-    type Error = CutError;
+impl MessageBody for AbortBody {
+    type Error = AbortError;
 
     fn size(&self) -> BodySize {
         BodySize::Sized(1)
@@ -197,23 +197,23 @@
     fn poll_next(
         self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, CutError>>> {
-        Poll::Ready(Some(Err(CutError)))
+    ) -> Poll<Option<Result<Bytes, AbortError>>> {
+        Poll::Ready(Some(Err(AbortError)))
     }
 }
 
-/// What answers the calls to one address.
+/// Answers the calls to one address.
 pub(crate) trait Handler: Send + Sync + 'static {
     /// Answers one call.
     fn answer(self: Arc<Self>, call: Call) -> LocalBoxFuture<'static, Answer>;
 
-    /// The entry for what it is now, if it is an endpoint.
+    /// The current endpoint entry, or `None` if the handler is not an endpoint.
     fn listing(&self, _addr: SocketAddr) -> Option<Endpoint> {
         None
     }
 }
 
-/// Opens a listening socket.
+/// Opens a listening socket; the error names the address.
 pub(crate) fn bind(addr: SocketAddr) -> io::Result<net::TcpListener> {
     net::TcpListener::bind(addr)
         .map_err(|err| io::Error::new(err.kind(), format!("listen on {addr}: {err}")))
@@ -221,16 +221,16 @@
 
 /// Serves each handler on its socket, all on one worker thread.
 pub(crate) fn run(
-    parts: Vec<(net::TcpListener, Arc<dyn Handler>)>,
+    listeners: Vec<(net::TcpListener, Arc<dyn Handler>)>,
     tasks: Vec<JoinHandle<()>>,
 ) -> io::Result<Running> {
     let mut builder = Server::build()
         .workers(1)
         .backlog(BACKLOG)
         .disable_signals();
-    let mut addrs = Vec::with_capacity(parts.len());
-    let mut handlers = Vec::with_capacity(parts.len());
-    for (listener, handler) in parts {
+    let mut addrs = Vec::with_capacity(listeners.len());
+    let mut handlers = Vec::with_capacity(listeners.len());
+    for (listener, handler) in listeners {
         addrs.push(listener.local_addr()?);
         handlers.push(Arc::clone(&handler));
         builder = builder.listen("standin", listener, move || {
@@ -267,16 +267,16 @@
 async fn read(mut req: Request) -> Result<Call, Answer> {
     let mut payload = req.take_payload();
     let mut body = BytesMut::new();
-    while let Some(piece) = payload.next().await {
-        let piece =
-            piece.map_err(|err| Answer::error(StatusCode::BAD_REQUEST, &err.to_string()))?;
-        if body.len() + piece.len() > MAX_BODY {
+    while let Some(chunk) = payload.next().await {
+        let chunk =
+            chunk.map_err(|err| Answer::error(StatusCode::BAD_REQUEST, &err.to_string()))?;
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(Answer::error(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "body too large",
             ));
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(Call {
         method: req.method().clone(),
--- a/crates/standins/src/service/mod.rs
+++ b/crates/standins/src/service/mod.rs
@@ -43,7 +43,7 @@
             id: id.to_owned(),
             service: service.to_owned(),
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            data_centre: register::DATA_CENTRE.to_owned(),
+            data_centre: register::DEFAULT_DATA_CENTRE.to_owned(),
             work_ms: 0,
             max_running: 64,
         }
@@ -70,8 +70,8 @@
     type Error = anyhow::Error;
 
     fn try_from(mut raw: Settings) -> anyhow::Result<Self> {
-        let id: String = raw.need("id")?;
-        let service: String = raw.need("service")?;
+        let id: String = raw.take_required("id")?;
+        let service: String = raw.take_required("service")?;
         let base = Self::new(&id, &service);
         let cfg = Self {
             listen: raw.take_or("listen", base.listen)?,
@@ -83,7 +83,7 @@
         if cfg.max_running == 0 {
             return Err(raw.error("max_running", "has to be 1 or more"));
         }
-        raw.finish()?;
+        raw.reject_unknown()?;
         Ok(cfg)
     }
 }
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -114,7 +114,7 @@
         let mut rx = self.faults.subscribe();
         let faults = match rx.wait_for(|faults| faults.mode != Mode::Freeze).await {
             Ok(faults) if faults.mode != Mode::Down => faults.clone(),
-            _ => return Answer::Cut,
+            _ => return Answer::Abort,
         };
         if call.method == Method::GET && call.path == "/load" {
             return Answer::json(&self.load());
@@ -126,7 +126,7 @@
         let echo = self.run(&call, &faults).await;
         self.lock().present -= 1;
         if self.roll(faults.drop_answers) {
-            return Answer::Cut;
+            return Answer::Abort;
         }
         Answer::json(&echo)
     }
--- a/crates/standins/src/settings.rs
+++ b/crates/standins/src/settings.rs
@@ -1,38 +1,44 @@
-//! Settings of one engine or service, as `key=value` pairs from the command line or an INI section.
+//! Settings of one engine, service or link: `key=value` pairs from the command line or an INI section.
 
 use std::{fmt, path::Path, str::FromStr};
 
 use anyhow::Context;
 
-/// The pairs of one section, with the name of the place they come from.
+/// The pairs of one section, with the name of their source for error messages.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    place: String,
+    source: String,
     pairs: Vec<(String, String)>,
 }
 
 impl Settings {
-    /// No pairs.
-    pub fn new(place: &str) -> Self {
+    /// Creates settings without pairs; `source` is named in error messages.
+    pub fn new(source: &str) -> Self {
         Self {
-            place: place.to_owned(),
+            source: source.to_owned(),
             pairs: Vec::new(),
         }
     }
 
-    /// Pairs written as `key=value,key=value`.
-    pub fn parse(place: &str, text: &str) -> anyhow::Result<Self> {
-        let mut settings = Self::new(place);
+    /// Parses pairs written as `key=value,key=value`.
+    ///
+    /// # Errors
+    /// Fails if a pair has no `=`.
+    pub fn parse(source: &str, text: &str) -> anyhow::Result<Self> {
+        let mut settings = Self::new(source);
         for pair in text.split(',').filter(|pair| !pair.trim().is_empty()) {
             let (key, value) = pair
                 .split_once('=')
-                .with_context(|| format!("{place}: {pair:?} is not written as key=value"))?;
+                .with_context(|| format!("{source}: {pair:?} is not written as key=value"))?;
             settings.set(key.trim(), value.trim());
         }
         Ok(settings)
     }
 
-    /// The sections of an INI file. A section's name is its `id` unless it sets one.
+    /// Reads the sections of an INI file. The name of a section is its `id` unless the section sets one.
+    ///
+    /// # Errors
+    /// Fails if the file can't be read or parsed, or if it has keys before the first section.
     pub fn read_ini(path: &Path) -> anyhow::Result<Vec<Self>> {
         let ini = ini::Ini::load_from_file(path).with_context(|| path.display().to_string())?;
         let mut sections = Vec::new();
@@ -55,7 +61,7 @@
         Ok(sections)
     }
 
-    /// Adds a pair, or replaces the value of its key.
+    /// Sets the value of a key, replacing its earlier value.
     pub fn set(&mut self, key: &str, value: &str) {
         match self.pairs.iter_mut().find(|pair| pair.0 == key) {
             Some(pair) => pair.1 = value.to_owned(),
@@ -63,7 +69,7 @@
         }
     }
 
-    /// Adds the pairs of `defaults` whose keys are not set.
+    /// Adds those pairs of `defaults` whose keys are not set.
     pub fn with_defaults(mut self, defaults: &Self) -> Self {
         for (key, value) in &defaults.pairs {
             if !self.pairs.iter().any(|pair| pair.0 == *key) {
@@ -73,7 +79,7 @@
         self
     }
 
-    /// Takes the value of `key` out, if it is set.
+    /// Removes `key` and returns its parsed value, or `None` if it is not set.
     pub fn take<T>(&mut self, key: &str) -> anyhow::Result<Option<T>>
     where
         T: FromStr,
@@ -89,7 +95,7 @@
             .map_err(|err| self.error(key, format!("bad value {value:?}: {err}")))
     }
 
-    /// Takes the number of `key` out if `check` lets it pass, or answers `default`.
+    /// Removes `key` and returns its value if `check` accepts it, or `default` if the key is not set.
     pub(crate) fn take_number(
         &mut self,
         key: &str,
@@ -102,12 +108,12 @@
         check(value).map_err(|err| self.error(key, format!("bad value \"{value}\": {err}")))
     }
 
-    /// An error that names the place and the key.
+    /// Builds an error that names the source and the key.
     pub fn error(&self, key: &str, what: impl fmt::Display) -> anyhow::Error {
-        anyhow::anyhow!("{}: {key}: {what}", self.place)
+        anyhow::anyhow!("{}: {key}: {what}", self.source)
     }
 
-    /// Takes the value of `key` out, or answers `default`.
+    /// Removes `key` and returns its parsed value, or `default` if it is not set.
     pub fn take_or<T>(&mut self, key: &str, default: T) -> anyhow::Result<T>
     where
         T: FromStr,
@@ -116,8 +122,8 @@
         Ok(self.take(key)?.unwrap_or(default))
     }
 
-    /// Takes the value of `key` out, which has to be set.
-    pub fn need<T>(&mut self, key: &str) -> anyhow::Result<T>
+    /// Removes `key` and returns its parsed value; fails if it is not set.
+    pub fn take_required<T>(&mut self, key: &str) -> anyhow::Result<T>
     where
         T: FromStr,
         T::Err: fmt::Display,
@@ -125,8 +131,8 @@
         self.take(key)?.ok_or_else(|| self.error(key, "missing"))
     }
 
-    /// Refuses keys that nobody took.
-    pub fn finish(self) -> anyhow::Result<()> {
+    /// Fails if keys are left that no other method has removed: they are unknown.
+    pub fn reject_unknown(self) -> anyhow::Result<()> {
         match self.pairs.first() {
             Some((key, _)) => Err(self.error(key, "unknown key")),
             None => Ok(()),
