--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: least recently used blocks of prompt positions, and the events it publishes.
+//! The prefix cache: an LRU cache of blocks of prompt positions that publishes an event for each change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,9 +7,9 @@
 use rand_pcg::Pcg64;
 use rustc_hash::FxHashMap;
 
-/// Positions in one block.
+/// The number of positions in one block.
 pub(crate) const BLOCK_POSITIONS: u32 = 32;
-/// The most events that are kept for readers; older ones count as lost.
+/// The maximum number of events kept for readers; older events are dropped and count as lost.
 const MAX_EVENTS: usize = 65_536;
 
 #[derive(Debug)]
@@ -25,9 +25,9 @@
     lag_ms: u64,
     loss: f64,
     rng: Pcg64,
-    /// When each block was last used, in uses.
+    /// The value of `uses` at the last use of each block.
     blocks: FxHashMap<u64, u64>,
-    /// The inverse of `blocks`.
+    /// The inverse of `blocks`: its first entry is the least recently used block.
     by_use: BTreeMap<u64, u64>,
     uses: u64,
     seq: u64,
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The number of blocks held; at most the capacity.
+    /// The number of cached blocks; at most the capacity.
     pub(crate) fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// How many of the positions `start..start + count` are covered by the cached leading blocks.
+    /// Counts the positions of `start..start + count` that the cached leading blocks of `prefix` cover.
     pub(crate) fn covered(&self, prefix: &[u64], start: u32, count: u32) -> u32 {
         let blocks = prefix
             .iter()
@@ -64,22 +64,23 @@
         end.min(start.saturating_add(count)).saturating_sub(start)
     }
 
-    /// Stores, or marks as used, the blocks that lie wholly before position `end`.
+    /// Stores the blocks that lie completely before position `end`, or marks them as used if they are
+    /// cached already.
     pub(crate) fn store(&mut self, now_ms: u64, prefix: &[u64], end: u32) {
-        let whole = (end / BLOCK_POSITIONS) as usize;
-        for &block in prefix.iter().take(whole) {
+        let complete = (end / BLOCK_POSITIONS) as usize;
+        for &block in prefix.iter().take(complete) {
             self.touch(now_ms, block);
         }
     }
 
-    /// Evicts all blocks, the least recently used first.
+    /// Evicts all blocks in LRU order.
     pub(crate) fn clear(&mut self, now_ms: u64) {
         while let Some((_, evicted)) = self.by_use.pop_first() {
-            self.evicted(now_ms, evicted);
+            self.evict(now_ms, evicted);
         }
     }
 
-    /// The published events after number `after`.
+    /// Returns the events that are published by `now_ms` and have sequence numbers above `after`.
     pub(crate) fn events(&self, now_ms: u64, after: u64) -> wire::CacheEvents {
         let visible = self
             .events
@@ -105,11 +106,11 @@
         if self.blocks.len() > self.capacity
             && let Some((_, evicted)) = self.by_use.pop_first()
         {
-            self.evicted(now_ms, evicted);
+            self.evict(now_ms, evicted);
         }
     }
 
-    fn evicted(&mut self, now_ms: u64, block: u64) {
+    fn evict(&mut self, now_ms: u64, block: u64) {
         self.blocks.remove(&block);
         self.publish(now_ms, block, false);
     }
--- a/crates/standins/src/engine/config.rs
+++ b/crates/standins/src/engine/config.rs
@@ -12,49 +12,49 @@
 pub struct EngineConfig {
     /// The endpoint's id.
     pub id: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address on which it listens; with port 0 the system assigns a free port.
     pub listen: SocketAddr,
-    /// The data centre, for its entry.
+    /// The data centre that its endpoint entry names.
     pub data_centre: String,
-    /// The kind of accelerator, for its entry.
+    /// The kind of accelerator that its endpoint entry names.
     pub accelerator: String,
-    /// The model held at the start.
+    /// The model that is loaded at the start.
     pub model: String,
     /// The version of the weights at the start.
     pub version: String,
-    /// The layers of the whole model.
+    /// The number of layers of the complete model.
     pub model_layers: u32,
-    /// The layers held at the start.
+    /// The layers that are loaded at the start.
     pub layers: wire::Layers,
-    /// Time for one layer of one iteration, in microseconds.
+    /// The time for one layer of one iteration, in microseconds.
     pub layer_us: u64,
-    /// Time for one more position of a step, as a share of the time for the first.
+    /// The time for each further position of a step, as a fraction of the time for the first.
     pub prefill_factor: f64,
-    /// Factor on all times of running; 0 answers at once.
+    /// The factor on all iteration times; with 0, iterations take no time.
     pub time_scale: f64,
-    /// Time to load one layer's weights, in milliseconds.
+    /// The time to load the weights of one layer, in milliseconds.
     pub load_ms_per_layer: u64,
-    /// The most steps in one iteration.
+    /// The maximum number of steps in one iteration.
     pub max_batch: usize,
-    /// The most requests whose KV cache is held.
+    /// The maximum number of sessions, that is of requests whose KV cache is kept.
     pub max_sessions: usize,
-    /// A session unused for this long, in milliseconds, gives way to a new one when all slots are
-    /// taken.
+    /// The idle time in milliseconds after which a session may be evicted for a new one when all slots
+    /// are in use.
     pub session_idle_ms: u64,
-    /// Blocks in the prefix cache.
+    /// The capacity of the prefix cache, in blocks.
     pub prefix_blocks: usize,
-    /// Age of the load report, in milliseconds.
+    /// The age of the load that is reported, in milliseconds.
     pub load_lag_ms: u64,
-    /// Age at which cache events are published, in milliseconds.
+    /// The delay until a cache event is published, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// Share of cache events, 0 to 1, that are never published.
+    /// The fraction of cache events, 0 to 1, that are never published.
     pub cache_event_loss: f64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fence: bool,
 }
 
 impl EngineConfig {
-    /// An engine that holds all layers of its model and answers at once.
+    /// Settings of an engine that has all layers of its model loaded and whose iterations take no time.
     pub fn new(id: &str, model: &str, model_layers: u32) -> Self {
         Self {
             id: id.to_owned(),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The entry of this engine, listening on `addr`.
+    /// The endpoint entry of this engine when it listens on `addr`.
     pub fn listing(&self, addr: SocketAddr) -> Endpoint {
         Endpoint {
             id: self.id.as_str().into(),
@@ -106,9 +106,13 @@
     fn try_from(mut raw: Settings) -> anyhow::Result<Self> {
         let id: String = raw.take_required("id")?;
         let model: String = raw.take_required("model")?;
-        let text: String = raw.take_required("layers")?;
-        let layers = parse_layers(&text)
-            .ok_or_else(|| raw.error("layers", format!("bad value {text:?}: not FIRST..END")))?;
+        let layers_text: String = raw.take_required("layers")?;
+        let layers = parse_layers(&layers_text).ok_or_else(|| {
+            raw.error(
+                "layers",
+                format!("bad value {layers_text:?}: not FIRST..END"),
+            )
+        })?;
         let base = Self::new(&id, &model, raw.take_or("model_layers", layers.end)?);
         if layers.end > base.model_layers {
             let what = format!("{layers} go beyond the model's {}", base.model_layers);
--- a/crates/standins/src/engine/core.rs
+++ b/crates/standins/src/engine/core.rs
@@ -1,4 +1,5 @@
-//! The engine itself: `(state, now, call) -> answer`, without sockets, tasks or clocks.
+//! The engine as a state machine: each call gets the time and returns its answer. It uses no sockets,
+//! tasks or clocks.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,13 +11,13 @@
     config::EngineConfig,
     ledger::{Ledger, LedgerEntry},
     load::LoadHistory,
-    order::Held,
+    order::LoadedModel,
     outcome::{Finished, Iteration, Refusal, Stats, Submitted, Ticket},
     session::StepId,
     sessions::Sessions,
 };
 
-/// Orders waiting steps.
+/// The order of steps in the queue: by priority, then by arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: u8,
@@ -36,13 +37,13 @@
     cached: u32,
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Debug)]
 pub struct Engine {
     cfg: EngineConfig,
     incarnation: u64,
-    held: Held,
-    leaving: bool,
+    loaded: LoadedModel,
+    draining: bool,
     sessions: Sessions,
     queue: BTreeMap<QueueKey, Queued>,
     running: Vec<RunningStep>,
@@ -54,16 +55,16 @@
 }
 
 impl Engine {
-    /// A fresh engine with the weights of its settings loaded.
+    /// Creates an engine that has the model and layers of its settings loaded.
     pub fn new(cfg: EngineConfig, incarnation: u64) -> Self {
         Self {
-            held: Held::new(&cfg),
+            loaded: LoadedModel::new(&cfg),
             sessions: Sessions::new(cfg.max_sessions, cfg.session_idle_ms),
             cache: new_cache(&cfg),
             load: LoadHistory::new(cfg.load_lag_ms),
             cfg,
             incarnation,
-            leaving: false,
+            draining: false,
             queue: BTreeMap::new(),
             running: Vec::new(),
             next_ticket: 0,
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Begins a new life, which remembers nothing but ledger and counters. Its waiting and running
-    /// steps are never answered.
+    /// Begins a new incarnation, which keeps only the ledger and the counters. Steps that were queued or
+    /// running are never answered.
     pub fn restart(&mut self, incarnation: u64) {
         let mut fresh = Self::new(self.cfg.clone(), incarnation);
         fresh.next_ticket = self.next_ticket;
@@ -82,12 +83,12 @@
         *self = fresh;
     }
 
-    /// Takes a step: answers it, or puts it in the queue.
+    /// Accepts a step: answers it immediately or adds it to the queue.
     pub fn submit(&mut self, now_ms: u64, step: wire::Step) -> Submitted {
         if let Err(reason) = self.admit(now_ms, &step) {
-            return Submitted::Answered(self.refused(&step, reason));
+            return Submitted::Answered(self.refuse(&step, reason));
         }
-        if let Some(result) = self.repeated(&step) {
+        if let Some(result) = self.earlier_result(&step) {
             return Submitted::Answered(result);
         }
         if let Some(session) = self.sessions.get_mut(&step.request) {
@@ -101,12 +102,12 @@
             ticket,
         };
         self.queue.insert(key, Queued { step, deadline_ms });
-        self.note_load(now_ms);
+        self.record_load(now_ms);
         Submitted::Waiting(ticket)
     }
 
-    /// Takes the next batch out of the queue. [`Engine::finish`] has to follow after the iteration's
-    /// duration if there is one.
+    /// Starts an iteration with the next batch of the queue. If the iteration has a duration,
+    /// [`Engine::finish`] has to be called when it has elapsed.
     pub fn begin(&mut self, now_ms: u64) -> Iteration {
         let mut refused = Vec::new();
         while self.running.len() < self.cfg.max_batch {
@@ -116,14 +117,14 @@
                 break;
             };
             if deadline_ms < now_ms {
-                self.forget_pending(&step);
-                let result = self.refused(&step, StepRefusal::Deadline);
+                self.remove_pending(&step);
+                let result = self.refuse(&step, StepRefusal::Deadline);
                 refused.push(Finished { ticket, result });
                 continue;
             }
             if let Err(reason) = self.sessions.check_attempt(&step) {
-                self.forget_pending(&step);
-                let result = self.refused(&step, reason);
+                self.remove_pending(&step);
+                let result = self.refuse(&step, reason);
                 refused.push(Finished { ticket, result });
                 continue;
             }
@@ -135,12 +136,12 @@
                 cached,
             });
         }
-        self.note_load(now_ms);
+        self.record_load(now_ms);
         let duration = (!self.running.is_empty()).then(|| self.duration());
         Iteration { refused, duration }
     }
 
-    /// Runs the batch and answers its steps.
+    /// Runs the steps of the batch and returns their results.
     pub fn finish(&mut self, now_ms: u64) -> Vec<Finished> {
         let running = std::mem::take(&mut self.running);
         self.stats.iterations += u64::from(!running.is_empty());
@@ -151,40 +152,46 @@
             cached,
         } in running
         {
-            self.forget_pending(&step);
+            self.remove_pending(&step);
             let result = self.run(now_ms, &step, cached);
             finished.push(Finished { ticket, result });
         }
-        self.note_load(now_ms);
+        self.record_load(now_ms);
         finished
     }
 
-    /// Frees what is held for a request, unless a newer attempt ran, and refuses attempts up to the
-    /// cancelled one from now on.
+    /// Refuses attempts of a request up to the cancelled one from now on, and removes the session of the
+    /// request unless a newer attempt ran.
     pub fn cancel(&mut self, now_ms: u64, cancel: &wire::Cancel) {
         self.sessions.cancel(cancel);
-        self.note_load(now_ms);
+        self.record_load(now_ms);
     }
 
-    /// The KV cache of a request.
+    /// Returns a checkpoint of the KV cache of a request, or `None` if it has no session.
     pub fn export(&self, request: &str) -> Option<wire::KvCheckpoint> {
-        Some(self.sessions.get(request)?.export(&self.held.model))
+        Some(self.sessions.get(request)?.export(&self.loaded.model))
     }
 
-    /// Takes over the KV cache of a request in place of what is held for it.
+    /// Replaces the session of a request by a checkpoint of its KV cache.
+    ///
+    /// # Errors
+    /// Fails if the checkpoint does not fit the loaded model and layers, is stale, or finds no free slot.
     pub fn import(&mut self, now_ms: u64, kv: &wire::KvCheckpoint) -> Result<(), Refusal> {
         let layers = kv.layers;
         let count = layers.end.saturating_sub(layers.first) as usize;
-        if !self.held.has(now_ms, &kv.model, layers) || kv.state.len() != count {
+        if !self.loaded.includes(now_ms, &kv.model, layers) || kv.state.len() != count {
             return Err(Refusal::Layers);
         }
-        self.sessions.import(now_ms, kv, self.leaving)?;
-        self.note_load(now_ms);
+        self.sessions.import(now_ms, kv, self.draining)?;
+        self.record_load(now_ms);
         Ok(())
     }
 
-    /// Follows an order, unless it names layers that models here don't have, or carries an old
-    /// fencing number and the engine checks that.
+    /// Executes an order to load a model and layers.
+    ///
+    /// # Errors
+    /// Fails if the order names layers that the model does not have, or if it carries an outdated fencing
+    /// number and the engine checks fencing numbers.
     pub fn order(
         &mut self,
         now_ms: u64,
@@ -193,37 +200,40 @@
         if order.layers.range().is_empty() || order.layers.end > self.cfg.model_layers {
             return Err(Refusal::Layers);
         }
-        if self.cfg.checks_fence && order.fence < self.held.fence {
+        if self.cfg.checks_fence && order.fence < self.loaded.fence {
             return Err(Refusal::Stale);
         }
-        if self.held.follow(now_ms, order, self.cfg.load_ms_per_layer) {
+        if self
+            .loaded
+            .apply_order(now_ms, order, self.cfg.load_ms_per_layer)
+        {
             self.sessions.clear();
             self.cache.clear(now_ms);
-            self.note_load(now_ms);
+            self.record_load(now_ms);
         }
         Ok(self.state(now_ms))
     }
 
-    /// Refuses new requests from now on.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Refuses new requests from now on; requests with a session continue.
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
-    /// What the engine is.
+    /// The identity, the loaded model and the status of the engine.
     pub fn state(&self, now_ms: u64) -> wire::EngineState {
         wire::EngineState {
             endpoint: self.cfg.id.clone(),
             incarnation: self.incarnation,
-            fence: self.held.fence,
-            model: self.held.model.clone(),
-            version: self.held.version.clone(),
-            layers: self.held.layers,
-            loading: self.held.is_loading(now_ms),
-            leaving: self.leaving,
+            fence: self.loaded.fence,
+            model: self.loaded.model.clone(),
+            version: self.loaded.version.clone(),
+            layers: self.loaded.layers,
+            loading: self.loaded.is_loading(now_ms),
+            leaving: self.draining,
         }
     }
 
-    /// The load as it was one lag ago.
+    /// The load as it was `load_lag_ms` ago.
     pub fn load(&mut self, now_ms: u64) -> wire::LoadReport {
         let load = self.load.reported(now_ms);
         wire::LoadReport {
@@ -237,17 +247,17 @@
         }
     }
 
-    /// The published cache events after number `after`.
+    /// The published cache events with sequence numbers above `after`.
     pub fn cache_events(&self, now_ms: u64, after: u64) -> wire::CacheEvents {
         self.cache.events(now_ms, after)
     }
 
-    /// What ran.
+    /// The ledger of the steps that ran.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Counters.
+    /// The counters since the start.
     pub fn stats(&self) -> Stats {
         Stats {
             prefix_blocks: self.cache.len() as u64,
@@ -260,22 +270,22 @@
         &self.cfg
     }
 
-    /// Whether the step may run after those that wait. Makes the session of a new request.
+    /// Checks whether the step may run after the queued ones, and creates the session of a new request.
     fn admit(&mut self, now_ms: u64, step: &wire::Step) -> Result<(), StepRefusal> {
         self.sessions.check_attempt(step)?;
-        self.check_held(now_ms, step)?;
-        self.sessions.admit(now_ms, step, self.leaving)
+        self.check_loaded(now_ms, step)?;
+        self.sessions.admit(now_ms, step, self.draining)
     }
 
-    /// Whether what was true when the step was admitted still is.
+    /// Checks a queued step again before it runs: its attempt, model, layers and position.
     fn check_run(&self, now_ms: u64, step: &wire::Step) -> Result<(), StepRefusal> {
         self.sessions.check_attempt(step)?;
-        self.check_held(now_ms, step)?;
+        self.check_loaded(now_ms, step)?;
         self.sessions.check_position(step)
     }
 
-    fn check_held(&self, now_ms: u64, step: &wire::Step) -> Result<(), StepRefusal> {
-        match self.held.has(now_ms, &step.model, step.layers) {
+    fn check_loaded(&self, now_ms: u64, step: &wire::Step) -> Result<(), StepRefusal> {
+        match self.loaded.includes(now_ms, &step.model, step.layers) {
             true => Ok(()),
             false => Err(StepRefusal::Layers),
         }
@@ -283,13 +293,13 @@
 
     fn run(&mut self, now_ms: u64, step: &wire::Step, cached: u32) -> wire::StepResult {
         if let Err(reason) = self.check_run(now_ms, step) {
-            return self.refused(step, reason);
+            return self.refuse(step, reason);
         }
-        if let Some(result) = self.repeated(step) {
+        if let Some(result) = self.earlier_result(step) {
             return result;
         }
         let Some(session) = self.sessions.get_mut(&step.request) else {
-            return self.refused(step, StepRefusal::Position);
+            return self.refuse(step, StepRefusal::Position);
         };
         session.last_used_ms = now_ms;
         let last_layer = step.layers.end == self.cfg.model_layers;
@@ -310,14 +320,14 @@
         self.done(step, outputs, cached)
     }
 
-    fn repeated(&mut self, step: &wire::Step) -> Option<wire::StepResult> {
-        let kept = self
+    fn earlier_result(&mut self, step: &wire::Step) -> Option<wire::StepResult> {
+        let earlier = self
             .sessions
             .get(&step.request)?
-            .kept(StepId::of(step))?
+            .result_of(StepId::of(step))?
             .clone();
         self.stats.repeated += 1;
-        Some(self.done(step, kept.outputs, kept.cached))
+        Some(self.done(step, earlier.outputs, earlier.cached))
     }
 
     fn done(&self, step: &wire::Step, outputs: Vec<u64>, cached: u32) -> wire::StepResult {
@@ -336,7 +346,7 @@
         )
     }
 
-    fn refused(&mut self, step: &wire::Step, reason: StepRefusal) -> wire::StepResult {
+    fn refuse(&mut self, step: &wire::Step, reason: StepRefusal) -> wire::StepResult {
         self.stats.refused += 1;
         let expected = self
             .sessions
@@ -345,13 +355,14 @@
         result(step, StepOutcome::Refused { reason, expected })
     }
 
-    fn forget_pending(&mut self, step: &wire::Step) {
+    fn remove_pending(&mut self, step: &wire::Step) {
         if let Some(session) = self.sessions.get_mut(&step.request) {
             session.remove_pending(StepId::of(step));
         }
     }
 
-    /// The formula of the module [`super`], without the factors `slow` and `time_scale`.
+    /// The duration of the current batch by the formula of the module [`super`], without the factors
+    /// `slow` and `time_scale`.
     fn duration(&self) -> Duration {
         let mut layers = 0;
         let mut extra = 0;
@@ -367,11 +378,11 @@
         Duration::try_from_secs_f64(first * factor / 1e6).unwrap_or(Duration::MAX)
     }
 
-    fn note_load(&mut self, now_ms: u64) {
+    fn record_load(&mut self, now_ms: u64) {
         let running = self.running.len() as u32;
         let waiting = self.queue.len() as u32;
         self.load
-            .note(now_ms, running, waiting, self.sessions.len() as u32);
+            .record(now_ms, running, waiting, self.sessions.len() as u32);
     }
 }
 
--- a/crates/standins/src/engine/faults.rs
+++ b/crates/standins/src/engine/faults.rs
@@ -1,36 +1,36 @@
-//! What an engine is told to do wrong.
+//! The faults that can be injected into an engine.
 
 use serde::{Deserialize, Serialize};
 
 use crate::number;
 
-/// Whether an engine works.
+/// The operating mode of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It works.
+    /// It works normally.
     #[default]
     Up,
-    /// It accepts calls and answers nothing until this ends; then it answers late.
+    /// It accepts calls but answers none of them until the mode changes.
     Freeze,
-    /// It works `slow` times slower.
+    /// Its iterations take `slow` times as long.
     Slow,
-    /// It closes connections without an answer. When this ends it is a new life of the endpoint
-    /// that remembers nothing but its ledger.
+    /// It closes connections without an answer. Afterwards it is a new incarnation of the endpoint
+    /// that keeps only its ledger and counters.
     Down,
 }
 
-/// The faults in force. A field left out of JSON has its default.
+/// The active faults. A field that is missing in JSON has its default.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether it works.
+    /// The operating mode.
     pub mode: Mode,
-    /// The factor on times in [`Mode::Slow`].
+    /// The factor on iteration times in [`Mode::Slow`].
     #[serde(deserialize_with = "number::de_factor")]
     pub slow: f64,
-    /// The share of step results, 0 to 1, in place of which the connection is closed after the
-    /// work was done.
+    /// The fraction of step results, 0 to 1, that are lost: the step runs, then the connection is
+    /// closed instead of sending the result.
     #[serde(deserialize_with = "number::de_share")]
     pub drop_answers: f64,
 }
@@ -46,7 +46,7 @@
 }
 
 impl Faults {
-    /// The factor on times.
+    /// The factor on iteration times in the current mode.
     pub(crate) fn slow_factor(&self) -> f64 {
         if self.mode == Mode::Slow {
             self.slow
--- a/crates/standins/src/engine/ledger.rs
+++ b/crates/standins/src/engine/ledger.rs
@@ -1,19 +1,19 @@
-//! What an engine really ran.
+//! The ledger of an engine: a record of the steps that it ran.
 
 use std::{collections::VecDeque, sync::Arc};
 
 use dragonflyrill_engines::wire;
 use serde::{Deserialize, Serialize};
 
-/// The most entries that are kept.
+/// The maximum number of entries that are kept.
 pub const MAX_ENTRIES: usize = 1_000_000;
 
 /// One step that ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// The request.
+    /// The id of the request.
     pub request: Arc<str>,
-    /// The attempt.
+    /// The attempt number of the request.
     pub attempt: u32,
     /// The layers that ran.
     pub layers: wire::Layers,
@@ -32,7 +32,7 @@
 }
 
 impl Ledger {
-    /// Adds an entry; the oldest goes if there are too many.
+    /// Adds an entry and drops the oldest one if there are [`MAX_ENTRIES`] already.
     pub fn push(&mut self, entry: LedgerEntry) {
         if self.entries.len() == MAX_ENTRIES {
             self.entries.pop_front();
--- a/crates/standins/src/engine/load.rs
+++ b/crates/standins/src/engine/load.rs
@@ -1,8 +1,8 @@
-//! The load of an engine as it was some time ago.
+//! The delayed load report of an engine.
 
 use std::collections::VecDeque;
 
-/// The load at one moment.
+/// The load at one point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Load {
     pub(super) running: u32,
@@ -16,11 +16,11 @@
     load: Load,
 }
 
-/// The load over the last `lag_ms`, one sample a millisecond at most.
+/// The load over the last `lag_ms`, with at most one sample a millisecond.
 #[derive(Debug)]
 pub(super) struct LoadHistory {
     lag_ms: u64,
-    /// What is reported.
+    /// The newest load that is at least `lag_ms` old.
     reported: Load,
     /// Newer samples, oldest first.
     samples: VecDeque<Sample>,
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(super) fn note(&mut self, now_ms: u64, running: u32, waiting: u32, sessions: u32) {
+    pub(super) fn record(&mut self, now_ms: u64, running: u32, waiting: u32, sessions: u32) {
         let load = Load {
             running,
             waiting,
@@ -51,7 +51,7 @@
         self.advance(now_ms);
     }
 
-    /// The load at `now_ms` less the lag.
+    /// The load at the time `now_ms - lag_ms`.
     pub(super) fn reported(&mut self, now_ms: u64) -> Load {
         self.advance(now_ms);
         self.reported
--- a/crates/standins/src/engine/outcome.rs
+++ b/crates/standins/src/engine/outcome.rs
@@ -1,67 +1,68 @@
-//! What calls to an engine answer.
+//! Results of calls to an engine.
 
 use std::time::Duration;
 
 use dragonflyrill_engines::wire;
 use serde::{Deserialize, Serialize};
 
-/// Names a step that waits or runs, in the order of arrival.
+/// The id of a queued or running step; tickets increase in the order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(super) u64);
 
-/// What became of a submitted step.
+/// The outcome of submitting a step.
 #[derive(Debug)]
 pub enum Submitted {
-    /// It is answered.
+    /// The step is answered.
     Answered(wire::StepResult),
-    /// It waits; [`Engine::finish`](super::core::Engine::finish) or [`Engine::begin`](super::core::Engine::begin) answers it.
+    /// The step is queued; [`Engine::finish`](super::core::Engine::finish) or
+    /// [`Engine::begin`](super::core::Engine::begin) returns its result.
     Waiting(Ticket),
 }
 
-/// The answer to a step that waited.
+/// The result of a step that was queued.
 #[derive(Debug)]
 pub struct Finished {
-    /// The step.
+    /// The ticket of the step.
     pub ticket: Ticket,
-    /// Its answer.
+    /// The result of the step.
     pub result: wire::StepResult,
 }
 
-/// What [`Engine::begin`](super::core::Engine::begin) did.
+/// The outcome of [`Engine::begin`](super::core::Engine::begin).
 #[derive(Debug)]
 pub struct Iteration {
-    /// Steps that were cancelled, became stale or passed their deadline while they waited.
+    /// Steps that were cancelled, became stale or passed their deadline in the queue.
     pub refused: Vec<Finished>,
-    /// How long the iteration takes, at time scale 1 and without faults; `None` if nothing waits.
+    /// The duration of the iteration at time scale 1 and without faults; `None` if no step runs.
     pub duration: Option<Duration>,
 }
 
 /// Why a checkpoint or an order was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// An older attempt, a cancelled one, or an old fencing number.
+    /// The attempt is outdated or cancelled, or the fencing number is outdated.
     Stale,
-    /// It does not fit the model or the layers held.
+    /// It does not fit the model or its loaded layers.
     Layers,
-    /// No slot is free, or the engine takes no new requests.
+    /// No slot is free, or the engine is draining and accepts no new requests.
     Busy,
 }
 
-/// What was done since the start, over all lives of the engine.
+/// Counters since the start, over all incarnations of the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Steps that ran.
     pub ran: u64,
-    /// Positions that ran, each over all layers of its step.
+    /// Positions that ran, each counted once for all layers of its step.
     pub positions: u64,
     /// Positions that the prefix cache covered.
     pub cached: u64,
-    /// Steps answered again.
+    /// Retried steps that were answered with their earlier result.
     pub repeated: u64,
-    /// Steps refused.
+    /// Steps that were refused.
     pub refused: u64,
-    /// Iterations.
+    /// Iterations that ran.
     pub iterations: u64,
-    /// Blocks in the prefix cache.
+    /// Blocks that are now in the prefix cache.
     pub prefix_blocks: u64,
 }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of the engine stand-in.
+//! The HTTP server of the engine stand-in.
 
 use std::{
     io,
@@ -29,32 +29,32 @@
     serve::{self, AbortError, Answer, Call, Handler},
 };
 
-/// The shortest iteration that takes time: one tick of the timer.
+/// The resolution of the timer: the minimum duration of an iteration that takes any time.
 const TICK: Duration = Duration::from_millis(1);
 
 /// Starts engines on the current `actix_rt` system, each on its own address.
 pub async fn start(cfgs: Vec<EngineConfig>) -> io::Result<Running> {
-    let mut parts: Vec<(_, Arc<dyn Handler>)> = Vec::with_capacity(cfgs.len());
+    let mut listeners: Vec<(_, Arc<dyn Handler>)> = Vec::with_capacity(cfgs.len());
     let mut tasks = Vec::with_capacity(cfgs.len());
     for cfg in cfgs {
         let listener = serve::bind(cfg.listen)?;
-        let host = Arc::new(EngineHost::new(cfg));
-        tasks.push(actix_rt::spawn(Arc::clone(&host).iterate()));
-        parts.push((listener, host));
+        let server = Arc::new(EngineServer::new(cfg));
+        tasks.push(actix_rt::spawn(Arc::clone(&server).run_iterations()));
+        listeners.push((listener, server));
     }
-    serve::run(parts, tasks)
+    serve::run(listeners, tasks)
 }
 
-/// The results of one call, as they finish.
+/// The results of the steps of one call, in the order in which they finish.
 struct Results {
     rx: mpsc::UnboundedReceiver<wire::StepResult>,
-    /// Steps without a result.
+    /// The number of steps without a result.
     missing: usize,
 }
 
 impl Results {
-    /// The results that are there, at least one; nothing when the call is answered. Fails if the
-    /// engine forgot steps of the call.
+    /// Waits for at least one result and returns all that are available, or `None` when all steps have
+    /// their results. Fails if the engine restarted and lost steps of the call.
     async fn next(&mut self) -> Option<Result<Vec<wire::StepResult>, AbortError>> {
         if self.missing == 0 {
             return None;
@@ -71,12 +71,12 @@
     }
 }
 
-/// One engine behind HTTP.
-struct EngineHost {
+/// Serves one engine over HTTP.
+struct EngineServer {
     state: Mutex<State>,
     faults: watch::Sender<Faults>,
-    /// Wakes the iterations.
-    work: tokio::sync::Notify,
+    /// Notified when steps are queued or the faults change; wakes the iteration loop.
+    work_available: tokio::sync::Notify,
 }
 
 struct State {
@@ -85,13 +85,13 @@
     rng: Pcg64,
 }
 
-impl Handler for EngineHost {
+impl Handler for EngineServer {
     fn answer(self: Arc<Self>, call: Call) -> LocalBoxFuture<'static, Answer> {
         async move {
             if call.path.starts_with("/standin/") {
                 return self.control(&call).unwrap_or_else(|answer| answer);
             }
-            if self.until_answering().await.is_err() {
+            if self.wait_until_responsive().await.is_err() {
                 return Answer::Abort;
             }
             self.call(&call).unwrap_or_else(|answer| answer)
@@ -111,7 +111,7 @@
     }
 }
 
-impl EngineHost {
+impl EngineServer {
     fn new(cfg: EngineConfig) -> Self {
         let rng = Pcg64::seed_from_u64(xxh3::xxh3_64(cfg.id.as_bytes()));
         let engine = Engine::new(cfg, clock::epoch_micros());
@@ -122,7 +122,7 @@
                 rng,
             }),
             faults: watch::Sender::new(Faults::default()),
-            work: tokio::sync::Notify::new(),
+            work_available: tokio::sync::Notify::new(),
         }
     }
 
@@ -130,8 +130,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits while the engine is frozen; fails if it is down.
-    async fn until_answering(&self) -> Result<(), AbortError> {
+    /// Waits until the engine is not frozen; fails if it is down.
+    async fn wait_until_responsive(&self) -> Result<(), AbortError> {
         let mut rx = self.faults.subscribe();
         let answering = rx.wait_for(|faults| faults.mode != Mode::Freeze).await;
         match answering {
@@ -140,17 +140,17 @@
         }
     }
 
-    /// Runs iterations for ever.
-    async fn iterate(self: Arc<Self>) {
+    /// Runs iterations in an endless loop.
+    async fn run_iterations(self: Arc<Self>) {
         loop {
-            let _ = self.until_answering().await;
+            let _ = self.wait_until_responsive().await;
             let iteration = self.lock().begin();
             let Some(duration) = iteration else {
-                self.work.notified().await;
+                self.work_available.notified().await;
                 continue;
             };
             self.sleep(duration).await;
-            let _ = self.until_answering().await;
+            let _ = self.wait_until_responsive().await;
             self.lock().finish();
         }
     }
@@ -211,7 +211,8 @@
         Ok(Answer::empty(StatusCode::NO_CONTENT))
     }
 
-    /// Submits one step per line; answers one result per line as they finish.
+    /// Submits the steps of the body, one per line, and streams their results, one per line, as they
+    /// finish.
     fn steps(self: &Arc<Self>, call: &Call) -> Result<Answer, Answer> {
         let steps = parse_lines(&call.body)?;
         let (tx, rx) = mpsc::unbounded_channel();
@@ -224,21 +225,21 @@
             state.submit(step, &tx);
         }
         drop(state);
-        self.work.notify_one();
-        let host = Arc::clone(self);
+        self.work_available.notify_one();
+        let server = Arc::clone(self);
         let batches = stream::unfold(results, async |mut results| {
             Some((results.next().await?, results))
         });
-        let lines = batches.then(move |batch| Arc::clone(&host).lines(batch));
+        let lines = batches.then(move |batch| Arc::clone(&server).encode_results(batch));
         Ok(Answer::Stream(Box::pin(lines)))
     }
 
-    /// The lines of results, unless the engine is told to lose one of them.
-    async fn lines(
+    /// Encodes results as lines of JSON; fails if the fault `drop_answers` selects one of them.
+    async fn encode_results(
         self: Arc<Self>,
         batch: Result<Vec<wire::StepResult>, AbortError>,
     ) -> Result<Bytes, AbortError> {
-        self.until_answering().await?;
+        self.wait_until_responsive().await?;
         let drop_answers = self.faults.borrow().drop_answers;
         let mut lines = Vec::new();
         for result in &batch? {
@@ -257,7 +258,7 @@
                 let faults: Faults = call.json()?;
                 self.set_faults(faults);
             }
-            (&Method::POST, "/standin/leave") => self.lock().engine.leave(),
+            (&Method::POST, "/standin/leave") => self.lock().engine.start_draining(),
             (&Method::GET, "/standin/stats") => {
                 return Ok(Answer::json(&self.lock().engine.stats()));
             }
@@ -280,7 +281,7 @@
         );
         drop(state);
         self.faults.send_replace(faults);
-        self.work.notify_one();
+        self.work_available.notify_one();
     }
 }
 
@@ -303,7 +304,8 @@
         self.answer(finished);
     }
 
-    /// A caller that has gone is no error: the work was done all the same.
+    /// Sends results to their callers. A caller that has disconnected is not an error: its steps ran
+    /// nevertheless.
     fn answer(&mut self, finished: Vec<Finished>) {
         for Finished { ticket, result } in finished {
             if let Some(tx) = self.waiting.remove(&ticket) {
--- a/crates/standins/src/engine/session.rs
+++ b/crates/standins/src/engine/session.rs
@@ -1,4 +1,4 @@
-//! What an engine holds for one request.
+//! The session of a request: its KV cache and the results of its steps.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::reference;
 
-/// Names a step within its request.
+/// The id of a step within its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct StepId {
     pub(super) attempt: u32,
@@ -23,67 +23,67 @@
     }
 }
 
-/// The result of a step that ran, kept to answer it again.
+/// The result of a step that ran, kept to answer retries of the step.
 #[derive(Debug, Clone)]
-pub(super) struct Kept {
+pub(super) struct StepOutput {
     pub(super) outputs: Vec<u64>,
     pub(super) cached: u32,
 }
 
-/// Copies of one step that wait or run.
+/// The copies of one step that are queued or running.
 #[derive(Debug, Clone, Copy)]
 struct Pending {
-    /// The position after the step.
+    /// The position after the last one of the step.
     end: u32,
     copies: u32,
 }
 
-/// The KV cache of one request over some layers.
+/// The KV cache of one request over a range of layers.
 #[derive(Debug)]
 pub(super) struct Session {
     pub(super) request: Arc<str>,
     pub(super) layers: wire::Layers,
-    /// The newest attempt seen; older ones are refused.
-    pub(super) seen: u32,
-    /// The attempt of the last step that ran, or of the import.
-    pub(super) ran: u32,
+    /// The newest attempt that was received; older ones are refused.
+    pub(super) newest_attempt: u32,
+    /// The attempt of the last step that ran, or of the imported checkpoint.
+    pub(super) ran_attempt: u32,
     /// The position after the last one that ran.
     pub(super) position: u32,
     /// One KV state for each of `layers`.
     pub(super) states: Vec<u64>,
     pub(super) last_used_ms: u64,
-    /// Steps of attempt `ran` only.
-    kept: FxHashMap<StepId, Kept>,
+    /// Results of steps of the attempt `ran_attempt` only.
+    results: FxHashMap<StepId, StepOutput>,
     pending: FxHashMap<StepId, Pending>,
 }
 
 impl Session {
-    /// The empty session in which `step` is the first step.
+    /// Creates an empty session for a request whose first step is `step`.
     pub(super) fn new(step: &wire::Step, now_ms: u64) -> Self {
         Self {
             request: step.request.as_str().into(),
             layers: step.layers,
-            seen: step.attempt,
-            ran: step.attempt,
+            newest_attempt: step.attempt,
+            ran_attempt: step.attempt,
             position: 0,
             states: reference::initial_states(&step.model, step.layers.first, step.layers.end),
             last_used_ms: now_ms,
-            kept: FxHashMap::default(),
+            results: FxHashMap::default(),
             pending: FxHashMap::default(),
         }
     }
 
-    /// The session that goes on from a checkpoint.
+    /// Creates a session that continues from a checkpoint.
     pub(super) fn import(checkpoint: &wire::KvCheckpoint, now_ms: u64) -> Self {
         Self {
             request: checkpoint.request.as_str().into(),
             layers: checkpoint.layers,
-            seen: checkpoint.attempt,
-            ran: checkpoint.attempt,
+            newest_attempt: checkpoint.attempt,
+            ran_attempt: checkpoint.attempt,
             position: checkpoint.position,
             states: checkpoint.state.clone(),
             last_used_ms: now_ms,
-            kept: FxHashMap::default(),
+            results: FxHashMap::default(),
             pending: FxHashMap::default(),
         }
     }
@@ -91,7 +91,7 @@
     pub(super) fn export(&self, model: &str) -> wire::KvCheckpoint {
         wire::KvCheckpoint {
             request: self.request.as_ref().to_owned(),
-            attempt: self.ran,
+            attempt: self.ran_attempt,
             model: model.to_owned(),
             layers: self.layers,
             position: self.position,
@@ -99,22 +99,22 @@
         }
     }
 
-    /// The result of a step that ran in this session.
-    pub(super) fn kept(&self, id: StepId) -> Option<&Kept> {
-        self.kept.get(&id)
+    /// The result of a step, if it ran in this session.
+    pub(super) fn result_of(&self, id: StepId) -> Option<&StepOutput> {
+        self.results.get(&id)
     }
 
-    /// Whether a copy of the step waits or runs.
+    /// Whether a copy of the step is queued or running.
     pub(super) fn is_pending(&self, id: StepId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    /// Whether nothing of this session waits or runs.
+    /// Whether no step of this session is queued or running.
     pub(super) fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// The position at which the session ends when all waiting steps of `attempt` have run.
+    /// The position at which the session ends when all pending steps of `attempt` have run.
     pub(super) fn end_of_pending(&self, attempt: u32) -> u32 {
         let pending = self.pending.iter().filter(|(id, _)| id.attempt == attempt);
         pending
@@ -137,11 +137,11 @@
         }
     }
 
-    /// Runs a step that starts at `position`, and keeps its result.
-    pub(super) fn run(&mut self, step: &wire::Step, cached: u32, last_layer: bool) -> &Kept {
-        if self.ran != step.attempt {
-            self.ran = step.attempt;
-            self.kept.clear();
+    /// Runs a step that starts at `position` and keeps its result.
+    pub(super) fn run(&mut self, step: &wire::Step, cached: u32, last_layer: bool) -> &StepOutput {
+        if self.ran_attempt != step.attempt {
+            self.ran_attempt = step.attempt;
+            self.results.clear();
         }
         let mut outputs = Vec::with_capacity(step.inputs.len());
         for &input in &step.inputs {
@@ -154,8 +154,8 @@
             });
             self.position += 1;
         }
-        self.kept
+        self.results
             .entry(StepId::of(step))
-            .or_insert(Kept { outputs, cached })
+            .or_insert(StepOutput { outputs, cached })
     }
 }
--- a/crates/standins/src/engine/sessions.rs
+++ b/crates/standins/src/engine/sessions.rs
@@ -1,4 +1,4 @@
-//! What an engine holds for all requests, in a bounded number of slots.
+//! The sessions of all requests of an engine, in a bounded number of slots.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -10,16 +10,16 @@
     session::{Session, StepId},
 };
 
-/// The most cancelled requests that are remembered.
-const MAX_CLOSED: usize = 100_000;
+/// The maximum number of cancelled requests whose records are kept.
+const MAX_CANCEL_RECORDS: usize = 100_000;
 
-/// The attempts of a request that are refused, whether or not it has a session.
+/// The attempts of a cancelled request that are refused, whether or not it has a session.
 #[derive(Debug, Clone, Copy, Default)]
-struct Closed {
+struct CancelRecord {
     /// Attempts up to this one were cancelled.
     cancelled: Option<u32>,
     /// Attempts before this one are stale.
-    seen: u32,
+    newest_attempt: u32,
 }
 
 /// The sessions of one engine.
@@ -27,12 +27,12 @@
 pub(super) struct Sessions {
     max: usize,
     idle_ms: u64,
-    /// By request; at most `max`.
+    /// The sessions by request id; at most `max`.
     sessions: FxHashMap<String, Session>,
-    /// Requests that were cancelled.
-    closed: FxHashMap<String, Closed>,
-    /// The keys of `closed`, oldest first.
-    closed_order: VecDeque<String>,
+    /// The cancelled requests by id.
+    cancelled: FxHashMap<String, CancelRecord>,
+    /// The keys of `cancelled`, oldest first.
+    cancel_order: VecDeque<String>,
 }
 
 impl Sessions {
@@ -41,8 +41,8 @@
             max,
             idle_ms,
             sessions: FxHashMap::default(),
-            closed: FxHashMap::default(),
-            closed_order: VecDeque::new(),
+            cancelled: FxHashMap::default(),
+            cancel_order: VecDeque::new(),
         }
     }
 
@@ -50,7 +50,7 @@
         self.sessions.len()
     }
 
-    /// Frees all slots; what was cancelled stays cancelled.
+    /// Removes all sessions; the records of cancelled requests stay.
     pub(super) fn clear(&mut self) {
         self.sessions.clear();
     }
@@ -63,46 +63,46 @@
         self.sessions.get_mut(request)
     }
 
-    /// Whether the step's attempt is neither cancelled nor older than one seen.
+    /// Checks that the step's attempt is neither cancelled nor older than the newest one received.
     pub(super) fn check_attempt(&self, step: &wire::Step) -> Result<(), StepRefusal> {
-        let closed = self.closed(&step.request);
-        if closed.cancelled >= Some(step.attempt) {
+        let record = self.cancel_record(&step.request);
+        if record.cancelled >= Some(step.attempt) {
             return Err(StepRefusal::Cancelled);
         }
         let session = self.get(&step.request);
-        if step.attempt < session.map_or(closed.seen, |session| session.seen) {
+        if step.attempt < session.map_or(record.newest_attempt, |session| session.newest_attempt) {
             return Err(StepRefusal::StaleAttempt);
         }
         Ok(())
     }
 
-    /// Whether the step starts where its session ends, or ran.
+    /// Checks that the step starts at the end of its session, or that it ran already.
     pub(super) fn check_position(&self, step: &wire::Step) -> Result<(), StepRefusal> {
         let session = self.get(&step.request).ok_or(StepRefusal::Position)?;
-        if step.start != session.position && session.kept(StepId::of(step)).is_none() {
+        if step.start != session.position && session.result_of(StepId::of(step)).is_none() {
             return Err(StepRefusal::Position);
         }
         Ok(())
     }
 
-    /// Whether the step, whose attempt is in order, may run after those that wait. Makes the
-    /// session of a new request.
+    /// Checks whether a step that passed [`Self::check_attempt`] may run after the pending ones, and
+    /// creates the session of a new request.
     pub(super) fn admit(
         &mut self,
         now_ms: u64,
         step: &wire::Step,
-        leaving: bool,
+        draining: bool,
     ) -> Result<(), StepRefusal> {
         if let Some(session) = self.get_mut(&step.request) {
             return admit_known(session, now_ms, step);
         }
-        if leaving {
+        if draining {
             return Err(StepRefusal::Leaving);
         }
         if step.start != 0 {
             return Err(StepRefusal::Position);
         }
-        if !self.make_room(now_ms) {
+        if !self.free_slot(now_ms) {
             return Err(StepRefusal::Busy);
         }
         let session = Session::new(step, now_ms);
@@ -110,35 +110,36 @@
         Ok(())
     }
 
-    /// Frees the session of a request unless a newer attempt ran.
+    /// Records the cancel of an attempt, and removes the session of the request unless a newer attempt
+    /// ran.
     pub(super) fn cancel(&mut self, cancel: &wire::Cancel) {
-        let mut closed = self.closed(&cancel.request);
-        closed.cancelled = closed.cancelled.max(Some(cancel.attempt));
-        closed.seen = closed.seen.max(cancel.attempt);
+        let mut record = self.cancel_record(&cancel.request);
+        record.cancelled = record.cancelled.max(Some(cancel.attempt));
+        record.newest_attempt = record.newest_attempt.max(cancel.attempt);
         if let Some(session) = self.sessions.get(&cancel.request) {
-            closed.seen = closed.seen.max(session.seen);
-            if session.ran <= cancel.attempt {
+            record.newest_attempt = record.newest_attempt.max(session.newest_attempt);
+            if session.ran_attempt <= cancel.attempt {
                 self.sessions.remove(&cancel.request);
             }
         }
-        self.close(&cancel.request, closed);
+        self.record_cancel(&cancel.request, record);
     }
 
-    /// Puts a checkpoint, which fits what is held, in place of the session of its request.
+    /// Replaces the session of a request by a checkpoint, which has to fit the loaded model and layers.
     pub(super) fn import(
         &mut self,
         now_ms: u64,
         kv: &wire::KvCheckpoint,
-        leaving: bool,
+        draining: bool,
     ) -> Result<(), Refusal> {
-        let closed = self.closed(&kv.request);
-        if closed.cancelled >= Some(kv.attempt) || closed.seen > kv.attempt {
+        let record = self.cancel_record(&kv.request);
+        if record.cancelled >= Some(kv.attempt) || record.newest_attempt > kv.attempt {
             return Err(Refusal::Stale);
         }
-        match self.get(&kv.request).map(|session| session.seen) {
-            Some(seen) if seen > kv.attempt => return Err(Refusal::Stale),
+        match self.get(&kv.request).map(|session| session.newest_attempt) {
+            Some(newest_attempt) if newest_attempt > kv.attempt => return Err(Refusal::Stale),
             Some(_) => {}
-            None if leaving || !self.make_room(now_ms) => return Err(Refusal::Busy),
+            None if draining || !self.free_slot(now_ms) => return Err(Refusal::Busy),
             None => {}
         }
         let session = Session::import(kv, now_ms);
@@ -146,24 +147,25 @@
         Ok(())
     }
 
-    fn closed(&self, request: &str) -> Closed {
-        self.closed.get(request).copied().unwrap_or_default()
+    fn cancel_record(&self, request: &str) -> CancelRecord {
+        self.cancelled.get(request).copied().unwrap_or_default()
     }
 
-    fn close(&mut self, request: &str, closed: Closed) {
-        if self.closed.insert(request.to_owned(), closed).is_some() {
+    fn record_cancel(&mut self, request: &str, record: CancelRecord) {
+        if self.cancelled.insert(request.to_owned(), record).is_some() {
             return;
         }
-        self.closed_order.push_back(request.to_owned());
-        if self.closed_order.len() > MAX_CLOSED
-            && let Some(oldest) = self.closed_order.pop_front()
+        self.cancel_order.push_back(request.to_owned());
+        if self.cancel_order.len() > MAX_CANCEL_RECORDS
+            && let Some(oldest) = self.cancel_order.pop_front()
         {
-            self.closed.remove(&oldest);
+            self.cancelled.remove(&oldest);
         }
     }
 
-    /// Whether a slot is free, if need be after dropping the session that is idle for longest.
-    fn make_room(&mut self, now_ms: u64) -> bool {
+    /// Returns whether a slot is free. If none is, evicts the session that has been idle longest, provided
+    /// that it has been idle for `idle_ms`.
+    fn free_slot(&mut self, now_ms: u64) -> bool {
         if self.sessions.len() < self.max {
             return true;
         }
@@ -181,13 +183,13 @@
 }
 
 fn admit_known(session: &mut Session, now_ms: u64, step: &wire::Step) -> Result<(), StepRefusal> {
-    session.seen = step.attempt;
+    session.newest_attempt = step.attempt;
     session.last_used_ms = now_ms;
     if step.layers != session.layers {
         return Err(StepRefusal::Layers);
     }
     let id = StepId::of(step);
-    let known = session.kept(id).is_some() || session.is_pending(id);
+    let known = session.result_of(id).is_some() || session.is_pending(id);
     if !known && step.start != session.end_of_pending(step.attempt) {
         return Err(StepRefusal::Position);
     }
--- a/crates/standins/tests/engine_steps.rs
+++ b/crates/standins/tests/engine_steps.rs
@@ -207,7 +207,7 @@
 fn a_leaving_engine_goes_on_with_known_requests_only() {
     let mut engine = engine();
     driver::run(&mut engine, 0, attempt(1, 0, &[5]));
-    engine.leave();
+    engine.start_draining();
     let known = driver::run(&mut engine, 0, attempt(1, 1, &[6]));
     assert_eq!(outputs(&known).len(), 1);
     let new = driver::run(&mut engine, 0, step("new", ALL, 0, &[5]));
