--- a/crates/standins/src/bin/standin-engine.rs
+++ b/crates/standins/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! Runs engine stand-ins, many in one process, until SIGTERM or SIGINT.
+//! Runs one or more engine stand-ins in one process until SIGTERM or SIGINT.
 
 use std::{net::SocketAddr, path::PathBuf};
 
--- a/crates/standins/src/bin/standin-service.rs
+++ b/crates/standins/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! Runs service stand-ins, many in one process, until SIGTERM or SIGINT.
+//! Runs one or more service stand-ins in one process until SIGTERM or SIGINT.
 
 use std::{net::SocketAddr, path::PathBuf};
 
--- a/crates/standins/src/relay/connection.rs
+++ b/crates/standins/src/relay/connection.rs
@@ -1,5 +1,5 @@
-//! One relayed connection: two directions, each a reader and a writer with a queue between them,
-//! so that a delay does not bound the throughput.
+//! One relayed connection. Each of its two directions has a reader and a writer with a queue between
+//! them, so that a delay does not limit the throughput.
 
 use std::{
     io,
@@ -19,46 +19,49 @@
 
 use super::{
     Direction, LinkFaults,
-    link::{Blow, Link},
+    link::{ConnectionFault, Link},
 };
 
-/// The most that one read takes.
-const READ_BYTES: usize = 64 * 1024;
-/// Reads under way in one direction.
-const QUEUE: usize = 256;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// The maximum number of chunks queued in one direction.
+const QUEUE_CHUNKS: usize = 256;
 
-/// Bytes under way; none at the end of the direction.
-struct Piece {
+/// Bytes in transit and the time at which to forward them. Empty bytes mark the end of the direction.
+struct Chunk {
     due: Instant,
     bytes: Bytes,
 }
 
-/// Relays one connection until it ends, loses bytes for good, is struck, or the relay stops.
+/// Relays one connection until it ends, or until it has lost bytes and the link carries bytes again.
+///
+/// The connection fault [`ConnectionFault::Reset`] resets it. After [`ConnectionFault::Silence`] the
+/// future keeps both sockets open and never completes.
 pub(super) async fn relay(
     link: Arc<Link>,
-    mut near: TcpStream,
-    mut far: TcpStream,
+    mut client: TcpStream,
+    mut target: TcpStream,
 ) -> io::Result<()> {
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let mut blows = link.blows.subscribe();
-    let blow = {
-        let (near_rx, near_tx) = near.split();
-        let (far_rx, far_tx) = far.split();
-        let there = direction(&link, Direction::There, near_rx, far_tx);
-        let back = direction(&link, Direction::Back, far_rx, near_tx);
-        let relayed = Box::pin(future::try_join(there, back));
-        let struck = Box::pin(blows.changed());
-        match future::select(relayed, struck).await {
+    client.set_nodelay(true)?;
+    target.set_nodelay(true)?;
+    let mut connection_faults = link.connection_faults.subscribe();
+    let fault = {
+        let (client_rx, client_tx) = client.split();
+        let (target_rx, target_tx) = target.split();
+        let upstream = direction(&link, Direction::Upstream, client_rx, target_tx);
+        let downstream = direction(&link, Direction::Downstream, target_rx, client_tx);
+        let relaying = Box::pin(future::try_join(upstream, downstream));
+        let fault_injected = Box::pin(connection_faults.changed());
+        match future::select(relaying, fault_injected).await {
             Either::Left((ended, _)) => return ended.map(drop),
-            Either::Right(_) => *link.blows.borrow(),
+            Either::Right(_) => *link.connection_faults.borrow(),
         }
     };
-    match blow {
-        Some(Blow::Silence) => future::pending().await,
-        Some(Blow::Reset) | None => {
-            // A close without lingering is a reset.
-            for socket in [&near, &far] {
+    match fault {
+        Some(ConnectionFault::Silence) => future::pending().await,
+        Some(ConnectionFault::Reset) | None => {
+            // Closing a socket with a linger time of 0 sends a TCP reset.
+            for socket in [&client, &target] {
                 SockRef::from(socket).set_linger(Some(Duration::ZERO))?;
             }
             Ok(())
@@ -72,7 +75,7 @@
     from: impl AsyncRead + Unpin,
     to: impl AsyncWrite + Unpin,
 ) -> io::Result<()> {
-    let (tx, rx) = mpsc::channel(QUEUE);
+    let (tx, rx) = mpsc::channel(QUEUE_CHUNKS);
     future::try_join(read(link, from, tx), write(link, direction, to, rx)).await?;
     Ok(())
 }
@@ -80,15 +83,15 @@
 async fn read(
     link: &Link,
     mut from: impl AsyncRead + Unpin,
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<Chunk>,
 ) -> io::Result<()> {
-    let mut buf = vec![0; READ_BYTES];
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     loop {
         let count = from.read(&mut buf).await?;
         let delay_ms = link.faults.borrow().delay_ms;
         let due = Instant::now() + Duration::from_millis(delay_ms);
         let bytes = Bytes::copy_from_slice(&buf[..count]);
-        let sent = tx.send(Piece { due, bytes }).await;
+        let sent = tx.send(Chunk { due, bytes }).await;
         if count == 0 || sent.is_err() {
             return Ok(());
         }
@@ -99,14 +102,14 @@
     link: &Link,
     direction: Direction,
     mut to: impl AsyncWrite + Unpin,
-    mut rx: mpsc::Receiver<Piece>,
+    mut rx: mpsc::Receiver<Chunk>,
 ) -> io::Result<()> {
     let mut faults = link.faults.subscribe();
-    while let Some(Piece { due, bytes }) = rx.recv().await {
+    while let Some(Chunk { due, bytes }) = rx.recv().await {
         tokio::time::sleep_until(due).await;
         if faults.borrow_and_update().mode.drops(direction) {
             link.counters.dropped.fetch_add(bytes.len() as u64, Relaxed);
-            return drain(link, direction, faults, rx).await;
+            return discard(link, direction, faults, rx).await;
         }
         if bytes.is_empty() {
             return to.shutdown().await;
@@ -117,21 +120,22 @@
     Ok(())
 }
 
-/// Drops what comes until the link is whole again, then fails, which closes the connection.
-async fn drain(
+/// Drops received bytes until the link carries this direction again, then fails, which closes the
+/// connection.
+async fn discard(
     link: &Link,
     direction: Direction,
     mut faults: watch::Receiver<LinkFaults>,
-    mut rx: mpsc::Receiver<Piece>,
+    mut rx: mpsc::Receiver<Chunk>,
 ) -> io::Result<()> {
     let dropping = async {
-        while let Some(Piece { bytes, .. }) = rx.recv().await {
+        while let Some(Chunk { bytes, .. }) = rx.recv().await {
             link.counters.dropped.fetch_add(bytes.len() as u64, Relaxed);
         }
         future::pending::<()>().await;
     };
-    let whole = faults.wait_for(|faults| !faults.mode.drops(direction));
-    future::select(Box::pin(whole), Box::pin(dropping)).await;
+    let restored = faults.wait_for(|faults| !faults.mode.drops(direction));
+    future::select(Box::pin(restored), Box::pin(dropping)).await;
     Err(io::Error::new(
         io::ErrorKind::ConnectionReset,
         "bytes were lost",
--- a/crates/standins/src/relay/link.rs
+++ b/crates/standins/src/relay/link.rs
@@ -14,12 +14,12 @@
     pub(super) dropped: AtomicU64,
 }
 
-/// What befalls the connections that are open when it happens.
+/// A fault of the connections that are open when it is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Blow {
-    /// They are reset.
+pub(super) enum ConnectionFault {
+    /// The connections are reset.
     Reset,
-    /// They stay open and carry nothing more.
+    /// The connections stay open and carry no more bytes.
     Silence,
 }
 
@@ -27,8 +27,8 @@
 pub(super) struct Link {
     pub(super) cfg: LinkConfig,
     pub(super) faults: watch::Sender<LinkFaults>,
-    /// The newest blow; connections see those that come after they were opened.
-    pub(super) blows: watch::Sender<Option<Blow>>,
+    /// The newest connection fault; each connection watches for faults after it was opened.
+    pub(super) connection_faults: watch::Sender<Option<ConnectionFault>>,
     pub(super) counters: Counters,
 }
 
@@ -38,7 +38,7 @@
         Self {
             cfg,
             faults,
-            blows: watch::Sender::new(None),
+            connection_faults: watch::Sender::new(None),
             counters: Counters::default(),
         }
     }
@@ -48,9 +48,9 @@
         self.faults.send_replace(faults);
     }
 
-    pub(super) fn strike(&self, blow: Blow) {
-        log::info!("relay {}: {blow:?}.", self.cfg.name);
-        self.blows.send_replace(Some(blow));
+    pub(super) fn inject(&self, fault: ConnectionFault) {
+        log::info!("relay {}: {fault:?}.", self.cfg.name);
+        self.connection_faults.send_replace(Some(fault));
     }
 
     pub(super) fn stats(&self) -> LinkStats {
--- a/crates/standins/src/relay/mod.rs
+++ b/crates/standins/src/relay/mod.rs
@@ -1,20 +1,21 @@
-//! A TCP relay whose links can be cut and delayed, for the links between data centres and to the
-//! platform.
+//! A TCP relay whose links can be cut and delayed. It stands in for the network between data centres
+//! and to the platform.
 //!
-//! Its control address takes:
+//! Its control address serves:
 //!
 //! | call | answer |
 //! |---|---|
 //! | `POST /standin/faults` | 204; replaces the [`LinkFaults`] of all links |
 //! | `POST /standin/links/NAME` | 204; replaces the [`LinkFaults`] of one link |
-//! | `POST /standin/links/NAME/reset` | 204; resets the connections that are open |
-//! | `POST /standin/links/NAME/silence` | 204; the connections that are open carry nothing more |
+//! | `POST /standin/links/NAME/reset` | 204; resets all open connections |
+//! | `POST /standin/links/NAME/silence` | 204; all open connections carry no more bytes |
 //! | `GET /standin/stats` | a JSON array of [`LinkStats`] |
 //!
 //! A link that is cut behaves like a network partition: bytes are dropped, ends of connections are
-//! not passed on, and new connections are closed at once. Cut one way, it still carries the other
-//! direction. When it is whole again, connections that lost bytes are closed, as nothing could put
-//! them right. Connections that were silenced stay open and silent for good, while new ones work.
+//! not forwarded, and new connections are closed immediately. A link that is cut in one direction
+//! still carries the other one and accepts new connections. When the link carries bytes again,
+//! connections that lost bytes are closed, as their streams can't be repaired. Silenced connections
+//! stay open and never carry bytes again, while new connections work.
 //!
 //! [`RunningLink`] is one link without a control address, for use within a process.
 
@@ -35,9 +36,9 @@
 pub struct LinkConfig {
     /// The link's name.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address on which it listens; with port 0 the system assigns a free port.
     pub listen: SocketAddr,
-    /// Where it leads.
+    /// The target: the address to which it relays connections.
     pub to: SocketAddr,
 }
 
@@ -55,28 +56,28 @@
     }
 }
 
-/// Whether a link carries bytes.
+/// Which bytes a link carries.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It does.
+    /// It carries bytes in both directions.
     #[default]
     Up,
-    /// It drops them.
+    /// It drops the bytes of both directions and closes new connections.
     Cut,
-    /// It drops those towards its end.
+    /// It drops the bytes to its target.
     CutThere,
-    /// It drops those from its end.
+    /// It drops the bytes from its target.
     CutBack,
 }
 
 /// One direction of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    /// Towards its end.
-    There,
-    /// From its end.
-    Back,
+    /// To the target.
+    Upstream,
+    /// From the target.
+    Downstream,
 }
 
 impl Mode {
@@ -85,33 +86,33 @@
         match self {
             Self::Up => false,
             Self::Cut => true,
-            Self::CutThere => direction == Direction::There,
-            Self::CutBack => direction == Direction::Back,
+            Self::CutThere => direction == Direction::Upstream,
+            Self::CutBack => direction == Direction::Downstream,
         }
     }
 }
 
-/// The faults of a link. A field left out of JSON has its default.
+/// The faults of a link. A field that is missing in JSON has its default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkFaults {
-    /// Whether it carries bytes.
+    /// Which bytes the link carries.
     pub mode: Mode,
-    /// Time that bytes take one way, in milliseconds.
+    /// The delay in each direction, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// What a link did since the start.
+/// The counters of a link since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkStats {
     /// The link's name.
     pub name: String,
     /// Connections that were relayed.
     pub accepted: u64,
-    /// Connections that were closed at once because the link was cut or its end did not answer.
+    /// Connections that were closed immediately because the link was cut or its target did not accept.
     pub refused: u64,
-    /// Bytes carried, both ways.
+    /// Bytes carried, in both directions.
     pub carried: u64,
-    /// Bytes dropped, both ways.
+    /// Bytes dropped, in both directions.
     pub dropped: u64,
 }
--- a/crates/standins/src/relay/server.rs
+++ b/crates/standins/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! The sockets of the relay.
+//! The listeners and the control server of the relay.
 
 use std::{
     io,
@@ -17,19 +17,19 @@
 
 use super::{
     LinkConfig, LinkFaults, LinkStats, Mode, connection,
-    link::{Blow, Link},
+    link::{ConnectionFault, Link},
 };
 use crate::{
     Running,
     serve::{self, Answer, Call, Handler},
 };
 
-/// How long the end of a link may take to accept.
+/// The time limit for connecting to the target of a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// The wait after a failure to accept.
+/// The delay after a failure to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// A relay that runs.
+/// A running relay.
 pub struct RunningRelay {
     control: Running,
     links: Vec<SocketAddr>,
@@ -48,7 +48,7 @@
         &self.links
     }
 
-    /// Stops at once and closes all connections.
+    /// Stops immediately and closes all connections.
     pub async fn stop(self) {
         drop(self.stop);
         self.control.stop().await;
@@ -77,24 +77,24 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Replaces its faults.
+    /// Replaces the faults of the link.
     pub fn set_faults(&self, faults: LinkFaults) {
         self.link.set_faults(faults);
     }
 
     /// Resets the connections that are open.
     pub fn reset(&self) {
-        self.link.strike(Blow::Reset);
+        self.link.inject(ConnectionFault::Reset);
     }
 
-    /// Has the connections that are open carry nothing more.
+    /// Silences the connections that are open: they carry no more bytes.
     pub fn silence(&self) {
-        self.link.strike(Blow::Silence);
+        self.link.inject(ConnectionFault::Silence);
     }
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// Opens a link; it accepts while the future is polled.
+/// Opens a link. It accepts connections while the returned future is polled.
 fn open(
     cfg: LinkConfig,
     stopped: watch::Receiver<()>,
@@ -141,8 +141,8 @@
 async fn accept(link: Arc<Link>, listener: TcpListener, stopped: watch::Receiver<()>) {
     loop {
         match listener.accept().await {
-            Ok((near, _)) => {
-                actix_rt::spawn(connect(Arc::clone(&link), near, stopped.clone()));
+            Ok((client, _)) => {
+                actix_rt::spawn(connect(Arc::clone(&link), client, stopped.clone()));
             }
             Err(err) => {
                 log::warn!("relay {}: accept: {err}.", link.cfg.name);
@@ -152,19 +152,19 @@
     }
 }
 
-async fn connect(link: Arc<Link>, near: TcpStream, mut stopped: watch::Receiver<()>) {
+async fn connect(link: Arc<Link>, client: TcpStream, mut stopped: watch::Receiver<()>) {
     if link.faults.borrow().mode == Mode::Cut {
         link.counters.refused.fetch_add(1, Relaxed);
         return;
     }
-    let far = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(link.cfg.to)).await;
-    let Ok(Ok(far)) = far else {
+    let target = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(link.cfg.to)).await;
+    let Ok(Ok(target)) = target else {
         link.counters.refused.fetch_add(1, Relaxed);
         return;
     };
     link.counters.accepted.fetch_add(1, Relaxed);
-    let relayed = Box::pin(connection::relay(link, near, far));
-    futures_util::future::select(relayed, Box::pin(stopped.changed())).await;
+    let relaying = Box::pin(connection::relay(link, client, target));
+    futures_util::future::select(relaying, Box::pin(stopped.changed())).await;
 }
 
 struct Control {
@@ -192,13 +192,13 @@
                 let name = path
                     .strip_prefix("/standin/links/")
                     .ok_or_else(Answer::not_found)?;
-                let (name, blow) = name.split_once('/').unwrap_or((name, ""));
+                let (name, fault) = name.split_once('/').unwrap_or((name, ""));
                 let link = self.links.iter().find(|link| link.cfg.name == name);
                 let link = link.ok_or_else(Answer::not_found)?;
-                match blow {
+                match fault {
                     "" => link.set_faults(call.json()?),
-                    "reset" => link.strike(Blow::Reset),
-                    "silence" => link.strike(Blow::Silence),
+                    "reset" => link.inject(ConnectionFault::Reset),
+                    "silence" => link.inject(ConnectionFault::Silence),
                     _ => return Err(Answer::not_found()),
                 }
             }
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -177,7 +177,7 @@
 
 impl std::fmt::Display for AbortError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("cut by the stand-in")
+        f.write_str("connection closed by an injected fault")
     }
 }
 
--- a/crates/standins/src/service/mod.rs
+++ b/crates/standins/src/service/mod.rs
@@ -1,10 +1,11 @@
-//! The service stand-in: plain calls of any method and path, and a ledger of what ran.
+//! The service stand-in: it accepts plain calls of any method and path and records those that ran in a
+//! ledger.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `GET /load` | [`ServiceLoad`] |
 //! | `POST /standin/faults` | 204; replaces all [`Faults`] |
-//! | `POST /standin/leave` | 204; the host list shows it as leaving from now on |
+//! | `POST /standin/leave` | 204; its endpoint entry shows it as draining from now on |
 //! | `GET /standin/ledger` | a JSON array of [`LedgerEntry`] |
 //! | any other | [`Echo`], after `work_ms` |
 
@@ -24,20 +25,20 @@
 pub struct ServiceConfig {
     /// The endpoint's id.
     pub id: String,
-    /// The service, for its entry and the answers.
+    /// The name of the service in its endpoint entry and its answers.
     pub service: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address on which it listens; with port 0 the system assigns a free port.
     pub listen: SocketAddr,
-    /// The data centre, for its entry.
+    /// The data centre that its endpoint entry names.
     pub data_centre: String,
-    /// Time that one call takes, in milliseconds.
+    /// The time that one call takes, in milliseconds.
     pub work_ms: u64,
-    /// Calls that run at once; others wait.
+    /// The maximum number of calls that run concurrently; further calls wait.
     pub max_running: usize,
 }
 
 impl ServiceConfig {
-    /// A service that answers at once.
+    /// Settings of a service that answers without delay.
     pub fn new(id: &str, service: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The entry of this service, listening on `addr`.
+    /// The endpoint entry of this service when it listens on `addr`.
     pub fn listing(&self, addr: SocketAddr) -> Endpoint {
         Endpoint {
             id: self.id.as_str().into(),
@@ -88,32 +89,32 @@
     }
 }
 
-/// Whether a service works.
+/// The operating mode of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It works.
+    /// It works normally.
     #[default]
     Up,
-    /// It accepts calls and answers nothing until this ends; then it runs and answers them.
+    /// It accepts calls but neither runs nor answers them until the mode changes.
     Freeze,
-    /// It closes connections without an answer and without running the call. Calls that run already
-    /// are finished.
+    /// It closes connections without running or answering the call. Calls that are running already
+    /// complete.
     Down,
 }
 
-/// The faults in force. A field left out of JSON has its default.
+/// The active faults. A field that is missing in JSON has its default.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether it works.
+    /// The operating mode.
     pub mode: Mode,
-    /// The wait added to each call, in milliseconds.
+    /// The delay added to each call, in milliseconds.
     pub delay_ms: u64,
-    /// The share of calls, 0 to 1, whose connection is closed after they ran.
+    /// The fraction of calls, 0 to 1, whose answer is lost: the call runs, then its connection is closed.
     #[serde(deserialize_with = "number::de_share")]
     pub drop_answers: f64,
-    /// The share of calls, 0 to 1, that are answered 503 without running.
+    /// The fraction of calls, 0 to 1, that are answered 503 without running.
     #[serde(deserialize_with = "number::de_share")]
     pub error_rate: f64,
 }
@@ -121,30 +122,30 @@
 /// The load of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// Calls being run.
+    /// Calls that are running.
     pub running: u32,
-    /// Calls waiting.
+    /// Calls that wait for a slot.
     pub waiting: u32,
 }
 
 /// The answer to a call that ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The endpoint that ran it.
+    /// The id of the endpoint that ran the call.
     pub endpoint: String,
     /// The call's method.
     pub method: String,
     /// The call's path, without the query.
     pub path: String,
-    /// The call's body as text.
+    /// The call's body as text; invalid UTF-8 is replaced.
     pub body: String,
-    /// How often calls of this key have run on this endpoint, this one included.
+    /// The number of calls with this key that have run on this endpoint, including this one.
     pub run: u64,
 }
 
-/// One key under which calls ran.
+/// The calls that ran with one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerEntry {
     /// The `Idempotency-Key` header, else the `X-Request-Id` header, else empty.
@@ -153,7 +154,7 @@
     pub request_id: String,
     /// The path of the last call.
     pub path: String,
-    /// How often calls of this key ran.
+    /// The number of calls with this key that ran.
     pub count: u64,
     /// When the last one ran, in milliseconds since the Unix epoch.
     pub at_ms: u64,
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of the service stand-in.
+//! The HTTP server of the service stand-in.
 
 use std::{
     collections::BTreeMap,
@@ -24,15 +24,15 @@
 
 /// Starts services on the current `actix_rt` system, each on its own address.
 pub async fn start(cfgs: Vec<ServiceConfig>) -> io::Result<Running> {
-    let mut parts: Vec<(_, Arc<dyn Handler>)> = Vec::with_capacity(cfgs.len());
+    let mut listeners: Vec<(_, Arc<dyn Handler>)> = Vec::with_capacity(cfgs.len());
     for cfg in cfgs {
         let listener = serve::bind(cfg.listen)?;
-        parts.push((listener, Arc::new(ServiceHost::new(cfg))));
+        listeners.push((listener, Arc::new(ServiceServer::new(cfg))));
     }
-    serve::run(parts, Vec::new())
+    serve::run(listeners, Vec::new())
 }
 
-struct ServiceHost {
+struct ServiceServer {
     cfg: ServiceConfig,
     slots: Semaphore,
     faults: watch::Sender<Faults>,
@@ -40,26 +40,26 @@
 }
 
 struct State {
-    /// Calls that came and are not answered.
-    present: usize,
-    /// Only shown in the host list; calls are answered all the same.
-    leaving: bool,
+    /// Calls that were accepted and have not completed.
+    open_calls: usize,
+    /// Shown in the endpoint entry only; calls are still answered.
+    draining: bool,
     ledger: BTreeMap<String, LedgerEntry>,
     rng: Pcg64,
 }
 
-impl Handler for ServiceHost {
+impl Handler for ServiceServer {
     fn answer(self: Arc<Self>, call: Call) -> LocalBoxFuture<'static, Answer> {
         async move {
             match (&call.method, call.path.as_str()) {
                 (&Method::POST, "/standin/faults") => self.set_faults(&call),
                 (&Method::POST, "/standin/leave") => {
-                    self.lock().leaving = true;
+                    self.lock().draining = true;
                     Answer::empty(StatusCode::NO_CONTENT)
                 }
                 (&Method::GET, "/standin/ledger") => self.ledger(),
                 (_, path) if path.starts_with("/standin/") => Answer::not_found(),
-                _ => self.outside(call).await,
+                _ => self.serve_call(call).await,
             }
         }
         .boxed_local()
@@ -67,13 +67,13 @@
 
     fn listing(&self, addr: SocketAddr) -> Option<Endpoint> {
         Some(Endpoint {
-            draining: self.lock().leaving,
+            draining: self.lock().draining,
             ..self.cfg.listing(addr)
         })
     }
 }
 
-impl ServiceHost {
+impl ServiceServer {
     fn new(cfg: ServiceConfig) -> Self {
         let rng = Pcg64::seed_from_u64(xxh3::xxh3_64(cfg.id.as_bytes()));
         Self {
@@ -81,8 +81,8 @@
             cfg,
             faults: watch::Sender::new(Faults::default()),
             state: Mutex::new(State {
-                present: 0,
-                leaving: false,
+                open_calls: 0,
+                draining: false,
                 ledger: BTreeMap::new(),
                 rng,
             }),
@@ -109,8 +109,8 @@
         Answer::json(&state.ledger.values().collect::<Vec<_>>())
     }
 
-    /// A call of the outside interface, which faults reach.
-    async fn outside(&self, call: Call) -> Answer {
+    /// Answers a call of the service's own interface, to which faults apply.
+    async fn serve_call(&self, call: Call) -> Answer {
         let mut rx = self.faults.subscribe();
         let faults = match rx.wait_for(|faults| faults.mode != Mode::Freeze).await {
             Ok(faults) if faults.mode != Mode::Down => faults.clone(),
@@ -119,13 +119,13 @@
         if call.method == Method::GET && call.path == "/load" {
             return Answer::json(&self.load());
         }
-        if self.roll(faults.error_rate) {
+        if self.occurs(faults.error_rate) {
             return Answer::error(StatusCode::SERVICE_UNAVAILABLE, "not run");
         }
-        self.lock().present += 1;
+        self.lock().open_calls += 1;
         let echo = self.run(&call, &faults).await;
-        self.lock().present -= 1;
-        if self.roll(faults.drop_answers) {
+        self.lock().open_calls -= 1;
+        if self.occurs(faults.drop_answers) {
             return Answer::Abort;
         }
         Answer::json(&echo)
@@ -138,7 +138,7 @@
             tokio::time::sleep(Duration::from_millis(work_ms)).await;
         }
         drop(slot);
-        let run = self.lock().note(call);
+        let run = self.lock().record(call);
         Echo {
             service: self.cfg.service.clone(),
             endpoint: self.cfg.id.clone(),
@@ -151,21 +151,21 @@
 
     fn load(&self) -> ServiceLoad {
         let running = self.cfg.max_running - self.slots.available_permits();
-        let waiting = self.lock().present.saturating_sub(running);
+        let waiting = self.lock().open_calls.saturating_sub(running);
         ServiceLoad {
             running: running as u32,
             waiting: waiting as u32,
         }
     }
 
-    fn roll(&self, share: f64) -> bool {
-        share > 0.0 && self.lock().rng.random::<f64>() < share
+    fn occurs(&self, probability: f64) -> bool {
+        probability > 0.0 && self.lock().rng.random::<f64>() < probability
     }
 }
 
 impl State {
-    /// Enters a call in the ledger and answers how often its key has run.
-    fn note(&mut self, call: &Call) -> u64 {
+    /// Records a call in the ledger and returns the number of calls with its key that have run.
+    fn record(&mut self, call: &Call) -> u64 {
         let request_id = call.header("x-request-id").unwrap_or_default();
         let key = call.header("idempotency-key").unwrap_or(request_id);
         let entry = self
