--- a/crates/standins/tests/common/driver.rs
+++ b/crates/standins/tests/common/driver.rs
@@ -1,4 +1,4 @@
-//! Drives an engine without HTTP or clocks.
+//! Drives an engine core directly, without HTTP and with times that the test passes in.
 
 use dragonflyrill_engines::wire;
 use dragonflyrill_standins::engine::{
@@ -6,7 +6,7 @@
     outcome::{Finished, Iteration, Submitted, Ticket},
 };
 
-/// Submits a step and runs iterations until nothing waits; answers the step's result.
+/// Submits a step, runs iterations until the queue is empty and returns the step's result.
 pub(crate) fn run(engine: &mut Engine, now_ms: u64, step: wire::Step) -> wire::StepResult {
     match engine.submit(now_ms, step) {
         Submitted::Answered(result) => result,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Runs iterations until nothing waits; answers all results in the order they finished.
+/// Runs iterations until the queue is empty; returns all results in the order in which they finished.
 pub(crate) fn drain(engine: &mut Engine, now_ms: u64) -> Vec<Finished> {
     let mut all = Vec::new();
     loop {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Submits a step that has to wait.
+/// Submits a step; panics if it is answered immediately instead of being queued.
 pub(crate) fn enqueue(engine: &mut Engine, now_ms: u64, step: wire::Step) -> Ticket {
     match engine.submit(now_ms, step) {
         Submitted::Waiting(ticket) => ticket,
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to stand-ins, for the tests.
+//! Helpers of the tests: an HTTP client and constructors for steps.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -13,9 +13,9 @@
 /// The model of all tests.
 pub(crate) const MODEL: &str = "m";
 
-/// Why a call has no answer: the connection was closed.
+/// The error of a call whose connection was closed without a complete answer.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Lost;
+pub(crate) struct ConnectionClosed;
 
 /// The status and the body of an answer.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
             .unwrap_or_else(|err| panic!("{err}: {:?}", String::from_utf8_lossy(&self.body)))
     }
 
-    /// The values of a body with one on each line.
+    /// Parses a body that has one JSON value per line.
     pub(crate) fn lines<T: DeserializeOwned>(&self) -> Vec<T> {
         let lines = self
             .body
@@ -49,21 +49,25 @@
     path: &str,
     headers: &[(&str, &str)],
     body: Vec<u8>,
-) -> Result<Answer, Lost> {
+) -> Result<Answer, ConnectionClosed> {
     let method = method.parse::<awc::http::Method>().expect("method");
     let mut req = awc::Client::default().request(method, format!("http://{addr}{path}"));
     for &header in headers {
         req = req.insert_header(header);
     }
-    let mut res = req.send_body(body).await.map_err(|_| Lost)?;
-    let body = res.body().limit(64 << 20).await.map_err(|_| Lost)?;
+    let mut res = req.send_body(body).await.map_err(|_| ConnectionClosed)?;
+    let body = res
+        .body()
+        .limit(64 << 20)
+        .await
+        .map_err(|_| ConnectionClosed)?;
     Ok(Answer {
         status: res.status().as_u16(),
         body: body.to_vec(),
     })
 }
 
-pub(crate) async fn get(addr: SocketAddr, path: &str) -> Result<Answer, Lost> {
+pub(crate) async fn get(addr: SocketAddr, path: &str) -> Result<Answer, ConnectionClosed> {
     send("GET", addr, path, &[], Vec::new()).await
 }
 
@@ -71,7 +75,7 @@
     addr: SocketAddr,
     path: &str,
     body: &impl Serialize,
-) -> Result<Answer, Lost> {
+) -> Result<Answer, ConnectionClosed> {
     send(
         "POST",
         addr,
@@ -82,12 +86,12 @@
     .await
 }
 
-/// Polls a call once; answers whether it still has no answer.
+/// Polls a call once; returns whether it is still pending.
 pub(crate) fn is_pending<T>(call: &mut Pin<Box<impl Future<Output = T>>>) -> bool {
     call.as_mut().now_or_never().is_none()
 }
 
-/// Sets faults written as JSON.
+/// Replaces the faults of a stand-in; `faults` is JSON.
 pub(crate) async fn set_faults(addr: SocketAddr, faults: &str) {
     let answer = send("POST", addr, "/standin/faults", &[], faults.into()).await;
     assert_eq!(answer.expect("answer").status, 204);
@@ -95,11 +99,11 @@
 
 /// Sends steps, one per line.
 ///
-/// The client shows a body that was cut short as one that ended, so results are counted.
+/// Fails if there are fewer results than steps: the client doesn't report a truncated body as an error.
 pub(crate) async fn steps(
     addr: SocketAddr,
     steps: &[wire::Step],
-) -> Result<Vec<wire::StepResult>, Lost> {
+) -> Result<Vec<wire::StepResult>, ConnectionClosed> {
     let mut body = Vec::new();
     for step in steps {
         serde_json::to_writer(&mut body, step).expect("step");
@@ -107,13 +111,13 @@
     }
     let results: Vec<_> = send("POST", addr, "/v1/steps", &[], body).await?.lines();
     if results.len() < steps.len() {
-        Err(Lost)
+        Err(ConnectionClosed)
     } else {
         Ok(results)
     }
 }
 
-/// A step without prefix blocks and with a far deadline.
+/// Creates a step without prefix blocks and with a deadline of 60 s.
 pub(crate) fn step(request: &str, layers: wire::Layers, start: u32, inputs: &[u64]) -> wire::Step {
     wire::Step {
         request: request.to_owned(),
@@ -140,7 +144,7 @@
     }
 }
 
-/// Why a step did not run, and the position that was expected.
+/// The reason for which a step was refused, and the expected position.
 pub(crate) fn refusal(result: &wire::StepResult) -> (wire::StepRefusal, u32) {
     match result.outcome {
         wire::StepOutcome::Refused { reason, expected } => (reason, expected),
--- a/crates/standins/tests/engine_cache.rs
+++ b/crates/standins/tests/engine_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine and its events.
+//! Tests of the prefix cache of an engine and of the events that it publishes.
 
 mod common;
 
@@ -22,7 +22,7 @@
     Engine::new(cfg, 1)
 }
 
-/// The first step of a request whose prompt is `positions` long.
+/// Creates the first step of a request with a prompt of `positions` positions.
 fn prompt(request: &str, prefix: &[u64], positions: usize) -> wire::Step {
     wire::Step {
         prefix: prefix.to_vec(),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn only_leading_whole_blocks_are_covered() {
+fn only_leading_complete_blocks_are_covered() {
     let mut engine = engine(8, 0, 0.0);
     driver::run(&mut engine, 0, prompt("a", &[1, 2, 3], 2 * BLOCK + 5));
     let rest = driver::run(&mut engine, 0, prompt("b", &[9, 2], 2 * BLOCK));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_later_piece_of_a_prompt_is_covered_by_the_same_blocks() {
+fn a_later_step_of_a_prompt_is_covered_by_the_same_blocks() {
     let mut engine = engine(8, 0, 0.0);
     driver::run(&mut engine, 0, prompt("a", &[1, 2], 2 * BLOCK));
     driver::run(&mut engine, 0, prompt("b", &[1, 2], 40));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn events_are_late() {
+fn events_are_published_after_their_delay() {
     let mut engine = engine(8, 50, 0.0);
     driver::run(&mut engine, 100, prompt("a", &[1], BLOCK));
     assert_eq!(
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn lost_events_leave_gaps_in_the_numbers() {
+fn lost_events_leave_gaps_in_the_sequence_numbers() {
     let mut engine = engine(1000, 0, 0.5);
     for block in 0..200 {
         driver::run(&mut engine, 0, prompt(&block.to_string(), &[block], BLOCK));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_order_that_drops_the_cache_publishes_it_under_newer_numbers() {
+fn an_order_that_clears_the_cache_publishes_evictions_with_higher_sequence_numbers() {
     let mut engine = engine(8, 0, 0.0);
     driver::run(&mut engine, 0, prompt("a", &[1, 2], 2 * BLOCK));
     let last = engine.cache_events(0, 0).last;
@@ -143,7 +143,7 @@
     #![proptest_config(ProptestConfig::with_cases(32))]
 
     #[test]
-    fn the_cache_never_holds_more_than_its_blocks(
+    fn the_cache_never_exceeds_its_capacity(
         capacity in 0usize..6,
         prompts in prop::collection::vec(prop::collection::vec(0u64..12, 0..4), 1..40),
     ) {
--- a/crates/standins/tests/engine_chain.rs
+++ b/crates/standins/tests/engine_chain.rs
@@ -1,4 +1,5 @@
-//! Any way of splitting the work over engines, steps and attempts gives the reference answer.
+//! Property tests: any split of the work over engines and steps, with or without retried steps, and a
+//! move of the KV cache to another engine generate the tokens of the reference model.
 
 mod common;
 
@@ -11,9 +12,9 @@
 use proptest::prelude::*;
 
 const MODEL_LAYERS: u32 = 12;
-const GENERATED: usize = 6;
+const GENERATED_TOKENS: usize = 6;
 
-/// Engines that together hold all layers, cut at `cuts`.
+/// Creates engines that together have all layers loaded, split at `cuts`.
 fn chain(cuts: &[u32]) -> Vec<(wire::Layers, Engine)> {
     let mut bounds = vec![0, MODEL_LAYERS];
     bounds.extend(cuts);
@@ -30,8 +31,8 @@
     Engine::new(EngineConfig { layers, ..base }, 1)
 }
 
-/// Runs `inputs` through all engines, each step `copies` times.
-fn pass(
+/// Runs `inputs` through all engines, submitting each step `copies` times.
+fn run_chain(
     chain: &mut [(wire::Layers, Engine)],
     start: u32,
     inputs: &[u64],
@@ -49,14 +50,14 @@
     values
 }
 
-/// Feeds the prompt in pieces that end at `pieces`, then generates.
+/// Runs the prompt in steps that end at `step_ends` modulo its length, then generates tokens.
 fn generate(
     chain: &mut [(wire::Layers, Engine)],
     prompt: &[u64],
-    pieces: &[usize],
+    step_ends: &[usize],
     copies: usize,
 ) -> Vec<u64> {
-    let mut ends: Vec<_> = pieces.iter().map(|end| end % prompt.len()).collect();
+    let mut ends: Vec<_> = step_ends.iter().map(|end| end % prompt.len()).collect();
     ends.push(prompt.len());
     ends.sort_unstable();
     let mut start = 0;
@@ -64,14 +65,14 @@
     let mut last = 0;
     for end in ends.into_iter().filter(|&end| end > 0) {
         if end > start {
-            let out = pass(chain, start as u32, &prompt[start..end], copies);
+            let out = run_chain(chain, start as u32, &prompt[start..end], copies);
             last = *out.last().expect("an output for each input");
             start = end;
         }
     }
-    while tokens.len() < GENERATED {
+    while tokens.len() < GENERATED_TOKENS {
         tokens.push(last);
-        last = pass(chain, start as u32, &[last], copies)[0];
+        last = run_chain(chain, start as u32, &[last], copies)[0];
         start += 1;
     }
     tokens
@@ -84,22 +85,22 @@
     fn any_split_of_layers_and_positions_gives_the_reference_tokens(
         cuts in prop::collection::vec(1..MODEL_LAYERS, 0..5),
         prompt in prop::collection::vec(0u64..50_000, 1..80),
-        pieces in prop::collection::vec(any::<usize>(), 0..5),
+        step_ends in prop::collection::vec(any::<usize>(), 0..5),
         copies in 1usize..3,
     ) {
         let mut chain = chain(&cuts);
-        let tokens = generate(&mut chain, &prompt, &pieces, copies);
+        let tokens = generate(&mut chain, &prompt, &step_ends, copies);
         let expected =
-            reference::expected_tokens(common::MODEL, MODEL_LAYERS, &prompt, GENERATED);
+            reference::expected_tokens(common::MODEL, MODEL_LAYERS, &prompt, GENERATED_TOKENS);
         prop_assert_eq!(tokens, expected);
         for (_, engine) in &chain {
             let positions: u32 = engine.ledger().entries().map(|entry| entry.count).sum();
-            prop_assert_eq!(positions as usize, prompt.len() + GENERATED);
+            prop_assert_eq!(positions as usize, prompt.len() + GENERATED_TOKENS);
         }
     }
 
     #[test]
-    fn an_engine_that_imports_the_kv_cache_goes_on_exactly(
+    fn an_engine_that_imports_the_kv_cache_continues_with_the_reference_tokens(
         prompt in prop::collection::vec(0u64..50_000, 2..40),
         moved_at in any::<prop::sample::Index>(),
     ) {
--- a/crates/standins/tests/engine_http.rs
+++ b/crates/standins/tests/engine_http.rs
@@ -1,4 +1,4 @@
-//! Engines behind HTTP.
+//! Tests of the engine stand-in over HTTP: steps, faults, checkpoints and orders.
 
 mod common;
 
@@ -78,11 +78,14 @@
 }
 
 #[actix_rt::test]
-async fn a_step_whose_answer_was_lost_is_answered_again_and_ran_once() {
+async fn a_step_that_is_retried_after_a_lost_answer_runs_once() {
     let (running, addr) = start().await;
     let step = [step("r", ALL, 0, &[5])];
     common::set_faults(addr, r#"{"drop_answers": 1.0}"#).await;
-    assert_eq!(common::steps(addr, &step).await, Err(common::Lost));
+    assert_eq!(
+        common::steps(addr, &step).await,
+        Err(common::ConnectionClosed)
+    );
     common::set_faults(addr, "{}").await;
     let again = common::steps(addr, &step).await.expect("answer");
     let tokens = reference::expected_tokens(common::MODEL, 8, &[5], 1);
@@ -107,7 +110,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_was_down_comes_back_as_a_new_life() {
+async fn an_engine_that_was_down_restarts_as_a_new_incarnation() {
     let (running, addr) = start().await;
     let state = async || -> wire::EngineState {
         common::get(addr, "/v1/state").await.expect("state").json()
@@ -118,7 +121,7 @@
     let before = state().await.incarnation;
     common::set_faults(addr, r#"{"mode": "down"}"#).await;
     let closed = common::steps(addr, &[step("r", ALL, 1, &[6])]).await;
-    assert_eq!(closed, Err(common::Lost));
+    assert_eq!(closed, Err(common::ConnectionClosed));
     common::set_faults(addr, "{}").await;
     assert_ne!(state().await.incarnation, before);
     let lost = common::steps(addr, &[step("r", ALL, 1, &[6])])
@@ -173,7 +176,7 @@
 }
 
 #[actix_rt::test]
-async fn an_old_order_is_answered_409() {
+async fn an_order_with_an_outdated_fencing_number_is_answered_409() {
     let (running, addr) = start().await;
     let order = |fence| wire::Order {
         fence,
@@ -207,7 +210,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_goes_down_cuts_the_answers_under_way() {
+async fn an_engine_that_goes_down_truncates_the_answers_in_progress() {
     let slow = EngineConfig {
         time_scale: 1.0,
         layer_us: 60_000_000,
@@ -239,7 +242,7 @@
     let answer = String::from_utf8_lossy(&answer);
     assert!(
         !answer.ends_with("0\r\n\r\n"),
-        "the answer ends as if it were whole: {answer}"
+        "the truncated answer ends like a complete one: {answer}"
     );
     running.stop().await;
 }
--- a/crates/standins/tests/engine_orders.rs
+++ b/crates/standins/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, with and without a check of the fencing number.
+//! Tests of orders to an engine, with and without a check of the fencing number.
 
 mod common;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_engine_that_checks_refuses_an_old_fencing_number() {
+fn an_engine_that_checks_fencing_refuses_an_outdated_number() {
     let mut engine = engine(true);
     engine.order(0, &order(5, layers(0, 4))).expect("order");
     assert_eq!(
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_engine_that_does_not_check_obeys_an_old_fencing_number() {
+fn an_engine_that_does_not_check_fencing_accepts_an_outdated_number() {
     let mut engine = engine(false);
     engine.order(0, &order(5, layers(0, 4))).expect("order");
     let state = engine.order(0, &order(4, layers(4, 8))).expect("order");
--- a/crates/standins/tests/engine_steps.rs
+++ b/crates/standins/tests/engine_steps.rs
@@ -1,4 +1,4 @@
-//! Which steps an engine runs, repeats and refuses.
+//! Tests of which steps an engine runs, answers with an earlier result, and refuses.
 
 mod common;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_repeated_step_answers_the_same_and_runs_once() {
+fn a_retried_step_gets_the_same_result_and_runs_once() {
     let mut engine = engine();
     let first = driver::run(&mut engine, 0, attempt(1, 0, &[5, 6]));
     driver::run(&mut engine, 0, attempt(1, 2, &[7]));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_step_repeated_while_it_waits_runs_once() {
+fn a_step_retried_while_it_is_queued_runs_once() {
     let mut engine = engine();
     driver::enqueue(&mut engine, 0, attempt(1, 0, &[5]));
     driver::enqueue(&mut engine, 0, attempt(1, 0, &[5]));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn steps_that_follow_each_other_may_wait_together() {
+fn consecutive_steps_may_be_queued_together() {
     let mut engine = engine();
     driver::enqueue(&mut engine, 0, attempt(1, 0, &[5]));
     driver::enqueue(&mut engine, 0, attempt(1, 1, &[6]));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_step_elsewhere_than_at_the_end_is_refused() {
+fn a_step_that_does_not_start_at_the_end_is_refused() {
     let mut engine = engine();
     driver::run(&mut engine, 0, attempt(1, 0, &[5, 6]));
     let gap = driver::run(&mut engine, 0, attempt(1, 3, &[7]));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_older_attempt_is_refused_once_a_newer_one_is_seen() {
+fn an_older_attempt_is_refused_after_a_newer_one_arrived() {
     let mut engine = engine();
     driver::run(&mut engine, 0, attempt(1, 0, &[5]));
     driver::run(&mut engine, 0, attempt(2, 1, &[6]));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_waiting_step_of_an_older_attempt_does_not_run() {
+fn a_queued_step_of_an_older_attempt_does_not_run() {
     let mut engine = engine();
     driver::enqueue(&mut engine, 0, attempt(1, 0, &[5]));
     driver::enqueue(&mut engine, 0, attempt(2, 0, &[6]));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_late_cancel_leaves_a_newer_attempt_alone() {
+fn a_late_cancel_does_not_affect_a_newer_attempt() {
     let mut engine = engine();
     driver::run(&mut engine, 0, attempt(1, 0, &[5]));
     driver::run(&mut engine, 0, attempt(2, 1, &[6]));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_cancelled_attempt_is_refused_even_if_it_comes_first() {
+fn an_attempt_that_arrives_after_its_cancel_is_refused() {
     let mut engine = engine();
     engine.cancel(0, &cancel(1));
     let late = driver::run(&mut engine, 0, attempt(1, 0, &[5]));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_waiting_step_that_is_cancelled_does_not_run() {
+fn a_queued_step_that_is_cancelled_does_not_run() {
     let mut engine = engine();
     driver::enqueue(&mut engine, 0, attempt(1, 0, &[5]));
     engine.cancel(0, &cancel(1));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_step_is_refused_when_its_deadline_passed_while_it_waited() {
+fn a_step_is_refused_when_its_deadline_passed_in_the_queue() {
     let mut engine = engine();
     let step = wire::Step {
         deadline_ms: 10,
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn layers_or_a_model_that_are_not_held_are_refused() {
+fn layers_or_a_model_that_are_not_loaded_are_refused() {
     let mut engine = Engine::new(
         EngineConfig {
             layers: layers(1, 3),
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn new_requests_are_refused_when_all_slots_are_taken() {
+fn new_requests_are_refused_when_all_slots_are_in_use() {
     let mut engine = Engine::new(
         EngineConfig {
             max_sessions: 1,
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_leaving_engine_goes_on_with_known_requests_only() {
+fn a_draining_engine_accepts_only_steps_of_known_requests() {
     let mut engine = engine();
     driver::run(&mut engine, 0, attempt(1, 0, &[5]));
     engine.start_draining();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_batch_is_taken_by_priority_and_then_arrival() {
+fn a_batch_is_ordered_by_priority_and_then_arrival() {
     let mut engine = Engine::new(
         EngineConfig {
             max_batch: 2,
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_restarted_engine_remembers_only_its_ledger() {
+fn a_restarted_engine_keeps_only_its_ledger() {
     let mut engine = engine();
     driver::run(&mut engine, 0, attempt(1, 0, &[5]));
     driver::enqueue(&mut engine, 0, attempt(1, 1, &[6]));
@@ -293,7 +293,7 @@
         1,
     );
     let Submitted::Waiting(_) = engine.submit(1000, attempt(1, 0, &[5])) else {
-        panic!("it has to wait");
+        panic!("the step is not queued");
     };
     let early = engine.load(1099);
     assert_eq!((early.waiting, early.sessions, early.age_ms), (0, 0, 100));
--- a/crates/standins/tests/reference.rs
+++ b/crates/standins/tests/reference.rs
@@ -1,9 +1,9 @@
-//! The reference model.
+//! Tests of the reference model.
 
 use dragonflyrill_standins::reference;
 
 #[test]
-fn every_layer_and_position_counts() {
+fn the_output_depends_on_model_layers_and_positions() {
     let tokens = reference::expected_tokens("m", 4, &[1, 2, 3], 5);
     assert_eq!(tokens.len(), 5);
     assert!(tokens.iter().all(|&token| token < reference::VOCABULARY));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_longer_answer_begins_with_the_shorter_one() {
+fn a_longer_output_begins_with_the_shorter_one() {
     let long = reference::expected_tokens("m", 4, &[7], 20);
     assert_eq!(reference::expected_tokens("m", 4, &[7], 5), long[..5]);
 }
--- a/crates/standins/tests/register.rs
+++ b/crates/standins/tests/register.rs
@@ -1,4 +1,4 @@
-//! Registration in the store.
+//! Tests of the registration of engines and services in the store.
 
 mod common;
 
@@ -15,19 +15,19 @@
 use futures_util::future;
 use tokio::sync::oneshot;
 
-const TRIES: u32 = 500;
-/// Far more than a local call takes.
-const LIMIT: Duration = Duration::from_secs(60);
+const MAX_READS: u32 = 500;
+/// The time limit of one call, far above the duration of a local call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn list(store: SocketAddr) -> Vec<Endpoint> {
-    let list = EndpointList::new(store, LIMIT);
+    let list = EndpointList::new(store, CALL_TIMEOUT);
     list.read().await.expect("the store answers")
 }
 
-/// Reads the list until it is as wanted.
-async fn until(store: SocketAddr, wanted: impl Fn(&[Endpoint]) -> bool) {
-    for _ in 0..TRIES {
-        if wanted(&list(store).await) {
+/// Reads the list of endpoints until it satisfies `expected`; panics after [`MAX_READS`] reads.
+async fn wait_until(store: SocketAddr, expected: impl Fn(&[Endpoint]) -> bool) {
+    for _ in 0..MAX_READS {
+        if expected(&list(store).await) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -36,25 +36,25 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_is_listed_as_live_then_leaving_then_not_at_all() {
+async fn an_engine_is_listed_as_ready_then_draining_then_removed() {
     let (_store, running) = Store::start().await.expect("start");
     let store = running.addr;
     let cfg = EngineConfig::new("e", common::MODEL, 8);
     let engine = engine::start(vec![cfg]).await.expect("start");
     let (tx, rx) = oneshot::channel::<()>();
-    let ended = async { rx.await.map_err(io::Error::other) };
+    let shutdown = async { rx.await.map_err(io::Error::other) };
 
-    let registered = register::run_registered(Some(store), &engine, ended);
+    let registered = register::run_registered(Some(store), &engine, shutdown);
     let watched = async {
         let addr = engine.addr();
-        until(store, |list| {
+        wait_until(store, |list| {
             list.len() == 1 && list[0].addr == addr && list[0].layers == LayerRange::new(0, 8)
         })
         .await;
         common::send("POST", engine.addr(), "/standin/leave", &[], Vec::new())
             .await
             .expect("ok");
-        until(store, |list| list[0].draining).await;
+        wait_until(store, |list| list[0].draining).await;
         tx.send(()).expect("still registered");
     };
     let (result, ()) = future::join(registered, watched).await;
@@ -64,7 +64,7 @@
 }
 
 #[actix_rt::test]
-async fn a_restarted_store_is_told_again() {
+async fn entries_are_written_again_after_a_restart_of_the_store() {
     let (_first, first) = Store::start().await.expect("start");
     let listen = first.addr;
     let service = service::start(vec![ServiceConfig::new("s", "quay-app")])
@@ -72,14 +72,17 @@
         .expect("start");
     let registered = register::run_registered(Some(listen), &service, future::pending());
     let watched = async {
-        until(listen, |list| list.len() == 1).await;
+        wait_until(listen, |list| list.len() == 1).await;
         first.stop().await;
         let second = Store::start_at(listen, None).await.expect("start");
-        until(listen, |list| list.len() == 1).await;
+        wait_until(listen, |list| list.len() == 1).await;
         second
     };
     let ended = future::select(Box::pin(registered), Box::pin(watched)).await;
-    assert!(matches!(ended, future::Either::Right(_)), "it goes on");
+    assert!(
+        matches!(ended, future::Either::Right(_)),
+        "the registration ended"
+    );
     drop(ended);
     service.stop().await;
 }
--- a/crates/standins/tests/relay.rs
+++ b/crates/standins/tests/relay.rs
@@ -1,4 +1,5 @@
-//! The relay.
+//! Tests of the relay: what a link does with connections while it is cut, and with reset and silenced
+//! connections.
 
 mod common;
 
@@ -16,7 +17,7 @@
 
 const CALL: &[u8] = b"GET /tides HTTP/1.1\r\nhost: s\r\n\r\n";
 
-/// A service behind one link.
+/// Starts a service and a relay with one link to it.
 async fn start() -> (Running, RunningRelay) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let service = service::start(vec![ServiceConfig::new("s", "quay-app")])
@@ -31,7 +32,7 @@
     (service, relay)
 }
 
-/// Makes a call and reads its whole answer, which ends with a JSON object.
+/// Makes a call and reads its complete answer, which ends with a JSON object.
 async fn call(socket: &mut TcpStream) {
     socket.write_all(CALL).await.expect("call");
     let mut answer = Vec::new();
@@ -47,17 +48,17 @@
     answer.json::<Vec<LinkStats>>().remove(0)
 }
 
-async fn set(relay: &RunningRelay, faults: &str) {
+async fn set_faults(relay: &RunningRelay, faults: &str) {
     let path = "/standin/links/l";
     let answer = common::send("POST", relay.control(), path, &[], faults.into()).await;
     assert_eq!(answer.expect("answer").status, 204);
 }
 
 #[actix_rt::test]
-async fn a_whole_link_carries_calls_and_answers() {
+async fn a_working_link_carries_calls_and_answers() {
     let (service, relay) = start().await;
     for faults in ["{}", r#"{"delay_ms": 2}"#] {
-        set(&relay, faults).await;
+        set_faults(&relay, faults).await;
         let body = vec![b'x'; 300_000];
         let answer = common::send("POST", relay.links()[0], "/notes", &[], body).await;
         assert_eq!(answer.expect("answer").json::<Echo>().body.len(), 300_000);
@@ -70,13 +71,13 @@
 #[actix_rt::test]
 async fn a_cut_link_refuses_new_connections() {
     let (service, relay) = start().await;
-    set(&relay, r#"{"mode": "cut"}"#).await;
+    set_faults(&relay, r#"{"mode": "cut"}"#).await;
     assert_eq!(
         common::get(relay.links()[0], "/tides").await.err(),
-        Some(common::Lost)
+        Some(common::ConnectionClosed)
     );
     assert_eq!(stats(&relay).await.refused, 1);
-    set(&relay, "{}").await;
+    set_faults(&relay, "{}").await;
     assert_eq!(
         common::get(relay.links()[0], "/tides")
             .await
@@ -89,12 +90,12 @@
 }
 
 #[actix_rt::test]
-async fn a_connection_that_lost_bytes_is_closed_when_the_link_is_whole_again() {
+async fn a_connection_that_lost_bytes_is_closed_when_the_link_works_again() {
     let (service, relay) = start().await;
     let mut socket = TcpStream::connect(relay.links()[0]).await.expect("connect");
     call(&mut socket).await;
 
-    set(&relay, r#"{"mode": "cut"}"#).await;
+    set_faults(&relay, r#"{"mode": "cut"}"#).await;
     socket.write_all(CALL).await.expect("call");
     while stats(&relay).await.dropped < CALL.len() as u64 {
         tokio::task::yield_now().await;
@@ -102,9 +103,9 @@
     let mut buf = [0; 64];
     assert!(
         socket.try_read(&mut buf).is_err(),
-        "the connection hangs while the link is cut"
+        "the connection has no data while the link is cut"
     );
-    set(&relay, "{}").await;
+    set_faults(&relay, "{}").await;
     let end = socket.read(&mut buf).await;
     assert!(matches!(end, Ok(0) | Err(_)), "{end:?}");
     relay.stop().await;
@@ -112,13 +113,13 @@
 }
 
 #[actix_rt::test]
-async fn an_idle_connection_outlives_a_cut() {
+async fn an_idle_connection_survives_a_cut() {
     let (service, relay) = start().await;
     let mut socket = TcpStream::connect(relay.links()[0]).await.expect("connect");
     for faults in [r#"{"mode": "cut"}"#, "{}"] {
         call(&mut socket).await;
-        set(&relay, faults).await;
-        set(&relay, "{}").await;
+        set_faults(&relay, faults).await;
+        set_faults(&relay, "{}").await;
     }
     relay.stop().await;
     service.stop().await;
@@ -139,19 +140,19 @@
     service.stop().await;
 }
 
-/// A call on a connection that may carry nothing; whether it was answered.
+/// Makes a call on a connection that may be silenced; returns whether it was answered.
 async fn answered(socket: &mut TcpStream) -> bool {
     socket.write_all(CALL).await.is_ok() && socket.read_u8().await.is_ok()
 }
 
 #[actix_rt::test]
-async fn a_reset_ends_what_is_open_and_new_connections_work() {
+async fn a_reset_ends_open_connections_and_new_ones_work() {
     let (service, relay) = start().await;
     let mut old = TcpStream::connect(relay.links()[0]).await.expect("a link");
     call(&mut old).await;
     let path = "/standin/links/l/reset";
-    let struck = common::send("POST", relay.control(), path, &[], Vec::new()).await;
-    assert_eq!(struck.expect("answer").status, 204);
+    let injected = common::send("POST", relay.control(), path, &[], Vec::new()).await;
+    assert_eq!(injected.expect("answer").status, 204);
     let mut byte = [0];
     let ended = old.read(&mut byte).await;
     let reset = ended.expect_err("an error").kind();
@@ -168,13 +169,16 @@
     let mut old = TcpStream::connect(relay.links()[0]).await.expect("a link");
     call(&mut old).await;
     let path = "/standin/links/l/silence";
-    let struck = common::send("POST", relay.control(), path, &[], Vec::new()).await;
-    assert_eq!(struck.expect("answer").status, 204);
+    let injected = common::send("POST", relay.control(), path, &[], Vec::new()).await;
+    assert_eq!(injected.expect("answer").status, 204);
     let mut waiting = Box::pin(answered(&mut old));
     assert!(common::is_pending(&mut waiting));
     let mut new = TcpStream::connect(relay.links()[0]).await.expect("a link");
     call(&mut new).await;
-    assert!(common::is_pending(&mut waiting), "long after the new one");
+    assert!(
+        common::is_pending(&mut waiting),
+        "the old connection is silent after the call on the new one"
+    );
     drop(waiting);
     relay.stop().await;
     service.stop().await;
@@ -185,7 +189,7 @@
     let (service, relay) = start().await;
     let mut socket = TcpStream::connect(relay.links()[0]).await.expect("a link");
     call(&mut socket).await;
-    set(&relay, r#"{"mode": "cut_back"}"#).await;
+    set_faults(&relay, r#"{"mode": "cut_back"}"#).await;
     socket.write_all(CALL).await.expect("sent");
     while stats(&relay).await.dropped == 0 {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
--- a/crates/standins/tests/service.rs
+++ b/crates/standins/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service stand-in behind HTTP.
+//! Tests of the service stand-in over HTTP: its ledger, its faults and its load report.
 
 mod common;
 
@@ -16,12 +16,12 @@
     (running, addr)
 }
 
-async fn call(addr: SocketAddr, key: &str) -> Result<common::Answer, common::Lost> {
+async fn call(addr: SocketAddr, key: &str) -> Result<common::Answer, common::ConnectionClosed> {
     let headers = [("Idempotency-Key", key), ("X-Request-Id", "r")];
     common::send("POST", addr, "/certificates", &headers, b"lot 7".to_vec()).await
 }
 
-/// How often calls of `key` ran.
+/// The number of calls with this key that ran.
 async fn runs(addr: SocketAddr, key: &str) -> u64 {
     let ledger: Vec<LedgerEntry> = common::get(addr, "/standin/ledger")
         .await
@@ -72,7 +72,7 @@
 async fn a_call_whose_answer_was_lost_ran() {
     let (running, addr) = start().await;
     common::set_faults(addr, r#"{"drop_answers": 1.0}"#).await;
-    assert_eq!(call(addr, "k").await.err(), Some(common::Lost));
+    assert_eq!(call(addr, "k").await.err(), Some(common::ConnectionClosed));
     assert_eq!(runs(addr, "k").await, 1);
     running.stop().await;
 }
@@ -83,7 +83,7 @@
     common::set_faults(addr, r#"{"error_rate": 1.0}"#).await;
     assert_eq!(call(addr, "k").await.expect("answer").status, 503);
     common::set_faults(addr, r#"{"mode": "down"}"#).await;
-    assert_eq!(call(addr, "k").await.err(), Some(common::Lost));
+    assert_eq!(call(addr, "k").await.err(), Some(common::ConnectionClosed));
     assert_eq!(runs(addr, "k").await, 0);
     running.stop().await;
 }
--- a/crates/standins/tests/settings.rs
+++ b/crates/standins/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of engines, services and links.
+//! Tests of the settings of engines, services and links.
 
 use std::{fs, path::PathBuf};
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bad_settings_are_refused_with_their_place_and_key() {
+fn bad_settings_are_refused_with_their_source_and_key() {
     let cases = [
         ("model=m,layers=0..4", "test: id: missing"),
         (
