--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -84,7 +84,7 @@
     }
 
     pub(crate) fn lose_answers(&self, count: u32) {
-        self.store.lose_next(count);
+        self.store.lose_next_answers(count);
     }
 
     /// Lists an entry host with `revision` in force.
