--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -85,7 +85,7 @@
 
     /// Drops the responses to the next `count` writes to the store.
     pub(crate) fn drop_next_responses(&self, count: u32) {
-        self.store.lose_next(count);
+        self.store.lose_next_answers(count);
     }
 
     /// Starts an entry host that reports `revision` as in force, and adds it to the platform's
--- a/crates/standins/src/bin/standin-engine.rs
+++ b/crates/standins/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! Runs engine stand-ins, many in one process, until SIGTERM or SIGINT.
+//! Runs one or more engine stand-ins in one process until SIGTERM or SIGINT.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -143,7 +143,7 @@
     for endpoint in running.listings() {
         log::info!("engine {}: listens on {}.", endpoint.id, endpoint.addr);
     }
-    register::run_registered(args.platform, &running, process::ended()).await?;
+    register::run_registered(args.platform, &running, process::shutdown_signal()).await?;
     running.stop().await;
     Ok(())
 }
