--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -1,189 +1,197 @@
-//! What entry hosts tell each other so that few of them need to ask the platform's store.
+//! The exchange between entry hosts, which keeps the number of hosts that read the platform's store low.
 //!
-//! A host calls another several times a second: it tells the load that it puts on endpoints and what
-//! failed it there, and gets what it lacks of the catalogue, of the list of endpoints and of the fleet. A lost or late
-//! call loses nothing: the next one says the same.
+//! A host polls other hosts several times a second. With each poll it reports the load that it puts on
+//! endpoints and the endpoints that failed its requests, and it receives the updates that it lacks of the
+//! catalogue, of the list of endpoints and of the fleet. A lost or late call does no harm, because the next one
+//! carries the same content.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// A time as messages and rows spell it, in whole milliseconds.
+/// Converts a duration to whole milliseconds, the unit of times in messages and rows.
 pub fn millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
 
-/// The requests at one endpoint.
+/// The load of one endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Requests that run there.
+    /// Number of requests that run on the endpoint.
     pub requests: f32,
-    /// Their tokens, each counted once for each layer that the endpoint runs.
+    /// Tokens of these requests, each counted once for each layer that the endpoint runs.
     pub token_layers: f32,
 }
 
-/// An endpoint that failed a host, so that it gets nothing more for a moment.
+/// An endpoint that failed a request of a host and gets no new requests for a short time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Avoided {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// For how long it is avoided still, in milliseconds.
+    /// Remaining time for which the endpoint is avoided, in milliseconds.
     pub left_ms: u32,
 }
 
-/// What a host knows of the requests that an endpoint takes from all hosts together.
+/// The rate of requests that an endpoint accepts from all hosts together, as far as a host knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLimit {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Requests a second; `None` if it names no limit any more.
+    /// Limit in requests per second; `None` if the endpoint no longer declares one.
     pub per_s: Option<f64>,
-    /// How long ago an answer showed it, in microseconds.
+    /// Age of the endpoint's answer that showed the limit, in microseconds.
     pub age_us: u64,
-    /// Permits: those that the host that asks wants, or those that it is lent.
+    /// Number of permits: in an [`Offer`] those that the polling host requests, in [`News`] those that
+    /// it is lent.
     pub permits: u32,
-    /// Permits that the host that asks gives back.
+    /// Number of permits that the polling host returns.
     pub returned: u32,
 }
 
-/// A place in the changes of one host's list of endpoints, or of the requests that it suspects.
+/// A position in the sequence of changes of one host's list, either of endpoints or of suspected requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ListMark {
-    /// Names the host whose list it is, and its incarnation.
+    /// Identifies the host that owns the list, and its incarnation.
     pub origin: u64,
-    /// How many changes are known.
+    /// Number of changes up to this position.
     pub version: u64,
 }
 
-/// A start of an endpoint that ended while it ran a request.
+/// An incarnation of an endpoint that terminated while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEnd {
-    /// The id of the start.
+    /// Id of the incarnation.
     pub endpoint: String,
-    /// How long ago, in milliseconds.
+    /// Time since the termination, in milliseconds.
     pub age_ms: u64,
 }
 
-/// How long a request is held back.
+/// The quarantine of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestHold {
-    /// How often it has been held by now.
+    /// Number of times that the request has been quarantined, including this one.
     pub times: u32,
-    /// How long ago it began, in milliseconds.
+    /// Time since the start of the quarantine, in milliseconds.
     pub age_ms: u64,
-    /// How long it lasts from its beginning on, in milliseconds.
+    /// Total duration of the quarantine, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// A request under which endpoints have ended.
+/// A request during which endpoints have terminated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The fingerprint of the request.
+    /// Fingerprint of the request.
     pub request: [u8; 16],
-    /// Ends that count towards its next hold.
+    /// Terminations that count towards the next quarantine of the request.
     pub ends: Vec<EndpointEnd>,
-    /// How long ago an endpoint last answered it, in milliseconds, if one did.
+    /// Time since an endpoint last answered the request, in milliseconds; `None` if no endpoint has.
     pub survived_ms: Option<u64>,
-    /// Its hold, if it was ever held.
+    /// The latest quarantine of the request; `None` if it has never been quarantined.
     pub hold: Option<RequestHold>,
 }
 
-/// What has changed among the requests that a host suspects.
+/// Changes to the requests that a host suspects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
-    /// Where to go on.
+    /// Position up to which the receiver knows the list once it has applied the changes.
     pub mark: ListMark,
-    /// New and changed ones.
+    /// Added and changed suspects.
     pub changed: Vec<Suspect>,
 }
 
-/// A hold as a host's row keeps it.
+/// The quarantine of a request as a host's row in the store records it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptHold {
-    /// The fingerprint of the request, in hexadecimal digits.
+    /// Fingerprint of the request, in hexadecimal digits.
     pub request: String,
-    /// How often it has been held by now.
+    /// Number of times that the request has been quarantined, including this one.
     pub times: u32,
-    /// When it began, by the store's clock, in milliseconds.
+    /// Start of the quarantine, in milliseconds of the store's clock.
     pub since_ms: u64,
-    /// When it lapses, by the store's clock, in milliseconds.
+    /// End of the quarantine, in milliseconds of the store's clock.
     pub until_ms: u64,
 }
 
-/// The limit of an endpoint as a host's row keeps it.
+/// The limit of an endpoint as a host's row in the store records it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeptLimit {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Requests a second that it takes from all hosts together.
+    /// Number of requests per second that the endpoint accepts from all hosts together.
     pub per_s: f64,
-    /// When an answer last showed it, by the store's clock, in milliseconds.
+    /// Time of the last answer that showed the limit, in milliseconds of the store's clock.
     pub as_of_ms: u64,
 }
 
-/// What a host tells and what it knows.
+/// The request of [`Exchange::exchange`]: the polling host's reports, and what it already knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The host that tells, and where it can be asked: the one that it calls may not know it yet.
+    /// The polling host. It includes the address because the polled host may not know it yet.
     pub from: FleetHost,
-    /// The version of the catalogue that it knows; zero for none.
+    /// Version of the catalogue that the polling host knows; 0 for none.
     pub catalogue: u64,
-    /// Up to where it knows the list of the host that it calls; `None` if it wants none of it.
+    /// Position up to which the polling host knows the polled host's list of endpoints; `None` if it requests
+    /// no changes of the list.
     pub list: Option<ListMark>,
-    /// Up to which place in the store's history it knows the list, if it does.
+    /// Store revision up to which the polling host knows the list of endpoints; `None` if it has not read the
+    /// list itself.
     pub list_known_to: Option<u64>,
-    /// The hash of the fleet that it knows.
+    /// Hash of the fleet that the polling host knows.
     pub fleet: u64,
-    /// How long ago the store last answered the host itself, in microseconds; `None` if it does not
-    /// read the store, or never had an answer.
+    /// Time since the store last answered the polling host directly, in microseconds; `None` if the host does
+    /// not read the store or has never had an answer.
     pub read_age_us: Option<u64>,
-    /// The load of the host, or of its whole data centre if it calls another one's.
+    /// Load that the polling host puts on endpoints; the load of its entire data centre if it polls a host of
+    /// another data centre.
     pub loads: Vec<EndpointLoad>,
-    /// What the host avoids by what it saw itself; nothing if it calls another data centre's.
+    /// Endpoints that the polling host avoids because of its own calls; empty if it polls a host of another
+    /// data centre.
     pub avoided: Vec<Avoided>,
-    /// Limits that endpoints name, as far as the host knows. Permits are wanted of hosts nearby only.
+    /// Limits that endpoints declare, as far as the polling host knows them. It requests permits only from
+    /// hosts of its own data centre.
     pub limits: Vec<EndpointLimit>,
-    /// Up to where it knows the requests that the host suspects that it calls.
+    /// Position up to which the polling host knows the polled host's suspected requests.
     pub suspects_known: ListMark,
-    /// What it has not told that host yet of the requests that it suspects itself.
+    /// Requests that the polling host suspects itself and has not yet reported to the polled host.
     pub suspects: Vec<Suspect>,
-    /// Whether it takes the catalogue's document compressed.
+    /// Whether the polling host accepts the catalogue's document in compressed form.
     pub unpacks: bool,
 }
 
 /// A host of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FleetHost {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Grows with each start.
+    /// Increases with each start of the host's process.
     pub incarnation: u64,
-    /// Where other hosts call it.
+    /// Address at which other hosts call it.
     pub addr: SocketAddr,
-    /// Where it is.
+    /// Data centre of the host.
     pub data_centre: String,
 }
 
-/// A host's row in the store: that it is alive, and its part in the bounds that all hosts share.
+/// A host's row in the store. It shows that the host is alive and records its share of the bounds over all
+/// hosts.
 ///
-/// The process that starts next on the host reads it, and so do all other hosts.
+/// The next process that starts on the host reads the row, and so do all other hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HostRow {
     /// The host.
     #[serde(flatten)]
     pub host: FleetHost,
-    /// Its claim of a share; rows of programs that know of none are without.
+    /// The host's claim of a share; missing in rows of programs that do not know claims.
     #[serde(default)]
     pub claim: Option<ShareClaim>,
-    /// Repeats that it may make in a window, by service.
+    /// Number of retries that the host may make in a window, by service.
     #[serde(default)]
     pub repeats: Vec<RecordedRepeats>,
-    /// Requests that no host sends any more, as this one found.
+    /// Requests that this host has quarantined: no host dispatches them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub held_requests: Vec<KeptHold>,
-    /// Limits that endpoints name, if the host reads the store for others.
+    /// Limits that endpoints declare; present only if the host reads the store for others.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub endpoint_limits: Vec<KeptLimit>,
 }
@@ -191,143 +199,146 @@
 /// A host's claim of a share of the bounds over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareClaim {
-    /// The version of the row by which it was first claimed; `None` in that row itself.
+    /// Version of the row by which the share was first claimed; `None` in that row itself.
     pub since: Option<u64>,
-    /// The store's version up to which the host counts others' claims.
+    /// Version of the store up to which the host counts the claims of others.
     pub counted_to: u64,
-    /// The store's clock when the host read that version, in milliseconds.
+    /// Time at which the host read that version, in milliseconds of the store's clock.
     pub read_at_ms: u64,
-    /// Since when the share is held, if it is.
+    /// When the host came to hold the share; `None` if it does not hold it.
     pub held: Option<HeldShare>,
 }
 
-/// Since when a share is held.
+/// When a host came to hold a share, and when it may use it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldShare {
-    /// The store's version by which the host found that it holds it.
+    /// Version of the store by which the host found that it holds the share.
     pub version: u64,
-    /// From when on it may be used, by the store's clock, in milliseconds.
+    /// Time from which the share may be used, in milliseconds of the store's clock.
     pub whole_at_ms: u64,
 }
 
-/// Repeats that a host may make in a window.
+/// Number of retries that a host may make in a window for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedRepeats {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// How many.
+    /// Number of retries.
     pub repeats: u32,
 }
 
-/// What a read of all hosts' rows has shown of their claims.
+/// Summary of all hosts' claims, from one read of their rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimsView {
-    /// The store's version that was read.
+    /// Version of the store that was read.
     pub version: u64,
-    /// The store's clock then, in milliseconds.
+    /// The store's clock at the read, in milliseconds.
     pub clock_ms: u64,
-    /// How long ago the read was sent, in microseconds.
+    /// Time since the read was sent, in microseconds.
     pub age_us: u64,
-    /// Hosts whose claims have not lapsed.
+    /// Number of hosts with an unexpired claim.
     pub hosts: u32,
-    /// The version at which the newest of them was first claimed.
+    /// The version at which the newest of these claims was first made.
     pub newest: u64,
     /// The version up to which all of these hosts count.
     pub counted_by_all: u64,
-    /// The least version of a view by which one of them holds its share.
+    /// The lowest version by which one of these hosts holds its share; `None` if none does.
     pub first_held: Option<u64>,
 }
 
-/// An endpoint of a list.
+/// An endpoint in a list of endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// When it started, in milliseconds since the Unix epoch, if it says so.
+    /// Start time in milliseconds since the Unix epoch; `None` if the endpoint does not report it.
     pub born_ms: Option<u64>,
-    /// Its service.
+    /// Service of the endpoint.
     pub service: String,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub addr: SocketAddr,
-    /// Where it is.
+    /// Data centre of the endpoint.
     pub data_centre: String,
-    /// Requests that it processes at once.
+    /// Number of requests that the endpoint processes at the same time.
     pub slots: u32,
-    /// It has said that it is leaving.
+    /// Whether the endpoint has reported that it is draining.
     pub leaving: bool,
-    /// The kind of its accelerator.
+    /// Kind of its accelerator; `None` if unknown.
     pub accelerator: Option<String>,
-    /// The first layer that it holds, and the one after the last.
+    /// The first layer that the endpoint holds and one past the last; `None` if it holds no layers.
     pub layers: Option<(u32, u32)>,
 }
 
-/// What has changed in a list of endpoints.
+/// Changes to a host's list of endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListNews {
-    /// Where to go on.
+    /// Position up to which the receiver knows the list once it has applied the changes.
     pub mark: ListMark,
-    /// The place in the store's history up to which the list is known: lists of all hosts are
-    /// ordered by it.
+    /// Store revision up to which the list is known. It orders the lists of all hosts.
     pub store_mark: u64,
-    /// These are all there are.
+    /// Whether `changed` is the complete list.
     pub whole: bool,
-    /// New and changed ones.
+    /// Added and changed endpoints.
     pub changed: Vec<Listed>,
-    /// Ids of the starts that are gone.
+    /// Ids of the incarnations that have been removed.
     pub removed: Vec<String>,
-    /// Ids of those whose entries lapsed while the store was in trouble: who has them may keep
-    /// them for now, nobody else takes them.
+    /// Ids of the endpoints whose entries lapsed while the store was unavailable. A receiver that has such an
+    /// endpoint may keep it for now; others do not add it.
     pub doubted: Vec<String>,
 }
 
-/// The row of the lease of placing layers.
+/// The row of the lease for the placement of layers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it.
+    /// Holder of the lease.
     pub holder: String,
-    /// The row's version.
+    /// Version of the row.
     pub version: u64,
 }
 
-/// What a host gets for its offer.
+/// The polled host's answer to an [`Offer`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// How long ago the newest read was sent that showed the catalogue to be the newest, in
-    /// microseconds; `None` if there was none.
+    /// Age of the freshness proof of the catalogue, in microseconds: the time since the newest read was sent
+    /// that showed that no newer catalogue exists. `None` if there was no such read.
     pub proof_age_us: Option<u64>,
-    /// How long ago the store last answered, in microseconds, on the catalogue or on the list,
-    /// whichever is longer ago; `None` if it never did on one of them.
+    /// Time since the store's last answer about the catalogue or about the list of endpoints, whichever is
+    /// longer ago, in microseconds; `None` if one of them never had an answer.
     pub heard_age_us: Option<u64>,
-    /// The host that reads the store for the one that answers; `None` if that reads it itself.
+    /// The host that reads the store on behalf of the polled host; `None` if the polled host reads it itself.
     pub reader: Option<String>,
-    /// The store does not answer this host, as far as it knows.
+    /// Whether the store is unavailable, as far as the polled host knows.
     pub away: bool,
-    /// The store does not answer, and the host that asks is to try it now.
+    /// Whether the polling host is granted the store probe slot: the store is unavailable and the host is to
+    /// call it now.
     pub turn: bool,
-    /// A newer catalogue: its version and its document, as the store holds it.
+    /// A newer catalogue: its version, and its document in the store's format, compressed if
+    /// [`Offer::unpacks`] is set.
     pub catalogue: Option<(u64, Vec<u8>)>,
-    /// What has changed among the endpoints; `None` if the host knows no list, or none was wanted.
+    /// Changes to the list of endpoints; `None` if the polled host has no list, if none was requested, or if
+    /// the update is too long to be sent.
     pub list: Option<ListNews>,
-    /// The fleet, if it is another than the one known.
+    /// All hosts of the fleet; `None` if the polling host already knows this fleet.
     pub fleet: Option<Vec<FleetHost>>,
-    /// The row of the lease, if it was read.
+    /// The row of the lease for the placement of layers, if it was read.
     pub lease: Option<LeaseRow>,
-    /// The claims of shares, if the hosts' rows were read.
+    /// Summary of the claims of shares, if the hosts' rows were read.
     pub claims: Option<ClaimsView>,
-    /// The loads of all hosts but the one that asks; of one data centre, if another one asks.
+    /// The load from all hosts except the polling one; the load from the polled host's data centre if the
+    /// polling host is in another data centre.
     pub loads: Vec<EndpointLoad>,
-    /// What this data centre's hosts avoid by what they saw themselves, without the one that asks;
-    /// nothing if another data centre's asks.
+    /// Endpoints that hosts of this data centre, except the polling one, avoid because of their own calls;
+    /// empty if the polling host is in another data centre.
     pub avoided: Vec<Avoided>,
-    /// Limits that endpoints name, and the permits that the host is lent.
+    /// Limits that endpoints declare, and the permits lent to the polling host.
     pub limits: Vec<EndpointLimit>,
-    /// What the host lacks of the requests under which endpoints have ended.
+    /// Changes that the polling host lacks to the requests during which endpoints have terminated.
     pub suspects: SuspectNews,
 }
 
-/// What one entry host does for another.
+/// The service that an entry host provides to its peers.
 #[tarpc::service]
 pub trait Exchange {
-    /// Takes an offer and gives news.
+    /// Merges the polling host's reports and returns the updates that it lacks.
     async fn exchange(offer: Offer) -> News;
 }
--- a/crates/protocol/src/found.rs
+++ b/crates/protocol/src/found.rs
@@ -1,112 +1,113 @@
-//! Asking peers about a request that may run elsewhere.
+//! Claims and queries between peers for requests that may run on another host.
 //!
-//! The home of a request's key, a host that all others compute alike, knows who runs it: a host
-//! that is to run a named request asks the home with a [`Claim`] first. If another host has it,
-//! the asker follows that host's answer with [`Query`]s instead of running it a second time.
+//! Each request key has a home: one host that all hosts compute alike and that keeps track of which host runs
+//! the request. Before a host runs a named request, it sends a [`Claim`] to the home. If another host runs the
+//! request already, the claiming host follows that host's answer with [`Query`]s instead of running the request
+//! a second time.
 
 use dragonflyrill_catalogue::WorkspaceName;
 use serde::{Deserialize, Serialize};
 
 use crate::HostRef;
 
-/// Asks the home of a key for the right to run it.
+/// Asks the home of a key for the right to run its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The owner of the request.
+    /// Workspace that owns the request.
     pub workspace: WorkspaceName,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub id: String,
-    /// Who wants to run it.
+    /// The host that makes the claim.
     pub by: HostRef,
-    /// What is wanted.
+    /// Purpose of the claim.
     pub intent: Intent,
 }
 
-/// What a claim wants.
+/// The purpose of a [`Claim`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Intent {
-    /// Only to know who runs the request.
+    /// Find out which host runs the request, without a claim to run it.
     Look,
-    /// To run it, if nobody does.
+    /// Run the request, unless another host does.
     Take,
-    /// To say that the asker did not run it and never will.
+    /// Release the claim: the claiming host has not run the request and never will.
     GiveBack,
 }
 
-/// Who runs a request.
+/// The answer to a [`Claim`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
-    /// Nobody; if asked for, the asker does now.
+    /// No other host runs the request. With [`Intent::Take`] the claiming host now has the right to run it.
     Free {
-        /// How often the home has handed the request out before, as far as it knows.
+        /// Number of times that the home has granted the right to run the request before, as far as it knows.
         runs: u32,
     },
-    /// This host, which may have died since.
+    /// This host has the right to run the request. It may have failed since.
     Taken(HostRef),
 }
 
-/// Which request is asked for.
+/// Asks a host for the state and the answer of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Query {
-    /// The owner.
+    /// Workspace that owns the request.
     pub workspace: WorkspaceName,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub id: String,
-    /// Tokens the asker has already.
+    /// Number of tokens that the querying host already has.
     pub from: u32,
-    /// How long the answer may wait for something new, in milliseconds.
+    /// Maximum time for which the answer may wait for something new, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What a host knows of a request.
+/// The answer to a [`Query`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Found {
-    /// Nothing.
+    /// The host has no record of the request.
     Unknown,
-    /// It runs here, or ran here.
+    /// The request runs on this host, or ran on it.
     Known(Answer),
 }
 
-/// A request's answer so far.
+/// The state of a request and its answer so far.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Hash of what was asked.
+    /// Hash of the content of the request.
     pub fingerprint: u64,
-    /// The last attempt that its run has used.
+    /// Number of the latest attempt of the run.
     pub attempt: u32,
-    /// The tokens from [`Query::from`] on.
+    /// Tokens from the position [`Query::from`] on.
     pub tokens: Vec<u64>,
-    /// A plain service's answer, once there.
+    /// Answer of a plain service; `None` until it is complete.
     pub call: Option<CallAnswer>,
-    /// How it stands.
+    /// State of the request.
     pub state: State,
 }
 
-/// How a request stands.
+/// The state of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It runs.
+    /// The request is running.
     Running,
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
-    /// It failed; the code is one of the table of error kinds.
+    /// The request failed. The code is one of the table of error kinds.
     Failed {
-        /// The machine-readable code.
+        /// Machine-readable error code.
         code: String,
-        /// What a person should read.
+        /// Human-readable message.
         message: String,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
 }
 
-/// A plain service's answer.
+/// The answer of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallAnswer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
--- a/crates/protocol/src/host.rs
+++ b/crates/protocol/src/host.rs
@@ -1,11 +1,11 @@
-//! Names of entry hosts.
+//! Identifiers of entry hosts.
 
 use std::fmt;
 
 use dragonflyrill_catalogue::Name;
 use serde::{Deserialize, Serialize};
 
-/// An entry host, as its settings name it. A replaced host may take over the name.
+/// The name of an entry host, from its settings. A replacement of the host may use the same name.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HostId(pub Name);
@@ -22,11 +22,11 @@
     }
 }
 
-/// One life of an entry host.
+/// One incarnation of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostRef {
-    /// The host.
+    /// Name of the host.
     pub id: HostId,
-    /// Which life of the host: grows with each start under the same name.
+    /// Increases with each start of a host of this name.
     pub incarnation: u64,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,15 +1,16 @@
 //! The protocol between entry hosts.
 //!
-//! Hosts exchange one-way [`Message`]s, gathered into an [`Envelope`] for each peer, so that the
-//! state machines behind them need no replies in time: a lost, doubled or late message is their
-//! normal case. Only a caller's request that may run elsewhere is asked for with a reply,
-//! [`Peer::claim`] and [`Peer::find`], and the list that a starting host lacks, [`Peer::listing`].
-//! The transport is tarpc over TCP.
+//! Hosts exchange one-way [`Message`]s, collected into an [`Envelope`] for each peer. The state machines behind
+//! them need no timely replies: they treat lost, duplicated and late messages as normal. Only two
+//! exchanges have a reply: claims and queries for a caller's request that may run on another host
+//! ([`Peer::claim`] and [`Peer::find`]), and the list of hosts and endpoints that a starting host lacks
+//! ([`Peer::listing`]). The transport is tarpc over TCP.
 //!
-//! [`exchange`] is what hosts tell each other where engines drive chains themselves.
+//! [`exchange`] is the protocol between hosts where the engines drive the chains themselves.
 //!
-//! [`membership`] and [`spread`] are the messages that keep the fleet together and the catalogue
-//! in force; [`rights`] those that move owners' rights; [`found`] the answers about requests.
+//! [`membership`] has the messages that maintain the fleet's membership, and [`spread`] those that distribute
+//! the catalogue; [`rights`] has the messages that lend rights of limits, and [`found`] the
+//! claims and queries for requests.
 
 pub mod exchange;
 pub mod found;
@@ -25,21 +26,21 @@
 use dragonflyrill_catalogue::{DataCentre, EndpointId, TargetName};
 use serde::{Deserialize, Serialize};
 
-/// The largest frame accepted from a peer, in bytes.
+/// Maximum size of a frame accepted from a peer, in bytes.
 pub const MAX_FRAME: usize = 4 << 20;
 
-/// One message between two hosts.
+/// A message from one host to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// About who is alive.
+    /// A message about the state of hosts and the endpoints of a data centre.
     Membership(membership::Message),
-    /// About the catalogue.
+    /// A message about the catalogue.
     Spread(spread::Message),
-    /// About owners' rights.
+    /// A message about the rights of limits.
     Rights(rights::Message),
 }
 
-/// Messages from one host to another, in the order they were sent.
+/// Messages from one host to another, in the order in which they were sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
@@ -48,70 +49,71 @@
     pub messages: Vec<Message>,
 }
 
-/// An entry host, as a peer knows it.
+/// An entry host in a [`Listing`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// The host.
+    /// Name of the host.
     pub id: HostId,
-    /// Its address for other hosts.
+    /// Address at which other hosts call it.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
 }
 
-/// An endpoint, as the platform listed it to a peer.
+/// An endpoint in a [`Listing`], as the platform listed it to the peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// The stable id.
+    /// Stable id of the endpoint.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the endpoint.
     pub data_centre: DataCentre,
-    /// The model or service.
+    /// Model or service of the endpoint.
     pub target: TargetName,
-    /// What it is.
+    /// Role of the endpoint.
     pub role: EndpointRole,
-    /// Whether it is listed as leaving.
+    /// Whether the platform lists the endpoint as draining.
     pub leaving: bool,
 }
 
-/// What a listed endpoint is.
+/// The role of a listed endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EndpointRole {
     /// A model engine.
     Engine {
-        /// The first layer it holds.
+        /// The first layer that the engine holds.
         first: u32,
-        /// One past the last layer it holds.
+        /// One past the last layer that the engine holds.
         end: u32,
-        /// The kind of accelerator; empty where unknown.
+        /// Kind of the accelerator; empty if unknown.
         accelerator: String,
-        /// Nominal microseconds for one layer of one token; 0 where unknown.
+        /// Nominal time for one layer of one token, in microseconds; 0 if unknown.
         layer_us: f64,
     },
     /// A plain service.
     Service,
 }
 
-/// What a host lends to one that starts while the platform's list can't be read.
+/// The hosts and endpoints that a peer knows, for a host that starts while the platform's list cannot be
+/// read.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The live entry hosts, the lender among them.
+    /// The live entry hosts, including the peer itself.
     pub hosts: Vec<ListedHost>,
-    /// The endpoints; empty if the lender knows no list itself.
+    /// The endpoints; empty if the peer has no list itself.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// What one entry host does for another.
+/// The service that an entry host provides to its peers.
 #[tarpc::service]
 pub trait Peer {
-    /// Takes messages in. The answer only says that they arrived.
+    /// Accepts messages. The reply only confirms that they arrived.
     async fn deliver(envelope: Envelope);
-    /// Says who runs a request whose key has its home here.
+    /// Answers which host runs a request whose key has its home on this host.
     async fn claim(claim: found::Claim) -> found::Claimed;
-    /// Says what this host knows of a request, waiting for something new if there is nothing.
+    /// Returns what this host knows of a request, and waits for something new if there is nothing yet.
     async fn find(query: found::Query) -> found::Found;
-    /// Lends the list of hosts and endpoints.
+    /// Returns the hosts and endpoints that this host knows.
     async fn listing() -> Listing;
 }
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -1,4 +1,4 @@
-//! Messages about who is alive, and about the endpoints that the hosts of a data centre share.
+//! Messages about the state of hosts, and about the endpoints that the hosts of a data centre share.
 
 use std::net::SocketAddr;
 
@@ -7,82 +7,84 @@
 
 use crate::HostId;
 
-/// What one host says of one life of a host. The order is the order of precedence: of two records
-/// of a host the one with the greater [`Life`] holds, and within one life the graver state.
+/// The state of one incarnation of a host, as another host knows it.
+///
+/// Of two records of a host, the one with the greater [`Life`] takes precedence; with an equal `Life`, the
+/// one with the greater [`State`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// The host.
+    /// Name of the host.
     pub id: HostId,
-    /// The life this is about.
+    /// Incarnation that the record describes, and its refutations.
     pub life: Life,
-    /// What is said of it.
+    /// State of the host.
     pub state: State,
-    /// Its address for other hosts.
+    /// Address at which other hosts call it.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
 }
 
-/// A life of a host, and how often the host refuted a suspicion in it.
+/// An incarnation of a host, and the number of suspicions that the host has refuted in it.
 ///
-/// A refutation does not change the incarnation: what is bound to the life of a host, such as
-/// rights, must not end by a false suspicion.
+/// A refutation does not change the incarnation: state that is bound to the incarnation, such as rights,
+/// must not end because of a false suspicion.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Life {
-    /// Grows with each start under the same name.
+    /// Increases with each start of a host of this name.
     pub incarnation: u64,
-    /// Grows when the host learns that it is suspected or held dead.
+    /// Increases when the host learns that it is suspected or considered dead.
     pub refutations: u32,
 }
 
-/// What is said of a host, in growing gravity.
+/// The state of a host, in order of increasing severity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It is heard.
+    /// The host's heartbeats arrive.
     Alive,
-    /// It has been silent for a while. It may be paused or cut off.
+    /// No heartbeat has arrived for a while. The host may be paused or cut off.
     Suspected,
-    /// It has been silent for long.
+    /// No heartbeat has arrived for a long time.
     Dead,
-    /// It said that it leaves.
+    /// The host has announced that it is shutting down.
     Left,
 }
 
-/// A short name of a data centre: a hash of its full name.
+/// A short key of a data centre: a hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DataCentreKey(pub u32);
 
-/// The sender is alive.
+/// A message that the sender is alive.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// How often the sender refuted a suspicion in this life.
+    /// Number of suspicions that the sender has refuted in this incarnation.
     pub refutations: u32,
-    /// A digest of all records the sender holds of hosts that are not dead.
+    /// Digest of all records that the sender has of hosts that are not dead.
     pub digest: u64,
-    /// The other data centres that the sender heard itself since its last heartbeat.
+    /// Other data centres from which the sender itself has received messages since its last heartbeat.
     pub reached: Vec<DataCentreKey>,
-    /// The sender's own record, while the receiver may not have it.
+    /// The sender's own record; present while the receiver may lack it.
     pub record: Option<Record>,
 }
 
 /// A digest of the records of one data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DataCentreDigest {
-    /// The data centre.
+    /// Key of the data centre.
     pub key: DataCentreKey,
-    /// The digest of its hosts that are not dead.
+    /// Digest of its hosts that are not dead.
     pub digest: u64,
 }
 
-/// Records, and a wish for others.
+/// Records, and a request for others.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Records {
     /// The records.
     pub records: Vec<Record>,
-    /// Data centres of which the sender wants the records that it lacks.
+    /// Data centres for which the sender requests the records that it lacks.
     pub wanted: Vec<DataCentreKey>,
 }
 
@@ -91,48 +93,49 @@
 pub enum Message {
     /// The sender is alive.
     Heartbeat(Heartbeat),
-    /// The sender holds other records than the receiver does.
+    /// Digests by data centre; sent when the sender's records differ from the receiver's.
     Digests(Vec<DataCentreDigest>),
-    /// Records that may be new.
+    /// Records that may be new to the receiver.
     Records(Records),
-    /// About endpoints of the data centre.
+    /// Updates about endpoints of the data centre.
     Endpoints(EndpointNews),
 }
 
-/// What hosts of a data centre tell each other about endpoints.
+/// Updates about endpoints between the hosts of a data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EndpointNews {
-    /// Signs that endpoints leave.
+    /// Signs that endpoints are draining.
     Signs(Vec<Sign>),
-    /// Loads that the sender asked for.
+    /// Loads of endpoints that the sender polled.
     Reports(Vec<Report>),
 }
 
-/// By what it is known that an endpoint leaves.
+/// The source of a [`Sign`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SignKind {
-    /// It refused work or said so itself.
+    /// The endpoint refused work or reported itself that it is draining.
     Refusal,
-    /// The platform's list says so.
+    /// The platform's list shows it.
     List,
-    /// An operator's entry says so.
+    /// An operator's entry states it.
     Operator,
 }
 
-/// A sign that an endpoint leaves: it is to get no new work.
+/// A sign that an endpoint is draining and gets no new work.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sign {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// The life of the endpoint that leaves; 0 where endpoints tell none. A later life serves.
+    /// Incarnation of the endpoint that is draining; 0 where endpoints do not report one. A later incarnation
+    /// gets new work.
     pub incarnation: u64,
-    /// By what it is known.
+    /// Source of the sign.
     pub kind: SignKind,
-    /// How much longer the sign holds, in milliseconds.
+    /// Remaining time for which the sign is valid, in milliseconds.
     pub ttl_ms: u32,
 }
 
-/// A short name of an endpoint: a hash of its id.
+/// A short key of an endpoint: a hash of its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EndpointKey(pub u32);
@@ -140,12 +143,12 @@
 /// The load of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Requests being run.
+    /// Number of requests that are running.
     pub running: u16,
-    /// Requests waiting.
+    /// Number of requests that are waiting.
     pub waiting: u16,
-    /// Age of the report when sent, in tenths of a second.
+    /// Age of the report when it was sent, in tenths of a second.
     pub age_ds: u8,
 }
--- a/crates/protocol/src/rights.rs
+++ b/crates/protocol/src/rights.rs
@@ -1,23 +1,23 @@
-//! Messages that move owners' rights between hosts, and the row that says who lends them.
+//! Messages that lend the rights of limits between hosts, and the row that names the lenders.
 //!
-//! A limit is split evenly over data centres, and within a data centre into [`SHARDS`] by the hash
-//! of its key. The holder of a shard, as the data centre's [`ShardMap`] in the table names it,
-//! lends the rights of the keys in it: a host sends a [`Demand`], the holder answers by a [`Grant`].
+//! A limit is split evenly over data centres, and within a data centre into [`SHARDS`] shards by the hash
+//! of its key. The holder of a shard, which the data centre's [`ShardMap`] in the table names, lends the rights
+//! of the keys in the shard: a host sends a [`Demand`], and the holder answers with a [`Grant`].
 
 use serde::{Deserialize, Serialize};
 
 use crate::host::HostRef;
 
-/// How many shards the keys of a data centre fall into.
+/// Number of shards into which the keys of a data centre are divided.
 pub const SHARDS: usize = 32;
 
-/// A hash of a limit's key, the same on every host.
+/// A hash of a limit's key. It is the same on every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyId(pub u64);
 
 impl KeyId {
-    /// The shard the key falls into.
+    /// Returns the index of the key's shard, from 0 to [`SHARDS`] - 1.
     pub fn shard(self) -> usize {
         (self.0 % SHARDS as u64) as usize
     }
@@ -28,59 +28,60 @@
 pub struct Member {
     /// The host.
     pub host: HostRef,
-    /// The host that may remove this one once it has stopped acknowledging its heartbeats.
+    /// The host that may remove this one once this one no longer acknowledges its heartbeats.
     ///
-    /// Only the member itself changes it.
+    /// Only the member itself changes its guard.
     pub guard: Option<HostRef>,
-    /// Grows with each write of the member itself.
+    /// Increases with each write by the member itself.
     pub beat: u64,
 }
 
-/// Which host of a data centre lends the rights of which shard.
+/// Assigns the shards of a data centre to the hosts that lend their rights.
 ///
-/// The two parts of a shard have one holder, unless one was taken over for want of a sign of life.
+/// Both parts of a shard have the same holder, unless one part was taken over because its holder showed no
+/// sign of life.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShardMap {
-    /// The hosts.
+    /// The hosts that take part.
     pub members: Vec<Member>,
-    /// For each shard, who lends the part that lapses when the table has been out of reach for the
+    /// For each shard, the holder of the main part, which lapses when the table has been unreachable for the
     /// long term.
     pub main: Vec<Option<HostRef>>,
-    /// For each shard, who lends the part that stays through a long outage of the table.
+    /// For each shard, the holder of the floor part, which remains valid through a long outage of the table.
     pub floor: Vec<Option<HostRef>>,
 }
 
-/// What a host holds under one key and one lender, or wants.
+/// Rights under one key that a host holds from one lender, or requests from it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rights {
-    /// Requests that may be admitted.
+    /// Number of requests that may be admitted.
     pub requests: u32,
-    /// Tokens that may be admitted.
+    /// Number of tokens that may be admitted.
     pub tokens: u32,
-    /// Requests that may be in flight at one instant.
+    /// Number of requests that may be in flight at the same time.
     pub in_flight: u32,
 }
 
-/// A host's account with a lender, and what it would like.
+/// The state of a host's rights from a lender, and the rights that the host requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Demand {
     /// The limit.
     pub key: KeyId,
-    /// Grows with each demand of this host to this lender for this key. A grant counts only when
-    /// it answers the newest demand, so that `held` is all the sender holds from the lender.
+    /// Increases with each demand of this host to this lender for this key. A grant is valid only if it
+    /// answers the newest demand, so that `held` is all that the sender holds from the lender.
     pub seq: u32,
-    /// The unexpired rights the sender holds from the lender.
+    /// Unexpired rights that the sender holds from the lender.
     pub held: Rights,
-    /// In flight that the sender needs of the lender for requests that run and for those it may
-    /// admit by what it holds.
+    /// Number of in-flight rights from the lender that the sender needs for its running requests and for
+    /// those that it may admit with the rights that it holds.
     pub busy: u32,
-    /// Requests admitted so far under the lender's grants.
+    /// Number of requests admitted so far under the lender's grants.
     pub used_requests: u64,
-    /// Tokens used so far under the lender's grants, less what was settled back.
+    /// Number of tokens used so far under the lender's grants, less those returned on settlement.
     pub used_tokens: i64,
-    /// Requests and tokens wanted beyond `held`; in flight wanted in all.
+    /// Requested rights: requests and tokens in addition to `held`; in flight in total.
     pub want: Rights,
-    /// Tokens of the first request that waits; less than that is of no use to the sender.
+    /// Number of tokens of the first waiting request. A smaller grant is of no use to the sender.
     pub head: u32,
 }
 
@@ -89,45 +90,45 @@
 pub struct Grant {
     /// The limit.
     pub key: KeyId,
-    /// The demand.
+    /// The `seq` of the demand that this grant answers.
     pub seq: u32,
-    /// Milliseconds after the sending of the demand at which the rights lapse.
+    /// Time after which the rights lapse, in milliseconds from the sending of the demand.
     pub term_ms: u32,
-    /// Requests and tokens beyond those held; in flight in all.
+    /// Granted rights: requests and tokens in addition to those held; in flight in total.
     pub rights: Rights,
-    /// When the lender expects to have served those who wait for it, in milliseconds.
+    /// Time after which the lender expects to have served the hosts that wait for it, in milliseconds.
     pub wait_ms: u32,
-    /// Whether the lender has done with the demand; else another grant follows when rights come.
+    /// Whether the demand is settled; otherwise another grant follows when rights become available.
     pub last: bool,
 }
 
 /// A message about rights.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To the sender's guard: the sender is alive.
+    /// A heartbeat to the sender's guard.
     Beat {
-        /// Grows with each beat.
+        /// Increases with each heartbeat.
         seq: u32,
-        /// The revision of the sender's shard map.
+        /// Revision of the sender's shard map.
         revision: u64,
     },
-    /// The receiver won't be removed by the sender for the session's term, counted from the
-    /// sending of the beat.
+    /// Acknowledges a heartbeat: the sender won't remove the receiver for the session's term, counted from
+    /// the sending of the heartbeat.
     BeatAck {
-        /// The beat.
+        /// The `seq` of the acknowledged heartbeat.
         seq: u32,
-        /// The revision of the sender's shard map.
+        /// Revision of the sender's shard map.
         revision: u64,
     },
     /// The shard map of the sender's data centre.
     Map {
-        /// The table's revision of the row.
+        /// Revision of the map's row in the table.
         revision: u64,
-        /// The map.
+        /// The shard map.
         map: ShardMap,
     },
-    /// Asks a lender for rights.
+    /// Demands to a lender.
     Demand(Vec<Demand>),
-    /// Lends rights.
+    /// Grants of a lender.
     Grant(Vec<Grant>),
 }
--- a/crates/protocol/src/spread.rs
+++ b/crates/protocol/src/spread.rs
@@ -1,4 +1,4 @@
-//! Messages about the catalogue.
+//! Messages that distribute the catalogue.
 
 use std::pin;
 
@@ -6,50 +6,50 @@
 use serde::{Deserialize, Serialize};
 use tarpc::tokio_serde::{self, formats};
 
-/// A catalogue in short.
+/// Identifies a catalogue.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Digest {
     /// The revision in force.
     pub revision: Revision,
-    /// A hash of the id of its change; two catalogues of one revision differ by it if the store
-    /// was ever wound back and changed anew.
+    /// Hash of the id of the revision's change. It tells apart two catalogues of one revision if the store
+    /// was ever restored to an earlier state and then changed differently.
     pub change: u64,
 }
 
-/// One part of a whole catalogue. A catalogue is divided the same way at each sending.
+/// One part of a complete catalogue. A catalogue is divided in the same way each time it is sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// The revision the whole has.
+    /// Revision of the complete catalogue.
     pub revision: Revision,
-    /// The id of its newest change.
+    /// Id of the newest change of the catalogue.
     pub change_id: String,
-    /// Which part this is, from 0.
+    /// Index of this part, from 0.
     pub index: u32,
-    /// The number of parts.
+    /// Number of parts.
     pub parts: u32,
-    /// The entries of this part.
+    /// Entries of this part.
     pub entries: Vec<Entry>,
 }
 
-/// A message of the spread of the catalogue.
+/// A message that distributes the catalogue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The revision the sender has in force.
+    /// Identifies the catalogue that the sender has in force.
     Digest(Digest),
-    /// The sender lacks the changes after this revision.
+    /// Requests the changes after this revision, which the sender lacks.
     Pull(Digest),
-    /// Changes, in order and without gaps.
+    /// Consecutive changes, in order and without gaps.
     Changes(Vec<Change>),
-    /// A part of a whole catalogue.
+    /// A part of a complete catalogue.
     Part(Part),
 }
 
-/// The length of `value` on the wire, in bytes, without the frame around it.
+/// Returns the encoded length of `value` in a message, in bytes, without the framing.
 ///
 /// # Panics
-/// Never for the types of this crate: they have no form that the codec refuses.
+/// Never for the types of this crate: the codec can encode all of their values.
 pub fn encoded_len<T: Serialize>(value: &T) -> usize {
     let codec = pin::pin!(formats::Bincode::<(), T>::default());
     let bytes = tokio_serde::Serializer::serialize(codec, value);
