--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -11,7 +11,7 @@
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
-    exchange::{ExchangeClient, FleetHost, ListMark, ListNews, Listed, News, Offer},
+    exchange::{ExchangeClient, FleetHost, ListMark, ListNews, Listed, PollRequest, PollResponse},
 };
 use dragonflyrill_store::PlatformError;
 use tarpc::{client, context, serde_transport::tcp, tokio_serde::formats::Bincode};
@@ -145,7 +145,7 @@
     }
 
     /// Whether an answer shows that the answering host has recent data from the store.
-    fn is_fresh(&self, news: &News) -> bool {
+    fn is_fresh(&self, news: &PollResponse) -> bool {
         let max_silence = catalogue::max_store_silence(&self.gateway.settings);
         let answer_age = news.heard_age_us.map(Duration::from_micros);
         answer_age.is_some_and(|age| age <= max_silence)
@@ -267,7 +267,7 @@
     fn record_list_report(
         &mut self,
         host: &FleetHost,
-        news: &News,
+        news: &PollResponse,
         store_answered_at: Option<Duration>,
     ) {
         let gateway = &self.gateway;
@@ -284,7 +284,7 @@
         self.list_received = news.list.is_some();
     }
 
-    fn apply_update(&mut self, news: News, sent_at: Duration, proof_age: Option<Duration>) {
+    fn apply_update(&mut self, news: PollResponse, sent_at: Duration, proof_age: Option<Duration>) {
         let gateway = &self.gateway;
         let peers = &gateway.peers;
         let now = gateway.now();
@@ -345,9 +345,9 @@
         gateway.loads.borrow_mut().apply_update(others, now);
     }
 
-    fn offer(&self, loads: &LoadMap, near: bool) -> Offer {
+    fn offer(&self, loads: &LoadMap, near: bool) -> PollRequest {
         let gateway = &self.gateway;
-        Offer {
+        PollRequest {
             from: host_row::own_host(gateway),
             // Data centres exchange neither catalogues nor lists nor avoided endpoints.
             catalogue: match near {
@@ -385,7 +385,7 @@
 
     /// Calls a host and merges the limits and suspects of its answer. A host that doesn't answer is
     /// skipped for a while.
-    async fn call(&mut self, host: &FleetHost, mut offer: Offer) -> Option<News> {
+    async fn call(&mut self, host: &FleetHost, mut offer: PollRequest) -> Option<PollResponse> {
         let mut suspect_offer = self.suspect_syncs.offer(host.addr, &self.gateway);
         offer.suspects_known = suspect_offer.known;
         offer.suspects = std::mem::take(&mut suspect_offer.suspects);
@@ -407,7 +407,7 @@
         None
     }
 
-    async fn exchange(&mut self, addr: SocketAddr, offer: Offer) -> Option<News> {
+    async fn exchange(&mut self, addr: SocketAddr, offer: PollRequest) -> Option<PollResponse> {
         let client = match self.clients.get(&addr) {
             Some(client) => client.clone(),
             None => {
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -9,7 +9,7 @@
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
-    exchange::{Exchange, ListMark, ListNews, Listed, News, Offer},
+    exchange::{Exchange, ListMark, ListNews, Listed, PollRequest, PollResponse},
 };
 use futures_util::StreamExt;
 use tarpc::{
@@ -76,13 +76,13 @@
 }
 
 impl Exchange for ExchangeServer {
-    async fn exchange(self, _: context::Context, offer: Offer) -> News {
+    async fn exchange(self, _: context::Context, offer: PollRequest) -> PollResponse {
         answer(&self.gateway, &offer)
     }
 }
 
 /// Applies what a polling host offers, and returns the updates that it lacks.
-pub fn answer(gateway: &Gateway, offer: &Offer) -> News {
+pub fn answer(gateway: &Gateway, offer: &PollRequest) -> PollResponse {
     let now = gateway.now();
     let peers = &gateway.peers;
     let near = &*gateway.settings.data_centre;
@@ -128,7 +128,7 @@
     // The freshness proof of this host's catalogue doesn't apply to the older one that the polling
     // host keeps until it gets the document.
     let age = gateway.freshness.get().proof_age(now).filter(|_| !deferred);
-    News {
+    PollResponse {
         proof_age_us: age.map(|a| a.as_micros() as u64),
         heard_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
         reader: match gateway.reads_store() {
@@ -164,7 +164,7 @@
     Deferred,
 }
 
-fn catalogue_update(gateway: &Gateway, offer: &Offer) -> CatalogueUpdate {
+fn catalogue_update(gateway: &Gateway, offer: &PollRequest) -> CatalogueUpdate {
     let version = gateway.catalogue_version();
     if version <= offer.catalogue {
         return CatalogueUpdate::Current;
--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -43,7 +43,7 @@
     pub per_s: Option<f64>,
     /// Age of the endpoint's answer that showed the limit, in microseconds.
     pub age_us: u64,
-    /// Number of permits: in an [`Offer`] those that the polling host requests, in [`News`] those that
+    /// Number of permits: in an [`PollRequest`] those that the polling host requests, in [`PollResponse`] those that
     /// it is lent.
     pub permits: u32,
     /// Number of permits that the polling host returns.
@@ -127,7 +127,7 @@
 
 /// The request of [`Exchange::exchange`]: the polling host's reports, and what it already knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Offer {
+pub struct PollRequest {
     /// The polling host. It includes the address because the polled host may not know it yet.
     pub from: FleetHost,
     /// Version of the catalogue that the polling host knows; 0 for none.
@@ -296,9 +296,9 @@
     pub version: u64,
 }
 
-/// The polled host's answer to an [`Offer`].
+/// The polled host's answer to an [`PollRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct PollResponse {
     /// Age of the freshness proof of the catalogue, in microseconds: the time since the newest read was sent
     /// that showed that no newer catalogue exists. `None` if there was no such read.
     pub proof_age_us: Option<u64>,
@@ -313,7 +313,7 @@
     /// call it now.
     pub turn: bool,
     /// A newer catalogue: its version, and its document in the store's format, compressed if
-    /// [`Offer::unpacks`] is set.
+    /// [`PollRequest::unpacks`] is set.
     pub catalogue: Option<(u64, Vec<u8>)>,
     /// Changes to the list of endpoints; `None` if the polled host has no list, if none was requested, or if
     /// the update is too long to be sent.
@@ -340,5 +340,5 @@
 #[tarpc::service]
 pub trait Exchange {
     /// Merges the polling host's reports and returns the updates that it lacks.
-    async fn exchange(offer: Offer) -> News;
+    async fn exchange(offer: PollRequest) -> PollResponse;
 }
