--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -11,7 +11,10 @@
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
-    exchange::{ExchangeClient, FleetHost, ListMark, ListNews, Listed, PollRequest, PollResponse},
+    exchange::{
+        EndpointListEntry, EndpointListUpdate, ExchangeClient, FleetHost, ListPosition,
+        PollRequest, PollResponse,
+    },
 };
 use dragonflyrill_store::PlatformError;
 use tarpc::{client, context, serde_transport::tcp, tokio_serde::formats::Bincode};
@@ -355,7 +358,7 @@
                 false => u64::MAX,
             },
             list: near.then(|| gateway.peers.list_position.get()),
-            list_known_to: gateway
+            list_revision: gateway
                 .endpoints_known
                 .get()
                 .then(|| gateway.list_revision.get()),
@@ -367,7 +370,7 @@
                 false => Vec::new(),
             },
             limits: Vec::new(),
-            suspects_known: ListMark::default(),
+            suspects_known: ListPosition::default(),
             suspects: Vec::new(),
             unpacks: true,
         }
@@ -394,7 +397,7 @@
         if let Ok(Some(mut news)) = result {
             limits::merge(&self.gateway, &news.limits, sent_at);
             let suspects = std::mem::take(&mut news.suspects.changed);
-            let mark = news.suspects.mark;
+            let mark = news.suspects.position;
             self.suspect_syncs
                 .record_response(host.addr, &suspect_offer, mark);
             suspects::merge(&self.gateway, &suspects);
@@ -454,16 +457,16 @@
 
 /// Applies another host's list of endpoints, unless this host knows a later store revision of the
 /// list.
-pub fn apply_list(gateway: &Rc<Gateway>, list: ListNews) {
+pub fn apply_list(gateway: &Rc<Gateway>, list: EndpointListUpdate) {
     // The other host's list may be older than what this host already knew when it sent its call.
-    if list.store_mark < gateway.list_revision.get() {
-        log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list of endpoints is ignored.");
+    if list.store_revision < gateway.list_revision.get() {
+        log::info!(target: "peers", told = list.store_revision, known = gateway.list_revision.get(); "An older list of endpoints is ignored.");
         return;
     }
-    gateway.list_revision.set(list.store_mark);
-    let gone: Vec<Rc<str>> = if list.whole {
+    gateway.list_revision.set(list.store_revision);
+    let gone: Vec<Rc<str>> = if list.complete {
         let directory = gateway.directory.borrow();
-        let doubted = list.doubted.iter().filter_map(|id| directory.get(id));
+        let doubted = list.lapsed.iter().filter_map(|id| directory.get(id));
         let listed = list.changed.iter().map(|l| &*l.name);
         directory.ids_except(listed.chain(doubted.map(|e| &*e.name)))
     } else {
@@ -484,7 +487,7 @@
     }
     replaced.iter().for_each(|id| gateway.remove_endpoint(id));
     gateway.endpoints_known.set(true);
-    gateway.peers.list_position.set(list.mark);
+    gateway.peers.list_position.set(list.position);
     gateway
         .directory
         .borrow_mut()
@@ -505,8 +508,8 @@
             .any(|e| e.name == gone.name || e.addr == gone.addr)
 }
 
-fn to_endpoint(listed: Listed) -> Endpoint {
-    let started_at = listed.born_ms.map(StartTime);
+fn to_endpoint(listed: EndpointListEntry) -> Endpoint {
+    let started_at = listed.started_at_ms.map(StartTime);
     Endpoint {
         id: incarnations::id(&listed.name, started_at),
         name: listed.name.into(),
@@ -515,7 +518,7 @@
         addr: listed.addr,
         data_centre: listed.data_centre.into(),
         slots: listed.slots,
-        draining: listed.leaving,
+        draining: listed.draining,
         accelerator: listed.accelerator.map(Into::into),
         layers: listed
             .layers
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -30,7 +30,7 @@
     endpoints::AvoidedEndpoint,
     store_access::ProbeSlots,
 };
-use dragonflyrill_protocol::exchange::{self, EndpointLoad, FleetHost, LeaseRow, ListMark};
+use dragonflyrill_protocol::exchange::{self, EndpointLoad, FleetHost, LeaseRow, ListPosition};
 use rustc_hash::{FxHashMap, FxHasher};
 use tokio::sync::Notify;
 
@@ -71,7 +71,7 @@
     /// host name.
     reports: RefCell<FxHashMap<String, PeerReport>>,
     /// Position up to which the polled host's list of endpoints is known.
-    list_position: Cell<ListMark>,
+    list_position: Cell<ListPosition>,
     /// The row of the lease, as last read or received.
     lease: RefCell<Option<LeaseRow>>,
     /// The incarnation of this host.
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -9,7 +9,9 @@
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
-    exchange::{Exchange, ListMark, ListNews, Listed, PollRequest, PollResponse},
+    exchange::{
+        EndpointListEntry, EndpointListUpdate, Exchange, ListPosition, PollRequest, PollResponse,
+    },
 };
 use futures_util::StreamExt;
 use tarpc::{
@@ -140,7 +142,7 @@
         catalogue,
         list: offer
             .list
-            .and_then(|mark| list_update(gateway, mark, offer.list_known_to)),
+            .and_then(|mark| list_update(gateway, mark, offer.list_revision)),
         fleet: (offer.fleet != peers.fleet_hash.get()).then(|| peers.fleet()),
         lease: peers.lease(),
         claims: gateway.bounds.report(now),
@@ -206,7 +208,11 @@
 /// `mark`, a position in the list of this host or of another one, and up to the store revision
 /// `known_to` if it has read the list itself. `None` if this host has no list, or if a long list
 /// would have to be sent in full.
-fn list_update(gateway: &Gateway, mark: ListMark, known_to: Option<u64>) -> Option<ListNews> {
+fn list_update(
+    gateway: &Gateway,
+    mark: ListPosition,
+    known_to: Option<u64>,
+) -> Option<EndpointListUpdate> {
     if !gateway.endpoints_known.get() {
         return None;
     }
@@ -225,28 +231,28 @@
         .changed
         .iter()
         .filter(|e| !doubted.contains_key(&e.id));
-    Some(ListNews {
-        mark: ListMark {
+    Some(EndpointListUpdate {
+        position: ListPosition {
             origin,
             version: changes.version,
         },
-        store_mark: gateway.list_revision.get(),
-        whole: changes.complete,
+        store_revision: gateway.list_revision.get(),
+        complete: changes.complete,
         changed: listed.map(|e| to_listed(e)).collect(),
-        doubted: doubted.keys().map(ToString::to_string).collect(),
+        lapsed: doubted.keys().map(ToString::to_string).collect(),
         removed: changes.removed.iter().map(ToString::to_string).collect(),
     })
 }
 
-fn to_listed(endpoint: &Endpoint) -> Listed {
-    Listed {
+fn to_listed(endpoint: &Endpoint) -> EndpointListEntry {
+    EndpointListEntry {
         name: endpoint.name.to_string(),
-        born_ms: endpoint.started_at.map(|b| b.0),
+        started_at_ms: endpoint.started_at.map(|b| b.0),
         service: endpoint.service.to_string(),
         addr: endpoint.addr,
         data_centre: endpoint.data_centre.to_string(),
         slots: endpoint.slots,
-        leaving: endpoint.draining,
+        draining: endpoint.draining,
         accelerator: endpoint.accelerator.as_deref().map(str::to_owned),
         layers: endpoint.layers.map(|l| (l.first, l.end)),
     }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -12,7 +12,7 @@
     quarantine::{QuarantinePeriod, SuspectReport, Termination},
 };
 use dragonflyrill_protocol::exchange::{
-    EndpointEnd, ListMark, RequestHold, Suspect, SuspectNews, millis,
+    EndpointEnd, ListPosition, RequestHold, Suspect, SuspectNews, millis,
 };
 
 use crate::gateway::Gateway;
@@ -24,7 +24,7 @@
 /// What this host sends of its suspects with a call.
 pub(super) struct SuspectOffer {
     /// Position up to which this host knows the other host's changes.
-    pub(super) known: ListMark,
+    pub(super) known: ListPosition,
     /// The changes of this host that the other host doesn't know yet.
     pub(super) suspects: Vec<Suspect>,
     /// The version of this host's suspects that the other host knows once it has received the
@@ -40,7 +40,7 @@
         let quarantine = gateway.quarantine.borrow();
         let changed = quarantine.changes_since(sync.acknowledged(), gateway.now());
         SuspectOffer {
-            known: ListMark { origin, version },
+            known: ListPosition { origin, version },
             suspects: changed.iter().map(to_wire).collect(),
             version: quarantine.version(),
         }
@@ -51,7 +51,7 @@
         &mut self,
         addr: SocketAddr,
         offer: &SuspectOffer,
-        mark: ListMark,
+        mark: ListPosition,
     ) {
         let sync = self.0.entry(addr).or_default();
         sync.record_response(offer.version, cursor(mark));
@@ -63,20 +63,20 @@
     }
 }
 
-fn cursor(mark: ListMark) -> Cursor {
-    let ListMark { origin, version } = mark;
+fn cursor(mark: ListPosition) -> Cursor {
+    let ListPosition { origin, version } = mark;
     Cursor { origin, version }
 }
 
 /// Returns the changes of this host's suspects after the position `known`, up to which a polling
 /// host knows them.
-pub(super) fn update(gateway: &Gateway, known: ListMark) -> SuspectNews {
+pub(super) fn update(gateway: &Gateway, known: ListPosition) -> SuspectNews {
     let origin = gateway.peers.list_origin(&gateway.settings.host);
     let since = cursor(known).known_version(origin);
     let quarantine = gateway.quarantine.borrow();
     let changed = quarantine.changes_since(since, gateway.now());
     SuspectNews {
-        mark: ListMark {
+        position: ListPosition {
             origin,
             version: quarantine.version(),
         },
--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -52,7 +52,7 @@
 
 /// A position in the sequence of changes of one host's list, either of endpoints or of suspected requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListPosition {
     /// Identifies the host that owns the list, and its incarnation.
     pub origin: u64,
     /// Number of changes up to this position.
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
     /// Position up to which the receiver knows the list once it has applied the changes.
-    pub mark: ListMark,
+    pub position: ListPosition,
     /// Added and changed suspects.
     pub changed: Vec<Suspect>,
 }
@@ -134,10 +134,10 @@
     pub catalogue: u64,
     /// Position up to which the polling host knows the polled host's list of endpoints; `None` if it requests
     /// no changes of the list.
-    pub list: Option<ListMark>,
+    pub list: Option<ListPosition>,
     /// Store revision up to which the polling host knows the list of endpoints; `None` if it has not read the
     /// list itself.
-    pub list_known_to: Option<u64>,
+    pub list_revision: Option<u64>,
     /// Hash of the fleet that the polling host knows.
     pub fleet: u64,
     /// Time since the store last answered the polling host directly, in microseconds; `None` if the host does
@@ -153,7 +153,7 @@
     /// hosts of its own data centre.
     pub limits: Vec<EndpointLimit>,
     /// Position up to which the polling host knows the polled host's suspected requests.
-    pub suspects_known: ListMark,
+    pub suspects_known: ListPosition,
     /// Requests that the polling host suspects itself and has not yet reported to the polled host.
     pub suspects: Vec<Suspect>,
     /// Whether the polling host accepts the catalogue's document in compressed form.
@@ -248,11 +248,11 @@
 
 /// An endpoint in a list of endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct EndpointListEntry {
     /// Name of the endpoint.
     pub name: String,
     /// Start time in milliseconds since the Unix epoch; `None` if the endpoint does not report it.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Service of the endpoint.
     pub service: String,
     /// Address at which the endpoint listens.
@@ -262,7 +262,7 @@
     /// Number of requests that the endpoint processes at the same time.
     pub slots: u32,
     /// Whether the endpoint has reported that it is draining.
-    pub leaving: bool,
+    pub draining: bool,
     /// Kind of its accelerator; `None` if unknown.
     pub accelerator: Option<String>,
     /// The first layer that the endpoint holds and one past the last; `None` if it holds no layers.
@@ -271,20 +271,20 @@
 
 /// Changes to a host's list of endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ListNews {
+pub struct EndpointListUpdate {
     /// Position up to which the receiver knows the list once it has applied the changes.
-    pub mark: ListMark,
+    pub position: ListPosition,
     /// Store revision up to which the list is known. It orders the lists of all hosts.
-    pub store_mark: u64,
+    pub store_revision: u64,
     /// Whether `changed` is the complete list.
-    pub whole: bool,
+    pub complete: bool,
     /// Added and changed endpoints.
-    pub changed: Vec<Listed>,
+    pub changed: Vec<EndpointListEntry>,
     /// Ids of the incarnations that have been removed.
     pub removed: Vec<String>,
     /// Ids of the endpoints whose entries lapsed while the store was unavailable. A receiver that has such an
     /// endpoint may keep it for now; others do not add it.
-    pub doubted: Vec<String>,
+    pub lapsed: Vec<String>,
 }
 
 /// The row of the lease for the placement of layers.
@@ -317,7 +317,7 @@
     pub catalogue: Option<(u64, Vec<u8>)>,
     /// Changes to the list of endpoints; `None` if the polled host has no list, if none was requested, or if
     /// the update is too long to be sent.
-    pub list: Option<ListNews>,
+    pub list: Option<EndpointListUpdate>,
     /// All hosts of the fleet; `None` if the polling host already knows this fleet.
     pub fleet: Option<Vec<FleetHost>>,
     /// The row of the lease for the placement of layers, if it was read.
