--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -150,7 +150,7 @@
     /// Whether an answer shows that the answering host has recent data from the store.
     fn is_fresh(&self, news: &PollResponse) -> bool {
         let max_silence = catalogue::max_store_silence(&self.gateway.settings);
-        let answer_age = news.heard_age_us.map(Duration::from_micros);
+        let answer_age = news.store_answer_age_us.map(Duration::from_micros);
         answer_age.is_some_and(|age| age <= max_silence)
     }
 
@@ -235,12 +235,12 @@
         }
         peers.record_success(&host.host);
         let proof_age = news.proof_age_us.map(Duration::from_micros);
-        let answer_age = news.heard_age_us.map(Duration::from_micros);
+        let answer_age = news.store_answer_age_us.map(Duration::from_micros);
         let report = StoreReport {
             fresh: self.is_fresh(&news),
             from_this_host: news.reader.as_ref() == Some(&gateway.settings.host),
-            unavailable: news.away,
-            probe_slot: news.turn,
+            unavailable: news.store_unavailable,
+            probe_slot: news.probe_slot,
             has_list: news.list.is_some(),
         };
         let store_answered_at = answer_age.and_then(|age| sent_at.checked_sub(age));
@@ -372,7 +372,7 @@
             limits: Vec::new(),
             suspects_known: ListPosition::default(),
             suspects: Vec::new(),
-            unpacks: true,
+            accepts_compressed: true,
         }
     }
 
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -132,13 +132,13 @@
     let age = gateway.freshness.get().proof_age(now).filter(|_| !deferred);
     PollResponse {
         proof_age_us: age.map(|a| a.as_micros() as u64),
-        heard_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
+        store_answer_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
         reader: match gateway.reads_store() {
             true => None,
             false => peers.reader.borrow().clone(),
         },
-        away: store_fails || gateway.store_unavailable(),
-        turn: probe_slot,
+        store_unavailable: store_fails || gateway.store_unavailable(),
+        probe_slot,
         catalogue,
         list: offer
             .list
@@ -171,7 +171,7 @@
     if version <= offer.catalogue {
         return CatalogueUpdate::Current;
     }
-    if !offer.unpacks {
+    if !offer.accepts_compressed {
         return CatalogueUpdate::Document(version, gateway.catalogue_document.borrow().clone());
     }
     let documents = &gateway.peers.documents;
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -97,15 +97,15 @@
         age_ms: millis(t.age),
     };
     let period = |p: QuarantinePeriod| RequestHold {
-        times: p.count,
+        count: p.count,
         age_ms: millis(p.age),
-        lasts_ms: millis(p.duration),
+        duration_ms: millis(p.duration),
     };
     Suspect {
         request: report.request.bytes(),
-        ends: report.terminations.iter().map(termination).collect(),
-        survived_ms: report.answer_age.map(millis),
-        hold: report.period.map(period),
+        terminations: report.terminations.iter().map(termination).collect(),
+        answer_age_ms: report.answer_age.map(millis),
+        quarantine: report.period.map(period),
     }
 }
 
@@ -115,14 +115,14 @@
         age: Duration::from_millis(t.age_ms),
     };
     let period = |p: RequestHold| QuarantinePeriod {
-        count: p.times,
+        count: p.count,
         age: Duration::from_millis(p.age_ms),
-        duration: Duration::from_millis(p.lasts_ms),
+        duration: Duration::from_millis(p.duration_ms),
     };
     SuspectReport {
         request: Fingerprint::from(suspect.request),
-        terminations: suspect.ends.iter().map(termination).collect(),
-        answer_age: suspect.survived_ms.map(Duration::from_millis),
-        period: suspect.hold.map(period),
+        terminations: suspect.terminations.iter().map(termination).collect(),
+        answer_age: suspect.answer_age_ms.map(Duration::from_millis),
+        period: suspect.quarantine.map(period),
     }
 }
--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -72,11 +72,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestHold {
     /// Number of times that the request has been quarantined, including this one.
-    pub times: u32,
+    pub count: u32,
     /// Time since the start of the quarantine, in milliseconds.
     pub age_ms: u64,
     /// Total duration of the quarantine, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
 }
 
 /// A request during which endpoints have terminated.
@@ -85,11 +85,11 @@
     /// Fingerprint of the request.
     pub request: [u8; 16],
     /// Terminations that count towards the next quarantine of the request.
-    pub ends: Vec<EndpointEnd>,
+    pub terminations: Vec<EndpointEnd>,
     /// Time since an endpoint last answered the request, in milliseconds; `None` if no endpoint has.
-    pub survived_ms: Option<u64>,
+    pub answer_age_ms: Option<u64>,
     /// The latest quarantine of the request; `None` if it has never been quarantined.
-    pub hold: Option<RequestHold>,
+    pub quarantine: Option<RequestHold>,
 }
 
 /// Changes to the requests that a host suspects.
@@ -157,7 +157,7 @@
     /// Requests that the polling host suspects itself and has not yet reported to the polled host.
     pub suspects: Vec<Suspect>,
     /// Whether the polling host accepts the catalogue's document in compressed form.
-    pub unpacks: bool,
+    pub accepts_compressed: bool,
 }
 
 /// A host of the fleet.
@@ -304,16 +304,16 @@
     pub proof_age_us: Option<u64>,
     /// Time since the store's last answer about the catalogue or about the list of endpoints, whichever is
     /// longer ago, in microseconds; `None` if one of them never had an answer.
-    pub heard_age_us: Option<u64>,
+    pub store_answer_age_us: Option<u64>,
     /// The host that reads the store on behalf of the polled host; `None` if the polled host reads it itself.
     pub reader: Option<String>,
     /// Whether the store is unavailable, as far as the polled host knows.
-    pub away: bool,
+    pub store_unavailable: bool,
     /// Whether the polling host is granted the store probe slot: the store is unavailable and the host is to
     /// call it now.
-    pub turn: bool,
+    pub probe_slot: bool,
     /// A newer catalogue: its version, and its document in the store's format, compressed if
-    /// [`PollRequest::unpacks`] is set.
+    /// [`PollRequest::accepts_compressed`] is set.
     pub catalogue: Option<(u64, Vec<u8>)>,
     /// Changes to the list of endpoints; `None` if the polled host has no list, if none was requested, or if
     /// the update is too long to be sent.
@@ -340,5 +340,5 @@
 #[tarpc::service]
 pub trait Exchange {
     /// Merges the polling host's reports and returns the updates that it lacks.
-    async fn exchange(offer: PollRequest) -> PollResponse;
+    async fn exchange(request: PollRequest) -> PollResponse;
 }
