--- a/crates/gateway/src/bounds.rs
+++ b/crates/gateway/src/bounds.rs
@@ -14,7 +14,7 @@
     share::{Claim, ClaimDraft, ClaimRow, ClaimsSnapshot, Share, ShareHolding},
 };
 use dragonflyrill_protocol::exchange::{
-    ClaimsView, HeldShare, HostRow, RecordedRepeats, ShareClaim, millis,
+    ClaimsView, HeldShare, HostRow, RetriesRow, ShareClaim, millis,
 };
 use tokio::sync::{Notify, watch};
 
@@ -31,10 +31,10 @@
     }
 
     /// The recorded retries in the form that the row stores.
-    pub fn retries(&self) -> Vec<RecordedRepeats> {
-        let to_wire = |r: &RecordedRetries| RecordedRepeats {
+    pub fn retries(&self) -> Vec<RetriesRow> {
+        let to_wire = |r: &RecordedRetries| RetriesRow {
             service: r.service.to_string(),
-            repeats: r.retries,
+            retries: r.retries,
         };
         self.recorded.iter().map(to_wire).collect()
     }
@@ -303,16 +303,16 @@
 }
 
 fn recorded_retries(row: &HostRow) -> impl Iterator<Item = RecordedRetries> {
-    row.repeats.iter().map(|r| RecordedRetries {
+    row.retries.iter().map(|r| RecordedRetries {
         service: r.service.as_str().into(),
-        retries: r.repeats,
+        retries: r.retries,
     })
 }
 
 fn claim_to_wire(claim: &Claim) -> ShareClaim {
     let to_wire = |held: ShareHolding| HeldShare {
         version: held.version,
-        whole_at_ms: millis(held.usable_at),
+        usable_at_ms: millis(held.usable_at),
     };
     ShareClaim {
         since: claim.since,
@@ -325,7 +325,7 @@
 fn claim_from_wire(claim: &ShareClaim) -> Claim {
     let from_wire = |held: HeldShare| ShareHolding {
         version: held.version,
-        usable_at: Duration::from_millis(held.whole_at_ms),
+        usable_at: Duration::from_millis(held.usable_at_ms),
     };
     Claim {
         since: claim.since,
--- a/crates/gateway/src/control/host_row.rs
+++ b/crates/gateway/src/control/host_row.rs
@@ -269,8 +269,8 @@
         let row = HostRow {
             host: own_host(gateway),
             claim: Some(draft.claim()),
-            repeats: draft.retries(),
-            held_requests: quarantine_rows::to_rows(&records, clock),
+            retries: draft.retries(),
+            quarantined_requests: quarantine_rows::to_rows(&records, clock),
             endpoint_limits: limit_rows::to_rows(gateway, clock),
         };
         self.limited_endpoints = row
--- a/crates/gateway/src/control/limit_rows.rs
+++ b/crates/gateway/src/control/limit_rows.rs
@@ -7,7 +7,7 @@
 use std::{rc::Rc, time::Duration};
 
 use dragonflyrill_fleet::endpoint_limits::RequestRate;
-use dragonflyrill_protocol::exchange::{HostRow, KeptLimit, millis};
+use dragonflyrill_protocol::exchange::{EndpointLimitRow, HostRow, millis};
 
 use crate::gateway::Gateway;
 
@@ -16,19 +16,19 @@
 
 /// The limits in the form of this host's row, which is written at the time `clock` of the store's clock. Empty on a
 /// host that does not read the store.
-pub(super) fn to_rows(gateway: &Gateway, clock: Duration) -> Vec<KeptLimit> {
+pub(super) fn to_rows(gateway: &Gateway, clock: Duration) -> Vec<EndpointLimitRow> {
     if !gateway.reads_store() {
         return Vec::new();
     }
     let reports = gateway.limits.borrow().reports(gateway.now());
     let limits = reports.iter().filter_map(|report| {
-        Some(KeptLimit {
+        Some(EndpointLimitRow {
             endpoint: report.id.to_string(),
             per_s: report.rate?.per_s(),
             as_of_ms: millis(clock.saturating_sub(report.age)),
         })
     });
-    let mut limits: Vec<KeptLimit> = limits.collect();
+    let mut limits: Vec<EndpointLimitRow> = limits.collect();
     limits.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
     limits
 }
@@ -36,7 +36,7 @@
 /// Merges the limits of all hosts' rows, which a host that starts has read at the time `clock` of the store's clock.
 pub(super) fn merge(gateway: &Gateway, rows: &[(u64, HostRow)], clock: Duration) {
     let limits = rows.iter().flat_map(|(_, row)| &row.endpoint_limits);
-    for KeptLimit {
+    for EndpointLimitRow {
         endpoint,
         per_s,
         as_of_ms,
--- a/crates/gateway/src/control/quarantine_rows.rs
+++ b/crates/gateway/src/control/quarantine_rows.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use dragonflyrill_fleet::quarantine::{ClockSpan, QuarantinePeriod, QuarantineRecord};
-use dragonflyrill_protocol::exchange::{HostRow, KeptHold, millis};
+use dragonflyrill_protocol::exchange::{HostRow, QuarantineRow, millis};
 
 use crate::gateway::Gateway;
 
 /// Converts quarantine records to the form of a row that is written at the time `clock` of the store's clock.
-pub(super) fn to_rows(records: &[QuarantineRecord], clock: Duration) -> Vec<KeptHold> {
+pub(super) fn to_rows(records: &[QuarantineRecord], clock: Duration) -> Vec<QuarantineRow> {
     let to_row = |record: &QuarantineRecord| {
         let span = record.period.span(clock);
-        KeptHold {
+        QuarantineRow {
             request: record.request.to_string(),
             times: record.period.count,
             since_ms: millis(span.since),
@@ -27,17 +27,20 @@
 
 /// Merges the quarantined requests of all hosts' rows, which were read at the time `clock` of the store's clock.
 pub(super) fn merge(gateway: &Gateway, rows: &[(u64, HostRow)], clock: Duration) {
-    for (_, row) in rows.iter().filter(|(_, row)| !row.held_requests.is_empty()) {
+    for (_, row) in rows
+        .iter()
+        .filter(|(_, row)| !row.quarantined_requests.is_empty())
+    {
         let host = &row.host.host;
         let records = row
-            .held_requests
+            .quarantined_requests
             .iter()
             .filter_map(|held| parse_held(host, held, clock));
         gateway.restore_quarantines(records.collect(), *host == gateway.settings.host);
     }
 }
 
-fn parse_held(host: &str, held: &KeptHold, clock: Duration) -> Option<QuarantineRecord> {
+fn parse_held(host: &str, held: &QuarantineRow, clock: Duration) -> Option<QuarantineRecord> {
     let request = match held.request.parse() {
         Ok(request) => request,
         Err(e) => {
--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -103,7 +103,7 @@
 
 /// The quarantine of a request as a host's row in the store records it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptHold {
+pub struct QuarantineRow {
     /// Fingerprint of the request, in hexadecimal digits.
     pub request: String,
     /// Number of times that the request has been quarantined, including this one.
@@ -116,7 +116,7 @@
 
 /// The limit of an endpoint as a host's row in the store records it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KeptLimit {
+pub struct EndpointLimitRow {
     /// Name of the endpoint.
     pub endpoint: String,
     /// Number of requests per second that the endpoint accepts from all hosts together.
@@ -186,14 +186,18 @@
     #[serde(default)]
     pub claim: Option<ShareClaim>,
     /// Number of retries that the host may make in a window, by service.
-    #[serde(default)]
-    pub repeats: Vec<RecordedRepeats>,
+    #[serde(default, rename = "repeats")]
+    pub retries: Vec<RetriesRow>,
     /// Requests that this host has quarantined: no host dispatches them.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub held_requests: Vec<KeptHold>,
+    #[serde(
+        default,
+        skip_serializing_if = "Vec::is_empty",
+        rename = "held_requests"
+    )]
+    pub quarantined_requests: Vec<QuarantineRow>,
     /// Limits that endpoints declare; present only if the host reads the store for others.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub endpoint_limits: Vec<KeptLimit>,
+    pub endpoint_limits: Vec<EndpointLimitRow>,
 }
 
 /// A host's claim of a share of the bounds over all hosts.
@@ -215,16 +219,18 @@
     /// Version of the store by which the host found that it holds the share.
     pub version: u64,
     /// Time from which the share may be used, in milliseconds of the store's clock.
-    pub whole_at_ms: u64,
+    #[serde(rename = "whole_at_ms")]
+    pub usable_at_ms: u64,
 }
 
 /// Number of retries that a host may make in a window for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordedRepeats {
+pub struct RetriesRow {
     /// Name of the service.
     pub service: String,
     /// Number of retries.
-    pub repeats: u32,
+    #[serde(rename = "repeats")]
+    pub retries: u32,
 }
 
 /// Summary of all hosts' claims, from one read of their rows.
