--- a/crates/membership/src/members/mod.rs
+++ b/crates/membership/src/members/mod.rs
@@ -25,7 +25,7 @@
 
 use dragonflyrill_protocol::{
     HostId, HostRef,
-    membership::{DataCentreKey, Heartbeat, Life, Message, Record, Records, State},
+    membership::{DataCentreKey, Heartbeat, Message, Record, RecordVersion, Records, State},
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -133,7 +133,7 @@
         let Some(peer) = self.peers.get_mut(&from.id) else {
             return;
         };
-        if peer.record.life.incarnation != from.incarnation {
+        if peer.record.version.incarnation != from.incarnation {
             return;
         }
         peer.last_contact = now;
@@ -213,7 +213,7 @@
         };
         Record {
             id: self.cfg.me.id.clone(),
-            life: Life {
+            version: RecordVersion {
                 incarnation: self.cfg.me.incarnation,
                 refutations: self.refutations,
             },
@@ -249,7 +249,7 @@
         heartbeat: Heartbeat,
         actions: &mut Vec<Action>,
     ) {
-        let life = Life {
+        let life = RecordVersion {
             incarnation: from.incarnation,
             refutations: heartbeat.refutations,
         };
@@ -257,8 +257,8 @@
         let sender_record = match (heartbeat.record, known) {
             (Some(record), _) if record.id == from.id => Some(record),
             // A known record provides the address only within the same incarnation.
-            (_, Some(known)) if known.life.incarnation == life.incarnation => Some(Record {
-                life,
+            (_, Some(known)) if known.version.incarnation == life.incarnation => Some(Record {
+                version: life,
                 state: State::Alive,
                 ..known
             }),
@@ -279,7 +279,7 @@
             }
         }
         let reported_failed = matches!(record.state, State::Suspected | State::Dead);
-        if reported_failed && record.life >= life {
+        if reported_failed && record.version >= life {
             // The sender is alive: send it the record that says otherwise, so that it refutes it.
             let suspicion = Records {
                 records: vec![record],
--- a/crates/membership/src/members/records.rs
+++ b/crates/membership/src/members/records.rs
@@ -53,14 +53,14 @@
     /// Refutes a report that this host is suspected or dead.
     fn refute(&mut self, now: Duration, record: &Record, actions: &mut Vec<Action>) {
         let own = self.own_record();
-        if record.life.incarnation > own.life.incarnation {
+        if record.version.incarnation > own.version.incarnation {
             log::error!("members: Another host runs under the name {}.", own.id);
             return;
         }
-        if self.shutting_down || record.state == State::Alive || record.life < own.life {
+        if self.shutting_down || record.state == State::Alive || record.version < own.version {
             return;
         }
-        self.refutations = record.life.refutations + 1;
+        self.refutations = record.version.refutations + 1;
         self.records_changed();
         let own = self.own_record();
         self.broadcast(now, vec![own], None, actions);
@@ -75,7 +75,7 @@
         };
         let is_local = peer.record.data_centre == self.cfg.data_centre;
         let in_contact = now.saturating_sub(peer.last_contact) < self.cfg.intervals.suspect_after;
-        let same_incarnation = peer.record.life.incarnation == record.life.incarnation;
+        let same_incarnation = peer.record.version.incarnation == record.version.incarnation;
         let seen_alive = peer.record.state == State::Alive;
         from.is_some() && suspicion && is_local && in_contact && same_incarnation && seen_alive
     }
@@ -97,11 +97,11 @@
             self.peers.insert(record.id.clone(), peer);
             return true;
         };
-        let old = (peer.record.life, peer.record.state);
-        if (record.life, record.state) <= old {
+        let old = (peer.record.version, peer.record.state);
+        if (record.version, record.state) <= old {
             return false;
         }
-        if record.life > peer.record.life {
+        if record.version > peer.record.version {
             // A newer incarnation or refutation implies that some host had contact with it.
             peer.last_contact = now;
             peer.digest = None;
@@ -284,8 +284,8 @@
 fn hash(record: &Record) -> u64 {
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(record.id.0.as_str().as_bytes());
-    hasher.update(&record.life.incarnation.to_le_bytes());
-    hasher.update(&record.life.refutations.to_le_bytes());
+    hasher.update(&record.version.incarnation.to_le_bytes());
+    hasher.update(&record.version.refutations.to_le_bytes());
     hasher.write_u8(record.state as u8);
     hasher.digest()
 }
--- a/crates/membership/src/members/view.rs
+++ b/crates/membership/src/members/view.rs
@@ -42,7 +42,7 @@
             matches!(state, State::Alive | State::Suspected).then(|| Member {
                 host: HostRef {
                     id: p.record.id.clone(),
-                    incarnation: p.record.life.incarnation,
+                    incarnation: p.record.version.incarnation,
                 },
                 addr: p.record.addr,
                 data_centre: p.record.data_centre.clone(),
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -9,14 +9,14 @@
 
 /// The state of one incarnation of a host, as another host knows it.
 ///
-/// Of two records of a host, the one with the greater [`Life`] takes precedence; with an equal `Life`, the
+/// Of two records of a host, the one with the greater [`RecordVersion`] takes precedence; with an equal `RecordVersion`, the
 /// one with the greater [`State`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Name of the host.
     pub id: HostId,
     /// Incarnation that the record describes, and its refutations.
-    pub life: Life,
+    pub version: RecordVersion,
     /// State of the host.
     pub state: State,
     /// Address at which other hosts call it.
@@ -32,7 +32,7 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Life {
+pub struct RecordVersion {
     /// Increases with each start of a host of this name.
     pub incarnation: u64,
     /// Increases when the host learns that it is suspected or considered dead.
