--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -1,9 +1,10 @@
-//! The exchange between entry hosts, which keeps the number of hosts that read the platform's store low.
+//! The exchange between entry hosts, which keeps the number of hosts that read the platform's store
+//! low.
 //!
-//! A host polls other hosts several times a second. With each poll it reports the load that it puts on
-//! endpoints and the endpoints that failed its requests, and it receives the updates that it lacks of the
-//! catalogue, of the list of endpoints and of the fleet. A lost or late call does no harm, because the next one
-//! carries the same content.
+//! A host polls other hosts several times a second. With each poll it reports the load that it puts
+//! on endpoints and the endpoints that failed its requests, and it receives the updates that it
+//! lacks of the catalogue, of the list of endpoints and of the fleet. A lost or late call does no
+//! harm, because the next one carries the same content.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -34,7 +35,8 @@
     pub left_ms: u32,
 }
 
-/// The rate of requests that an endpoint accepts from all hosts together, as far as a host knows it.
+/// The rate of requests that an endpoint accepts from all hosts together, as far as a host knows
+/// it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLimit {
     /// Name of the endpoint.
@@ -43,14 +45,15 @@
     pub per_s: Option<f64>,
     /// Age of the endpoint's answer that showed the limit, in microseconds.
     pub age_us: u64,
-    /// Number of permits: in an [`PollRequest`] those that the polling host requests, in [`PollResponse`] those that
-    /// it is lent.
+    /// Number of permits: in an [`PollRequest`] those that the polling host requests, in
+    /// [`PollResponse`] those that it is lent.
     pub permits: u32,
     /// Number of permits that the polling host returns.
     pub returned: u32,
 }
 
-/// A position in the sequence of changes of one host's list, either of endpoints or of suspected requests.
+/// A position in the sequence of changes of one host's list, either of endpoints or of suspected
+/// requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ListPosition {
     /// Identifies the host that owns the list, and its incarnation.
@@ -86,7 +89,8 @@
     pub request: [u8; 16],
     /// Terminations that count towards the next quarantine of the request.
     pub terminations: Vec<EndpointEnd>,
-    /// Time since an endpoint last answered the request, in milliseconds; `None` if no endpoint has.
+    /// Time since an endpoint last answered the request, in milliseconds; `None` if no endpoint
+    /// has.
     pub answer_age_ms: Option<u64>,
     /// The latest quarantine of the request; `None` if it has never been quarantined.
     pub quarantine: Option<RequestHold>,
@@ -132,25 +136,25 @@
     pub from: FleetHost,
     /// Version of the catalogue that the polling host knows; 0 for none.
     pub catalogue: u64,
-    /// Position up to which the polling host knows the polled host's list of endpoints; `None` if it requests
-    /// no changes of the list.
+    /// Position up to which the polling host knows the polled host's list of endpoints; `None` if
+    /// it requests no changes of the list.
     pub list: Option<ListPosition>,
-    /// Store revision up to which the polling host knows the list of endpoints; `None` if it has not read the
-    /// list itself.
+    /// Store revision up to which the polling host knows the list of endpoints; `None` if it has
+    /// not read the list itself.
     pub list_revision: Option<u64>,
     /// Hash of the fleet that the polling host knows.
     pub fleet: u64,
-    /// Time since the store last answered the polling host directly, in microseconds; `None` if the host does
-    /// not read the store or has never had an answer.
+    /// Time since the store last answered the polling host directly, in microseconds; `None` if the
+    /// host does not read the store or has never had an answer.
     pub read_age_us: Option<u64>,
-    /// Load that the polling host puts on endpoints; the load of its entire data centre if it polls a host of
-    /// another data centre.
+    /// Load that the polling host puts on endpoints; the load of its entire data centre if it polls
+    /// a host of another data centre.
     pub loads: Vec<EndpointLoad>,
-    /// Endpoints that the polling host avoids because of its own calls; empty if it polls a host of another
-    /// data centre.
+    /// Endpoints that the polling host avoids because of its own calls; empty if it polls a host of
+    /// another data centre.
     pub avoided: Vec<Avoided>,
-    /// Limits that endpoints declare, as far as the polling host knows them. It requests permits only from
-    /// hosts of its own data centre.
+    /// Limits that endpoints declare, as far as the polling host knows them. It requests permits
+    /// only from hosts of its own data centre.
     pub limits: Vec<EndpointLimit>,
     /// Position up to which the polling host knows the polled host's suspected requests.
     pub suspects_known: ListPosition,
@@ -173,8 +177,8 @@
     pub data_centre: String,
 }
 
-/// A host's row in the store. It shows that the host is alive and records its share of the bounds over all
-/// hosts.
+/// A host's row in the store. It shows that the host is alive and records its share of the bounds
+/// over all hosts.
 ///
 /// The next process that starts on the host reads the row, and so do all other hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -288,8 +292,8 @@
     pub changed: Vec<EndpointListEntry>,
     /// Ids of the incarnations that have been removed.
     pub removed: Vec<String>,
-    /// Ids of the endpoints whose entries lapsed while the store was unavailable. A receiver that has such an
-    /// endpoint may keep it for now; others do not add it.
+    /// Ids of the endpoints whose entries lapsed while the store was unavailable. A receiver that
+    /// has such an endpoint may keep it for now; others do not add it.
     pub lapsed: Vec<String>,
 }
 
@@ -305,24 +309,25 @@
 /// The polled host's answer to an [`PollRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PollResponse {
-    /// Age of the freshness proof of the catalogue, in microseconds: the time since the newest read was sent
-    /// that showed that no newer catalogue exists. `None` if there was no such read.
+    /// Age of the freshness proof of the catalogue, in microseconds: the time since the newest read
+    /// was sent that showed that no newer catalogue exists. `None` if there was no such read.
     pub proof_age_us: Option<u64>,
-    /// Time since the store's last answer about the catalogue or about the list of endpoints, whichever is
-    /// longer ago, in microseconds; `None` if one of them never had an answer.
+    /// Time since the store's last answer about the catalogue or about the list of endpoints,
+    /// whichever is longer ago, in microseconds; `None` if one of them never had an answer.
     pub store_answer_age_us: Option<u64>,
-    /// The host that reads the store on behalf of the polled host; `None` if the polled host reads it itself.
+    /// The host that reads the store on behalf of the polled host; `None` if the polled host reads
+    /// it itself.
     pub reader: Option<String>,
     /// Whether the store is unavailable, as far as the polled host knows.
     pub store_unavailable: bool,
-    /// Whether the polling host is granted the store probe slot: the store is unavailable and the host is to
-    /// call it now.
+    /// Whether the polling host is granted the store probe slot: the store is unavailable and the
+    /// host is to call it now.
     pub probe_slot: bool,
     /// A newer catalogue: its version, and its document in the store's format, compressed if
     /// [`PollRequest::accepts_compressed`] is set.
     pub catalogue: Option<(u64, Vec<u8>)>,
-    /// Changes to the list of endpoints; `None` if the polled host has no list, if none was requested, or if
-    /// the update is too long to be sent.
+    /// Changes to the list of endpoints; `None` if the polled host has no list, if none was
+    /// requested, or if the update is too long to be sent.
     pub list: Option<EndpointListUpdate>,
     /// All hosts of the fleet; `None` if the polling host already knows this fleet.
     pub fleet: Option<Vec<FleetHost>>,
@@ -330,11 +335,11 @@
     pub lease: Option<LeaseRow>,
     /// Summary of the claims of shares, if the hosts' rows were read.
     pub claims: Option<ClaimsView>,
-    /// The load from all hosts except the polling one; the load from the polled host's data centre if the
-    /// polling host is in another data centre.
+    /// The load from all hosts except the polling one; the load from the polled host's data centre
+    /// if the polling host is in another data centre.
     pub loads: Vec<EndpointLoad>,
-    /// Endpoints that hosts of this data centre, except the polling one, avoid because of their own calls;
-    /// empty if the polling host is in another data centre.
+    /// Endpoints that hosts of this data centre, except the polling one, avoid because of their own
+    /// calls; empty if the polling host is in another data centre.
     pub avoided: Vec<Avoided>,
     /// Limits that endpoints declare, and the permits lent to the polling host.
     pub limits: Vec<EndpointLimit>,
--- a/crates/protocol/src/found.rs
+++ b/crates/protocol/src/found.rs
@@ -1,9 +1,9 @@
 //! Claims and queries between peers for requests that may run on another host.
 //!
-//! Each request key has a home: one host that all hosts compute alike and that keeps track of which host runs
-//! the request. Before a host runs a named request, it sends a [`Claim`] to the home. If another host runs the
-//! request already, the claiming host follows that host's answer with [`Query`]s instead of running the request
-//! a second time.
+//! Each request key has a home: one host that all hosts compute alike and that keeps track of which
+//! host runs the request. Before a host runs a named request, it sends a [`Claim`] to the home. If
+//! another host runs the request already, the claiming host follows that host's answer with
+//! [`Query`]s instead of running the request a second time.
 
 use dragonflyrill_catalogue::WorkspaceName;
 use serde::{Deserialize, Serialize};
@@ -37,9 +37,11 @@
 /// The answer to a [`Claim`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
-    /// No other host runs the request. With [`Intent::Take`] the claiming host now has the right to run it.
+    /// No other host runs the request. With [`Intent::Take`] the claiming host now has the right to
+    /// run it.
     Free {
-        /// Number of times that the home has granted the right to run the request before, as far as it knows.
+        /// Number of times that the home has granted the right to run the request before, as far as
+        /// it knows.
         runs: u32,
     },
     /// This host has the right to run the request. It may have failed since.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,16 +1,16 @@
 //! The protocol between entry hosts.
 //!
-//! Hosts exchange one-way [`Message`]s, collected into an [`Envelope`] for each peer. The state machines behind
-//! them need no timely replies: they treat lost, duplicated and late messages as normal. Only two
-//! exchanges have a reply: claims and queries for a caller's request that may run on another host
-//! ([`Peer::claim`] and [`Peer::find`]), and the list of hosts and endpoints that a starting host lacks
-//! ([`Peer::listing`]). The transport is tarpc over TCP.
+//! Hosts exchange one-way [`Message`]s, collected into an [`Envelope`] for each peer. The state
+//! machines behind them need no timely replies: they treat lost, duplicated and late messages as
+//! normal. Only two exchanges have a reply: claims and queries for a caller's request that may run
+//! on another host ([`Peer::claim`] and [`Peer::find`]), and the list of hosts and endpoints that a
+//! starting host lacks ([`Peer::listing`]). The transport is tarpc over TCP.
 //!
 //! [`exchange`] is the protocol between hosts where the engines drive the chains themselves.
 //!
-//! [`membership`] has the messages that maintain the fleet's membership, and [`spread`] those that distribute
-//! the catalogue; [`rights`] has the messages that lend rights of limits, and [`found`] the
-//! claims and queries for requests.
+//! [`membership`] has the messages that maintain the fleet's membership, and [`spread`] those that
+//! distribute the catalogue; [`rights`] has the messages that lend rights of limits, and [`found`]
+//! the claims and queries for requests.
 
 pub mod exchange;
 pub mod found;
@@ -95,8 +95,8 @@
     Service,
 }
 
-/// The hosts and endpoints that a peer knows, for a host that starts while the platform's list cannot be
-/// read.
+/// The hosts and endpoints that a peer knows, for a host that starts while the platform's list
+/// cannot be read.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
     /// The live entry hosts, including the peer itself.
@@ -112,7 +112,8 @@
     async fn deliver(envelope: Envelope);
     /// Answers which host runs a request whose key has its home on this host.
     async fn claim(claim: found::Claim) -> found::Claimed;
-    /// Returns what this host knows of a request, and waits for something new if there is nothing yet.
+    /// Returns what this host knows of a request, and waits for something new if there is nothing
+    /// yet.
     async fn find(query: found::Query) -> found::Found;
     /// Returns the hosts and endpoints that this host knows.
     async fn listing() -> Listing;
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -1,4 +1,5 @@
-//! Messages about the state of hosts, and about the endpoints that the hosts of a data centre share.
+//! Messages about the state of hosts, and about the endpoints that the hosts of a data centre
+//! share.
 
 use std::net::SocketAddr;
 
@@ -9,8 +10,8 @@
 
 /// The state of one incarnation of a host, as another host knows it.
 ///
-/// Of two records of a host, the one with the greater [`RecordVersion`] takes precedence; with an equal `RecordVersion`, the
-/// one with the greater [`State`].
+/// Of two records of a host, the one with the greater [`RecordVersion`] takes precedence; with an
+/// equal `RecordVersion`, the one with the greater [`State`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Name of the host.
@@ -27,8 +28,8 @@
 
 /// An incarnation of a host, and the number of suspicions that the host has refuted in it.
 ///
-/// A refutation does not change the incarnation: state that is bound to the incarnation, such as rights,
-/// must not end because of a false suspicion.
+/// A refutation does not change the incarnation: state that is bound to the incarnation, such as
+/// rights, must not end because of a false suspicion.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -64,7 +65,8 @@
     pub refutations: u32,
     /// Digest of all records that the sender has of hosts that are not dead.
     pub digest: u64,
-    /// Other data centres from which the sender itself has received messages since its last heartbeat.
+    /// Other data centres from which the sender itself has received messages since its last
+    /// heartbeat.
     pub reached: Vec<DataCentreKey>,
     /// The sender's own record; present while the receiver may lack it.
     pub record: Option<Record>,
@@ -126,8 +128,8 @@
 pub struct Sign {
     /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Incarnation of the endpoint that is draining; 0 where endpoints do not report one. A later incarnation
-    /// gets new work.
+    /// Incarnation of the endpoint that is draining; 0 where endpoints do not report one. A later
+    /// incarnation gets new work.
     pub incarnation: u64,
     /// Source of the sign.
     pub kind: SignKind,
--- a/crates/protocol/src/rights.rs
+++ b/crates/protocol/src/rights.rs
@@ -1,8 +1,9 @@
 //! Messages that lend the rights of limits between hosts, and the row that names the lenders.
 //!
-//! A limit is split evenly over data centres, and within a data centre into [`SHARDS`] shards by the hash
-//! of its key. The holder of a shard, which the data centre's [`ShardMap`] in the table names, lends the rights
-//! of the keys in the shard: a host sends a [`Demand`], and the holder answers with a [`Grant`].
+//! A limit is split evenly over data centres, and within a data centre into [`SHARDS`] shards by
+//! the hash of its key. The holder of a shard, which the data centre's [`ShardMap`] in the table
+//! names, lends the rights of the keys in the shard: a host sends a [`Demand`], and the holder
+//! answers with a [`Grant`].
 
 use serde::{Deserialize, Serialize};
 
@@ -38,16 +39,17 @@
 
 /// Assigns the shards of a data centre to the hosts that lend their rights.
 ///
-/// Both parts of a shard have the same holder, unless one part was taken over because its holder showed no
-/// sign of life.
+/// Both parts of a shard have the same holder, unless one part was taken over because its holder
+/// showed no sign of life.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShardMap {
     /// The hosts that take part.
     pub members: Vec<Member>,
-    /// For each shard, the holder of the main part, which lapses when the table has been unreachable for the
-    /// long term.
+    /// For each shard, the holder of the main part, which lapses when the table has been
+    /// unreachable for the long term.
     pub main: Vec<Option<HostRef>>,
-    /// For each shard, the holder of the floor part, which remains valid through a long outage of the table.
+    /// For each shard, the holder of the floor part, which remains valid through a long outage of
+    /// the table.
     pub floor: Vec<Option<HostRef>>,
 }
 
@@ -67,13 +69,14 @@
 pub struct Demand {
     /// The limit.
     pub key: KeyId,
-    /// Increases with each demand of this host to this lender for this key. A grant is valid only if it
-    /// answers the newest demand, so that `held` is all that the sender holds from the lender.
+    /// Increases with each demand of this host to this lender for this key. A grant is valid only
+    /// if it answers the newest demand, so that `held` is all that the sender holds from the
+    /// lender.
     pub seq: u32,
     /// Unexpired rights that the sender holds from the lender.
     pub held: Rights,
-    /// Number of in-flight rights from the lender that the sender needs for its running requests and for
-    /// those that it may admit with the rights that it holds.
+    /// Number of in-flight rights from the lender that the sender needs for its running requests
+    /// and for those that it may admit with the rights that it holds.
     pub busy: u32,
     /// Number of requests admitted so far under the lender's grants.
     pub used_requests: u64,
@@ -96,7 +99,8 @@
     pub term_ms: u32,
     /// Granted rights: requests and tokens in addition to those held; in flight in total.
     pub rights: Rights,
-    /// Time after which the lender expects to have served the hosts that wait for it, in milliseconds.
+    /// Time after which the lender expects to have served the hosts that wait for it, in
+    /// milliseconds.
     pub wait_ms: u32,
     /// Whether the demand is settled; otherwise another grant follows when rights become available.
     pub last: bool,
@@ -112,8 +116,8 @@
         /// Revision of the sender's shard map.
         revision: u64,
     },
-    /// Acknowledges a heartbeat: the sender won't remove the receiver for the session's term, counted from
-    /// the sending of the heartbeat.
+    /// Acknowledges a heartbeat: the sender won't remove the receiver for the session's term,
+    /// counted from the sending of the heartbeat.
     BeatAck {
         /// The `seq` of the acknowledged heartbeat.
         seq: u32,
--- a/crates/protocol/src/spread.rs
+++ b/crates/protocol/src/spread.rs
@@ -13,8 +13,8 @@
 pub struct Digest {
     /// The revision in force.
     pub revision: Revision,
-    /// Hash of the id of the revision's change. It tells apart two catalogues of one revision if the store
-    /// was ever restored to an earlier state and then changed differently.
+    /// Hash of the id of the revision's change. It tells apart two catalogues of one revision if
+    /// the store was ever restored to an earlier state and then changed differently.
     pub change: u64,
 }
 
