--- a/crates/gateway/src/peers/follow.rs
+++ b/crates/gateway/src/peers/follow.rs
@@ -11,7 +11,10 @@
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
-    exchange::{ExchangeClient, FleetHost, ListMark, ListNews, Listed, News, Offer},
+    exchange::{
+        EndpointListEntry, EndpointListUpdate, ExchangeClient, FleetHost, ListPosition,
+        PollRequest, PollResponse,
+    },
 };
 use dragonflyrill_store::PlatformError;
 use tarpc::{client, context, serde_transport::tcp, tokio_serde::formats::Bincode};
@@ -145,9 +148,9 @@
     }
 
     /// Whether an answer shows that the answering host has recent data from the store.
-    fn is_fresh(&self, news: &News) -> bool {
+    fn is_fresh(&self, news: &PollResponse) -> bool {
         let max_silence = catalogue::max_store_silence(&self.gateway.settings);
-        let answer_age = news.heard_age_us.map(Duration::from_micros);
+        let answer_age = news.store_answer_age_us.map(Duration::from_micros);
         answer_age.is_some_and(|age| age <= max_silence)
     }
 
@@ -232,12 +235,12 @@
         }
         peers.record_success(&host.host);
         let proof_age = news.proof_age_us.map(Duration::from_micros);
-        let answer_age = news.heard_age_us.map(Duration::from_micros);
+        let answer_age = news.store_answer_age_us.map(Duration::from_micros);
         let report = StoreReport {
             fresh: self.is_fresh(&news),
             from_this_host: news.reader.as_ref() == Some(&gateway.settings.host),
-            unavailable: news.away,
-            probe_slot: news.turn,
+            unavailable: news.store_unavailable,
+            probe_slot: news.probe_slot,
             has_list: news.list.is_some(),
         };
         let store_answered_at = answer_age.and_then(|age| sent_at.checked_sub(age));
@@ -267,7 +270,7 @@
     fn record_list_report(
         &mut self,
         host: &FleetHost,
-        news: &News,
+        news: &PollResponse,
         store_answered_at: Option<Duration>,
     ) {
         let gateway = &self.gateway;
@@ -284,7 +287,7 @@
         self.list_received = news.list.is_some();
     }
 
-    fn apply_update(&mut self, news: News, sent_at: Duration, proof_age: Option<Duration>) {
+    fn apply_update(&mut self, news: PollResponse, sent_at: Duration, proof_age: Option<Duration>) {
         let gateway = &self.gateway;
         let peers = &gateway.peers;
         let now = gateway.now();
@@ -345,9 +348,9 @@
         gateway.loads.borrow_mut().apply_update(others, now);
     }
 
-    fn offer(&self, loads: &LoadMap, near: bool) -> Offer {
+    fn offer(&self, loads: &LoadMap, near: bool) -> PollRequest {
         let gateway = &self.gateway;
-        Offer {
+        PollRequest {
             from: host_row::own_host(gateway),
             // Data centres exchange neither catalogues nor lists nor avoided endpoints.
             catalogue: match near {
@@ -355,7 +358,7 @@
                 false => u64::MAX,
             },
             list: near.then(|| gateway.peers.list_position.get()),
-            list_known_to: gateway
+            list_revision: gateway
                 .endpoints_known
                 .get()
                 .then(|| gateway.list_revision.get()),
@@ -367,9 +370,9 @@
                 false => Vec::new(),
             },
             limits: Vec::new(),
-            suspects_known: ListMark::default(),
+            suspects_known: ListPosition::default(),
             suspects: Vec::new(),
-            unpacks: true,
+            accepts_compressed: true,
         }
     }
 
@@ -385,7 +388,7 @@
 
     /// Calls a host and merges the limits and suspects of its answer. A host that doesn't answer is
     /// skipped for a while.
-    async fn call(&mut self, host: &FleetHost, mut offer: Offer) -> Option<News> {
+    async fn call(&mut self, host: &FleetHost, mut offer: PollRequest) -> Option<PollResponse> {
         let mut suspect_offer = self.suspect_syncs.offer(host.addr, &self.gateway);
         offer.suspects_known = suspect_offer.known;
         offer.suspects = std::mem::take(&mut suspect_offer.suspects);
@@ -394,7 +397,7 @@
         if let Ok(Some(mut news)) = result {
             limits::merge(&self.gateway, &news.limits, sent_at);
             let suspects = std::mem::take(&mut news.suspects.changed);
-            let mark = news.suspects.mark;
+            let mark = news.suspects.position;
             self.suspect_syncs
                 .record_response(host.addr, &suspect_offer, mark);
             suspects::merge(&self.gateway, &suspects);
@@ -407,7 +410,7 @@
         None
     }
 
-    async fn exchange(&mut self, addr: SocketAddr, offer: Offer) -> Option<News> {
+    async fn exchange(&mut self, addr: SocketAddr, offer: PollRequest) -> Option<PollResponse> {
         let client = match self.clients.get(&addr) {
             Some(client) => client.clone(),
             None => {
@@ -454,16 +457,16 @@
 
 /// Applies another host's list of endpoints, unless this host knows a later store revision of the
 /// list.
-pub fn apply_list(gateway: &Rc<Gateway>, list: ListNews) {
+pub fn apply_list(gateway: &Rc<Gateway>, list: EndpointListUpdate) {
     // The other host's list may be older than what this host already knew when it sent its call.
-    if list.store_mark < gateway.list_revision.get() {
-        log::info!(target: "peers", told = list.store_mark, known = gateway.list_revision.get(); "An older list of endpoints is ignored.");
+    if list.store_revision < gateway.list_revision.get() {
+        log::info!(target: "peers", told = list.store_revision, known = gateway.list_revision.get(); "An older list of endpoints is ignored.");
         return;
     }
-    gateway.list_revision.set(list.store_mark);
-    let gone: Vec<Rc<str>> = if list.whole {
+    gateway.list_revision.set(list.store_revision);
+    let gone: Vec<Rc<str>> = if list.complete {
         let directory = gateway.directory.borrow();
-        let doubted = list.doubted.iter().filter_map(|id| directory.get(id));
+        let doubted = list.lapsed.iter().filter_map(|id| directory.get(id));
         let listed = list.changed.iter().map(|l| &*l.name);
         directory.ids_except(listed.chain(doubted.map(|e| &*e.name)))
     } else {
@@ -484,7 +487,7 @@
     }
     replaced.iter().for_each(|id| gateway.remove_endpoint(id));
     gateway.endpoints_known.set(true);
-    gateway.peers.list_position.set(list.mark);
+    gateway.peers.list_position.set(list.position);
     gateway
         .directory
         .borrow_mut()
@@ -505,8 +508,8 @@
             .any(|e| e.name == gone.name || e.addr == gone.addr)
 }
 
-fn to_endpoint(listed: Listed) -> Endpoint {
-    let started_at = listed.born_ms.map(StartTime);
+fn to_endpoint(listed: EndpointListEntry) -> Endpoint {
+    let started_at = listed.started_at_ms.map(StartTime);
     Endpoint {
         id: incarnations::id(&listed.name, started_at),
         name: listed.name.into(),
@@ -515,7 +518,7 @@
         addr: listed.addr,
         data_centre: listed.data_centre.into(),
         slots: listed.slots,
-        draining: listed.leaving,
+        draining: listed.draining,
         accelerator: listed.accelerator.map(Into::into),
         layers: listed
             .layers
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -9,7 +9,9 @@
 };
 use dragonflyrill_protocol::{
     MAX_FRAME,
-    exchange::{Exchange, ListMark, ListNews, Listed, News, Offer},
+    exchange::{
+        EndpointListEntry, EndpointListUpdate, Exchange, ListPosition, PollRequest, PollResponse,
+    },
 };
 use futures_util::StreamExt;
 use tarpc::{
@@ -76,13 +78,13 @@
 }
 
 impl Exchange for ExchangeServer {
-    async fn exchange(self, _: context::Context, offer: Offer) -> News {
+    async fn exchange(self, _: context::Context, offer: PollRequest) -> PollResponse {
         answer(&self.gateway, &offer)
     }
 }
 
 /// Applies what a polling host offers, and returns the updates that it lacks.
-pub fn answer(gateway: &Gateway, offer: &Offer) -> News {
+pub fn answer(gateway: &Gateway, offer: &PollRequest) -> PollResponse {
     let now = gateway.now();
     let peers = &gateway.peers;
     let near = &*gateway.settings.data_centre;
@@ -128,19 +130,19 @@
     // The freshness proof of this host's catalogue doesn't apply to the older one that the polling
     // host keeps until it gets the document.
     let age = gateway.freshness.get().proof_age(now).filter(|_| !deferred);
-    News {
+    PollResponse {
         proof_age_us: age.map(|a| a.as_micros() as u64),
-        heard_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
+        store_answer_age_us: gateway.store_answer_age().map(|a| a.as_micros() as u64),
         reader: match gateway.reads_store() {
             true => None,
             false => peers.reader.borrow().clone(),
         },
-        away: store_fails || gateway.store_unavailable(),
-        turn: probe_slot,
+        store_unavailable: store_fails || gateway.store_unavailable(),
+        probe_slot,
         catalogue,
         list: offer
             .list
-            .and_then(|mark| list_update(gateway, mark, offer.list_known_to)),
+            .and_then(|mark| list_update(gateway, mark, offer.list_revision)),
         fleet: (offer.fleet != peers.fleet_hash.get()).then(|| peers.fleet()),
         lease: peers.lease(),
         claims: gateway.bounds.report(now),
@@ -164,12 +166,12 @@
     Deferred,
 }
 
-fn catalogue_update(gateway: &Gateway, offer: &Offer) -> CatalogueUpdate {
+fn catalogue_update(gateway: &Gateway, offer: &PollRequest) -> CatalogueUpdate {
     let version = gateway.catalogue_version();
     if version <= offer.catalogue {
         return CatalogueUpdate::Current;
     }
-    if !offer.unpacks {
+    if !offer.accepts_compressed {
         return CatalogueUpdate::Document(version, gateway.catalogue_document.borrow().clone());
     }
     let documents = &gateway.peers.documents;
@@ -206,7 +208,11 @@
 /// `mark`, a position in the list of this host or of another one, and up to the store revision
 /// `known_to` if it has read the list itself. `None` if this host has no list, or if a long list
 /// would have to be sent in full.
-fn list_update(gateway: &Gateway, mark: ListMark, known_to: Option<u64>) -> Option<ListNews> {
+fn list_update(
+    gateway: &Gateway,
+    mark: ListPosition,
+    known_to: Option<u64>,
+) -> Option<EndpointListUpdate> {
     if !gateway.endpoints_known.get() {
         return None;
     }
@@ -225,28 +231,28 @@
         .changed
         .iter()
         .filter(|e| !doubted.contains_key(&e.id));
-    Some(ListNews {
-        mark: ListMark {
+    Some(EndpointListUpdate {
+        position: ListPosition {
             origin,
             version: changes.version,
         },
-        store_mark: gateway.list_revision.get(),
-        whole: changes.complete,
+        store_revision: gateway.list_revision.get(),
+        complete: changes.complete,
         changed: listed.map(|e| to_listed(e)).collect(),
-        doubted: doubted.keys().map(ToString::to_string).collect(),
+        lapsed: doubted.keys().map(ToString::to_string).collect(),
         removed: changes.removed.iter().map(ToString::to_string).collect(),
     })
 }
 
-fn to_listed(endpoint: &Endpoint) -> Listed {
-    Listed {
+fn to_listed(endpoint: &Endpoint) -> EndpointListEntry {
+    EndpointListEntry {
         name: endpoint.name.to_string(),
-        born_ms: endpoint.started_at.map(|b| b.0),
+        started_at_ms: endpoint.started_at.map(|b| b.0),
         service: endpoint.service.to_string(),
         addr: endpoint.addr,
         data_centre: endpoint.data_centre.to_string(),
         slots: endpoint.slots,
-        leaving: endpoint.draining,
+        draining: endpoint.draining,
         accelerator: endpoint.accelerator.as_deref().map(str::to_owned),
         layers: endpoint.layers.map(|l| (l.first, l.end)),
     }
