--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -75,10 +75,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestHold {
     /// Number of times that the request has been quarantined, including this one.
+    #[serde(rename = "times")]
     pub count: u32,
     /// Time since the start of the quarantine, in milliseconds.
     pub age_ms: u64,
     /// Total duration of the quarantine, in milliseconds.
+    #[serde(rename = "lasts_ms")]
     pub duration_ms: u64,
 }
 
@@ -88,11 +90,14 @@
     /// Fingerprint of the request.
     pub request: [u8; 16],
     /// Terminations that count towards the next quarantine of the request.
+    #[serde(rename = "ends")]
     pub terminations: Vec<EndpointEnd>,
     /// Time since an endpoint last answered the request, in milliseconds; `None` if no endpoint
     /// has.
+    #[serde(rename = "survived_ms")]
     pub answer_age_ms: Option<u64>,
     /// The latest quarantine of the request; `None` if it has never been quarantined.
+    #[serde(rename = "hold")]
     pub quarantine: Option<RequestHold>,
 }
 
@@ -100,6 +105,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
     /// Position up to which the receiver knows the list once it has applied the changes.
+    #[serde(rename = "mark")]
     pub position: ListPosition,
     /// Added and changed suspects.
     pub changed: Vec<Suspect>,
@@ -141,6 +147,7 @@
     pub list: Option<ListPosition>,
     /// Store revision up to which the polling host knows the list of endpoints; `None` if it has
     /// not read the list itself.
+    #[serde(rename = "list_known_to")]
     pub list_revision: Option<u64>,
     /// Hash of the fleet that the polling host knows.
     pub fleet: u64,
@@ -161,6 +168,7 @@
     /// Requests that the polling host suspects itself and has not yet reported to the polled host.
     pub suspects: Vec<Suspect>,
     /// Whether the polling host accepts the catalogue's document in compressed form.
+    #[serde(rename = "unpacks")]
     pub accepts_compressed: bool,
 }
 
@@ -262,6 +270,7 @@
     /// Name of the endpoint.
     pub name: String,
     /// Start time in milliseconds since the Unix epoch; `None` if the endpoint does not report it.
+    #[serde(rename = "born_ms")]
     pub started_at_ms: Option<u64>,
     /// Service of the endpoint.
     pub service: String,
@@ -272,6 +281,7 @@
     /// Number of requests that the endpoint processes at the same time.
     pub slots: u32,
     /// Whether the endpoint has reported that it is draining.
+    #[serde(rename = "leaving")]
     pub draining: bool,
     /// Kind of its accelerator; `None` if unknown.
     pub accelerator: Option<String>,
@@ -283,10 +293,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointListUpdate {
     /// Position up to which the receiver knows the list once it has applied the changes.
+    #[serde(rename = "mark")]
     pub position: ListPosition,
     /// Store revision up to which the list is known. It orders the lists of all hosts.
+    #[serde(rename = "store_mark")]
     pub store_revision: u64,
     /// Whether `changed` is the complete list.
+    #[serde(rename = "whole")]
     pub complete: bool,
     /// Added and changed endpoints.
     pub changed: Vec<EndpointListEntry>,
@@ -294,6 +307,7 @@
     pub removed: Vec<String>,
     /// Ids of the endpoints whose entries lapsed while the store was unavailable. A receiver that
     /// has such an endpoint may keep it for now; others do not add it.
+    #[serde(rename = "doubted")]
     pub lapsed: Vec<String>,
 }
 
@@ -314,14 +328,17 @@
     pub proof_age_us: Option<u64>,
     /// Time since the store's last answer about the catalogue or about the list of endpoints,
     /// whichever is longer ago, in microseconds; `None` if one of them never had an answer.
+    #[serde(rename = "heard_age_us")]
     pub store_answer_age_us: Option<u64>,
     /// The host that reads the store on behalf of the polled host; `None` if the polled host reads
     /// it itself.
     pub reader: Option<String>,
     /// Whether the store is unavailable, as far as the polled host knows.
+    #[serde(rename = "away")]
     pub store_unavailable: bool,
     /// Whether the polling host is granted the store probe slot: the store is unavailable and the
     /// host is to call it now.
+    #[serde(rename = "turn")]
     pub probe_slot: bool,
     /// A newer catalogue: its version, and its document in the store's format, compressed if
     /// [`PollRequest::accepts_compressed`] is set.
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -17,6 +17,7 @@
     /// Name of the host.
     pub id: HostId,
     /// Incarnation that the record describes, and its refutations.
+    #[serde(rename = "life")]
     pub version: RecordVersion,
     /// State of the host.
     pub state: State,
