--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -12,7 +12,7 @@
     quarantine::{QuarantinePeriod, SuspectReport, Termination},
 };
 use dragonflyrill_protocol::exchange::{
-    EndpointEnd, ListPosition, RequestHold, Suspect, SuspectNews, millis,
+    EndpointTermination, ListPosition, RequestQuarantine, Suspect, SuspectUpdate, millis,
 };
 
 use crate::gateway::Gateway;
@@ -70,12 +70,12 @@
 
 /// Returns the changes of this host's suspects after the position `known`, up to which a polling
 /// host knows them.
-pub(super) fn update(gateway: &Gateway, known: ListPosition) -> SuspectNews {
+pub(super) fn update(gateway: &Gateway, known: ListPosition) -> SuspectUpdate {
     let origin = gateway.peers.list_origin(&gateway.settings.host);
     let since = cursor(known).known_version(origin);
     let quarantine = gateway.quarantine.borrow();
     let changed = quarantine.changes_since(since, gateway.now());
-    SuspectNews {
+    SuspectUpdate {
         position: ListPosition {
             origin,
             version: quarantine.version(),
@@ -92,11 +92,11 @@
 }
 
 fn to_wire(report: &SuspectReport) -> Suspect {
-    let termination = |t: &Termination| EndpointEnd {
+    let termination = |t: &Termination| EndpointTermination {
         endpoint: t.endpoint.to_string(),
         age_ms: millis(t.age),
     };
-    let period = |p: QuarantinePeriod| RequestHold {
+    let period = |p: QuarantinePeriod| RequestQuarantine {
         count: p.count,
         age_ms: millis(p.age),
         duration_ms: millis(p.duration),
@@ -110,11 +110,11 @@
 }
 
 fn from_wire(suspect: &Suspect) -> SuspectReport {
-    let termination = |t: &EndpointEnd| Termination {
+    let termination = |t: &EndpointTermination| Termination {
         endpoint: t.endpoint.as_str().into(),
         age: Duration::from_millis(t.age_ms),
     };
-    let period = |p: RequestHold| QuarantinePeriod {
+    let period = |p: RequestQuarantine| QuarantinePeriod {
         count: p.count,
         age: Duration::from_millis(p.age_ms),
         duration: Duration::from_millis(p.duration_ms),
--- a/crates/protocol/src/exchange.rs
+++ b/crates/protocol/src/exchange.rs
@@ -64,7 +64,7 @@
 
 /// An incarnation of an endpoint that terminated while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointEnd {
+pub struct EndpointTermination {
     /// Id of the incarnation.
     pub endpoint: String,
     /// Time since the termination, in milliseconds.
@@ -73,7 +73,7 @@
 
 /// The quarantine of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestHold {
+pub struct RequestQuarantine {
     /// Number of times that the request has been quarantined, including this one.
     pub count: u32,
     /// Time since the start of the quarantine, in milliseconds.
@@ -88,17 +88,17 @@
     /// Fingerprint of the request.
     pub request: [u8; 16],
     /// Terminations that count towards the next quarantine of the request.
-    pub terminations: Vec<EndpointEnd>,
+    pub terminations: Vec<EndpointTermination>,
     /// Time since an endpoint last answered the request, in milliseconds; `None` if no endpoint
     /// has.
     pub answer_age_ms: Option<u64>,
     /// The latest quarantine of the request; `None` if it has never been quarantined.
-    pub quarantine: Option<RequestHold>,
+    pub quarantine: Option<RequestQuarantine>,
 }
 
 /// Changes to the requests that a host suspects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// Position up to which the receiver knows the list once it has applied the changes.
     pub position: ListPosition,
     /// Added and changed suspects.
@@ -344,7 +344,7 @@
     /// Limits that endpoints declare, and the permits lent to the polling host.
     pub limits: Vec<EndpointLimit>,
     /// Changes that the polling host lacks to the requests during which endpoints have terminated.
-    pub suspects: SuspectNews,
+    pub suspects: SuspectUpdate,
 }
 
 /// The service that an entry host provides to its peers.
